--- a/dependency-cruiser.config.js
+++ b/dependency-cruiser.config.js
@@ -6,14 +6,15 @@
 /** From the lowest layer to the highest: a layer may import itself and those before it. */
 const LAYERS = {
   // Ids, units, ranges, and the types of jobs and their records.
-  model: '^src/(units\\.ts|ranges\\.ts|model/|jobs/(spec|record)\\.ts)',
+  model: '^src/(units\\.ts|ranges\\.ts|model/|jobs/(spec|record|codec|stored-size)\\.ts)',
   settings: '^src/(settings|logging|metrics)/|^src/log\\.ts',
-  transports: '^src/(http|mesh)/',
-  clients: '^src/(state|cloud)/',
-  pools: '^src/(parts|pools|membership)/',
+  transports: '^src/(http|mesh|peers)/',
+  clients: '^src/(store|cloud)/',
+  shards: '^src/(shards|leadership)/',
   // What the slices of one controller share.
   core: '^src/core\\.ts',
-  slices: '^src/(jobs/(?!(spec|record)\\.ts)|(quota|workers|placement|scheduling|flock|fleet)/)',
+  slices:
+    '^src/(jobs/(?!(spec|record|codec|stored-size)\\.ts)|(quota|workers|placement|overflow|fleet|autoscaling)/)',
   controller: '^src/(controller/|controller\\.ts)',
   simulation: '^src/simulation/',
   commands: '^src/(cli/|main\\.ts)',
@@ -21,9 +22,9 @@
 
 /** Imports that run upwards and are still to be mended: by file, what it may import all the same. */
 const KNOWN_UPWARD = {
-  'src/core.ts': ['src/flock/willing.ts'],
-  'src/parts/figures.ts': ['src/placement/round.ts'],
-  'src/parts/ownership.ts': ['src/core.ts'],
+  'src/core.ts': ['src/overflow/peer-ranking.ts'],
+  'src/shards/statistics.ts': ['src/placement/round.ts'],
+  'src/leadership/leadership.ts': ['src/core.ts'],
 };
 
 /** Imports that are part of a circle and still to be mended. */
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,8 +1,8 @@
 /** Client of the cloud: rents, returns and lists machines within this controller's share of the limit. */
 import type { Outcome } from '../http/client.js';
 import type { Settings } from '../settings/settings.js';
-import { Budget, Rank } from '../state/budget.js';
-import type { Caller } from '../state/client.js';
+import { RateLimiter, RequestPriority } from '../store/rate-limiter.js';
+import type { Caller } from '../store/client.js';
 import type { Clock, MachineId } from '../units.js';
 import { millis } from '../units.js';
 import {
@@ -30,7 +30,7 @@
 const PAGE_RETRY = millis(1000);
 
 export class CloudClient {
-  private readonly budget: Budget;
+  private readonly budget: RateLimiter;
 
   constructor(
     private readonly http: Caller,
@@ -38,10 +38,15 @@
     settings: Settings,
   ) {
     const share = (settings.cloudRps * 0.9) / settings.parts.length;
-    this.budget = new Budget(clock, share, Math.max(1, share * 2));
+    this.budget = new RateLimiter(clock, share, Math.max(1, share * 2));
   }
 
-  private async request(method: 'GET' | 'POST', path: string, body: unknown, rank: Rank): Promise<Outcome> {
+  private async request(
+    method: 'GET' | 'POST',
+    path: string,
+    body: unknown,
+    rank: RequestPriority,
+  ): Promise<Outcome> {
     if (!(await this.budget.take(1, rank, PATIENCE))) return { kind: 'unsent' };
     const outcome = await this.http.call({
       method,
@@ -54,12 +59,12 @@
   }
 
   async catalog(): Promise<MachineType[] | null> {
-    const outcome = await this.request('GET', '/catalog', undefined, Rank.submit);
+    const outcome = await this.request('GET', '/catalog', undefined, RequestPriority.submit);
     return outcome.kind === 'answer' && outcome.status === 200 ? decodeCatalog(outcome.body) : null;
   }
 
   async rent(request: RentRequest): Promise<RentResult> {
-    const outcome = await this.request('POST', '/hosts', encodeRent(request), Rank.submit);
+    const outcome = await this.request('POST', '/hosts', encodeRent(request), RequestPriority.submit);
     if (outcome.kind !== 'answer') return { kind: 'failed' };
     if (outcome.status === 200) {
       const machines = decodeRented(outcome.body);
@@ -75,7 +80,7 @@
       'POST',
       '/hosts/delete',
       encodeReturn(ids.slice(0, 100)),
-      Rank.ownership,
+      RequestPriority.ownership,
     );
     return outcome.kind === 'answer' && outcome.status === 200 && ids.length <= 100;
   }
@@ -83,7 +88,7 @@
   /** A long list takes many pages, and other calls go first: one page that had no turn must not end it. */
   private async listPage(after: MachineId | null): Promise<ReturnType<typeof decodeListed>> {
     for (let tries = 1; tries <= PAGE_TRIES; tries += 1) {
-      const outcome = await this.request('GET', listMachinesPath(after), undefined, Rank.handover);
+      const outcome = await this.request('GET', listMachinesPath(after), undefined, RequestPriority.handover);
       if (outcome.kind === 'answer' && outcome.status === 200) return decodeListed(outcome.body);
       // In an outage there is no point in asking again for the rest of the list.
       if (outcome.kind === 'answer' && outcome.status !== 429) return null;
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -2,39 +2,42 @@
 import { randomBytes } from 'node:crypto';
 import { CloudClient } from './cloud/client.js';
 import { Core } from './core.js';
-import { Catalog } from './fleet/catalog.js';
-import { Fleet } from './fleet/fleet.js';
-import { assignJob } from './flock/assign.js';
-import { composeNews, receive, refreshOffers, zoneOfPart, type CancelledNotice } from './flock/news.js';
-import { seededRandom } from './flock/willing.js';
+import { InstanceTypeCatalog } from './fleet/catalog.js';
+import { Autoscaler } from './fleet/fleet.js';
+import { assignJob } from './overflow/assignment.js';
+import { composeAnnouncement, receive, refreshFreeCapacity, zoneOfPart } from './overflow/announcement.js';
+import { seededRandom } from './overflow/peer-ranking.js';
 import { HttpClient, Sockets } from './http/client.js';
 import { serve, type Answer, type Handler, type Request } from './http/server.js';
 import { decodeTime, SharedTime, TimeKeeper } from './jobs/age.js';
 import { ProgressWriter } from './jobs/progress.js';
-import { LIVE, type Assignment } from './jobs/record.js';
+import { LIVE } from './jobs/codec.js';
+import type { Assignment } from './jobs/record.js';
 import { JobService } from './jobs/service.js';
 import { Priority, type JobSpec } from './jobs/spec.js';
 import type { Log } from './log.js';
 import { openMesh, type Mesh } from './mesh/mesh.js';
 import type { Resources } from './model/resources.js';
-import { figuresOf } from './parts/figures.js';
-import { syncJob } from './parts/model.js';
-import { Ownership } from './parts/ownership.js';
-import { ALIVE, decodeMachine, FOLLOWED, MACHINES, PARTS, TIME_KEY } from './parts/records.js';
-import { RunTimes } from './placement/runtimes.js';
+import { encodePeerMessage } from './peers/codec.js';
+import type { CancellationNotice } from './peers/messages.js';
+import { statisticsOf } from './shards/statistics.js';
+import { syncJob } from './shards/model.js';
+import { ShardLeadership } from './leadership/leadership.js';
+import { ALIVE, decodeMachine, FOLLOWED, MACHINES, SHARDS, TIME_KEY } from './shards/records.js';
+import { RuntimeEstimator } from './placement/runtimes.js';
 import { Scheduler } from './placement/scheduler.js';
-import { QuotaDesk } from './quota/desk.js';
+import { QuotaTransferService } from './quota/transfer-service.js';
 import type { Settings, Tuning } from './settings/settings.js';
-import { StateClient, type Caller } from './state/client.js';
-import { Follower } from './state/follower.js';
-import { View } from './state/view.js';
+import { KeyValueClient, type Caller } from './store/client.js';
+import { StoreWatcher } from './store/watcher.js';
+import { StoreCache } from './store/cache.js';
 import type {
   Address,
   Clock,
   Incarnation,
   JobId,
   MachineId,
-  PartId,
+  ShardId,
   Revision,
   SteadyMs,
   TeamId,
@@ -99,15 +102,15 @@
 
 export class Controller {
   private readonly core: Core;
-  private readonly ownership: Ownership;
+  private readonly ownership: ShardLeadership;
   private readonly workers: WorkerService;
   private readonly jobs: JobService;
   private readonly scheduler: Scheduler;
-  private readonly quota: QuotaDesk;
-  private readonly fleet: Fleet;
+  private readonly quota: QuotaTransferService;
+  private readonly fleet: Autoscaler;
   private readonly progress: ProgressWriter;
   private readonly timeKeeper: TimeKeeper;
-  private readonly follower: Follower;
+  private readonly follower: StoreWatcher;
   private worseSince: SteadyMs | null = null;
   private lastNews = -1e12;
   private lastOffers = -1e12;
@@ -125,29 +128,38 @@
     this.core = new Core(settings, tuning, clock, new SharedTime(), log, ports.incarnation(), random);
     const { core } = this;
     const unit = (): number => random(10_000) / 10_000;
-    core.state = new StateClient(ports.state, ports.stateWatch, clock, settings, unit);
+    core.state = new KeyValueClient(ports.state, ports.stateWatch, clock, settings, unit);
     core.cloud = new CloudClient(ports.cloud, clock, settings);
-    core.view = new View((key, value, version) => this.onChange(key, value, version));
+    core.view = new StoreCache((key, value, version) => this.onChange(key, value, version));
     const gap = millis(Math.max(25, (settings.parts.length * 1000) / (settings.stateRps * 0.3)));
-    this.follower = new Follower(core.state, core.view, FOLLOWED, tuning.followBlock, gap, clock, unit, log);
+    this.follower = new StoreWatcher(
+      core.state,
+      core.view,
+      FOLLOWED,
+      tuning.followBlock,
+      gap,
+      clock,
+      unit,
+      log,
+    );
     core.stateHealthy = () => this.follower.healthy;
-    const runTimes = new RunTimes();
-    this.ownership = new Ownership(core, (p) => this.workers.workersAnswer(p));
+    const runTimes = new RuntimeEstimator();
+    this.ownership = new ShardLeadership(core, (p) => this.workers.workersAnswer(p));
     this.workers = new WorkerService(core, this.ownership, runTimes, ports.worker);
     this.jobs = new JobService(
       core,
       (spec) => this.assign(spec),
       () => this.follower.refresh(),
       (job, version) => {
-        const notice: CancelledNotice = { kind: 'cancelled', job, version };
-        core.mesh.broadcast(notice);
+        const notice: CancellationNotice = { kind: 'cancellationNotice', job, version };
+        core.mesh.broadcast(encodePeerMessage(notice));
       },
     );
-    this.quota = new QuotaDesk(core);
-    this.fleet = new Fleet(
+    this.quota = new QuotaTransferService(core);
+    this.fleet = new Autoscaler(
       core,
       runTimes,
-      (part, machine) => this.workers.remove(part, machine),
+      (shard, machine) => this.workers.remove(shard, machine),
       (id) => this.workers.isCandidate(id),
     );
     this.scheduler = new Scheduler(core, this.workers, this.quota, this.fleet, runTimes);
@@ -166,7 +178,7 @@
     );
     void this.follower.run();
     void this.ownership.runAlive();
-    void new Catalog(this.core).run();
+    void new InstanceTypeCatalog(this.core).run();
     void this.fleet.runList();
     const turn = (): void => {
       void this.core.exclusive(() => this.tick());
@@ -183,7 +195,7 @@
     this.timeKeeper.tick();
     if (now - this.lastReview >= REVIEW) {
       this.lastReview = now;
-      for (const part of this.core.parts.values()) this.workers.expireLeases(part);
+      for (const shard of this.core.parts.values()) this.workers.expireLeases(shard);
       this.scheduler.transfers.expirePromises();
       this.fleet.review();
       this.workers.closeUnusedClients();
@@ -197,15 +209,15 @@
     const { core } = this;
     if (now - this.lastFigures < FIGURES) return;
     this.lastFigures = now;
-    for (const part of core.parts.values()) {
-      const share = (team: TeamId): Resources => this.quota.share(part.id, team);
-      core.log.info({ part: part.id, ...figuresOf(part, now, core.reportMs, share) }, 'figures');
+    for (const shard of core.parts.values()) {
+      const share = (team: TeamId): Resources => this.quota.share(shard.id, team);
+      core.log.info({ part: shard.id, ...statisticsOf(shard, now, core.reportMs, share) }, 'figures');
     }
   }
 
   private refreshOffers(now: number): void {
     this.lastOffers = now;
-    refreshOffers(this.core);
+    refreshFreeCapacity(this.core);
   }
 
   /** Every interval. */
@@ -214,25 +226,28 @@
     this.lastNews = now;
     this.refreshOffers(now);
     this.borrowLimits();
-    this.core.mesh.broadcast(
-      composeNews(this.core, (p) => this.quota.spare(p), this.ownership.strayCounts()),
+    const announcement = composeAnnouncement(
+      this.core,
+      (shard) => this.quota.spare(shard),
+      this.ownership.strayCounts(),
     );
+    this.core.mesh.broadcast(encodePeerMessage(announcement));
   }
 
   private onMessage(raw: unknown): void {
     const request = receive(this.core, raw);
-    if (request?.kind === 'ask') void this.quota.answer(request);
-    if (request?.kind === 'machines') this.scheduler.transfers.answer(request);
+    if (request?.kind === 'quotaTransferRequest') void this.quota.answer(request);
+    if (request?.kind === 'machineRequest') this.scheduler.transfers.answer(request);
     this.core.wake();
   }
 
   private onChange(key: string, value: unknown, version: Revision): void {
     if (key.startsWith(LIVE)) this.onJob(key, value, version);
-    else if (key.startsWith(PARTS)) this.ownership.onPart(key, value, version);
+    else if (key.startsWith(SHARDS)) this.ownership.onPart(key, value, version);
     else if (key.startsWith(MACHINES)) {
       const id = key.slice(MACHINES.length) as MachineId;
       const record = value === undefined ? null : decodeMachine(value);
-      this.core.named.learn(id, record);
+      this.core.registeredMachines.learn(id, record);
       if (record) this.fleet.forget(id);
       this.workers.onMachine(id, record, version);
     } else if (key.startsWith(ALIVE)) this.shareLimits();
@@ -248,7 +263,7 @@
     this.scheduler.onRecord(id, record === 'over' ? null : record);
     if (record === 'over') return this.scheduler.stopJob(id);
     const age = this.core.time.age(record.accepted, now);
-    for (const part of this.core.parts.values()) syncJob(part, record, version, now, false, age);
+    for (const shard of this.core.parts.values()) syncJob(shard, record, version, now, false, age);
     if (record.spec.priority === Priority.critical) this.scheduler.hurry();
   }
 
@@ -269,7 +284,7 @@
     core.state.others(uses);
   }
 
-  private homePart(): PartId {
+  private homePart(): ShardId {
     const own = this.core.settings.part;
     if (this.core.parts.has(own)) return own;
     return this.core.parts.keys().next().value ?? own;
@@ -287,7 +302,7 @@
       parts: core.settings.parts,
       zones: core.settings.zones,
       types: [...core.types.values()],
-      offers: core.offers,
+      freeCapacity: core.freeCapacity,
       ready: core.ready,
       random: core.random,
     });
--- a/src/core.ts
+++ b/src/core.ts
@@ -2,20 +2,21 @@
 import { Mutex } from 'async-mutex';
 import type { CloudClient } from './cloud/client.js';
 import type { MachineType } from './cloud/wire.js';
-import { decodeRecord, LIVE, type JobRecord } from './jobs/record.js';
+import { decodeRecord, LIVE } from './jobs/codec.js';
+import type { JobRecord } from './jobs/record.js';
 import type { JobSpec } from './jobs/spec.js';
 import type { Log } from './log.js';
 import type { Mesh } from './mesh/mesh.js';
 import type { Resources } from './model/resources.js';
-import type { Part } from './parts/model.js';
-import { NamedMachines } from './parts/named.js';
-import { aliveKey, decodeAlive, decodePart, partKey, type PartRecord } from './parts/records.js';
-import type { Offer, Random } from './flock/willing.js';
+import type { Shard } from './shards/model.js';
+import { RegisteredMachines } from './shards/registered-machines.js';
+import { aliveKey, decodeAlive, decodePart, shardKey, type ShardRecord } from './shards/records.js';
+import type { FreeCapacity, Random } from './overflow/peer-ranking.js';
 import type { Settings, Tuning } from './settings/settings.js';
-import type { StateClient, TxnResult, Use } from './state/client.js';
-import type { Rank } from './state/budget.js';
-import type { View } from './state/view.js';
-import type { Change, Condition } from './state/wire.js';
+import type { KeyValueClient, SwapResult, Use } from './store/client.js';
+import type { RequestPriority } from './store/rate-limiter.js';
+import type { StoreCache } from './store/cache.js';
+import type { Change, Condition } from './store/wire.js';
 import type {
   Clock,
   ImageId,
@@ -24,7 +25,7 @@
   MachineId,
   Millis,
   NodeId,
-  PartId,
+  ShardId,
   SharedMs,
   SteadyMs,
   TeamId,
@@ -39,17 +40,17 @@
 const MIN_RECENTLY_ENDED = 500;
 
 /** What a peer last said about itself and its parts. */
-export interface PeerNews {
+export interface PeerStatus {
   readonly heard: SteadyMs;
   readonly incarnation: Incarnation;
   readonly stateOk: boolean;
   readonly use: Use;
   readonly running: ReadonlyMap<JobId, number>;
   /** Machines that came to the peer because the owner of their part does not answer them. */
-  readonly strays: ReadonlyMap<PartId, number>;
+  readonly strays: ReadonlyMap<ShardId, number>;
 }
 
-export interface PartNews {
+export interface ShardAnnouncement {
   readonly expires: SteadyMs;
   readonly used: ReadonlyMap<TeamId, Resources>;
   readonly spare: ReadonlyMap<TeamId, Resources>;
@@ -71,29 +72,29 @@
 }
 
 export class Core {
-  readonly parts = new Map<PartId, Part>();
+  readonly parts = new Map<ShardId, Shard>();
   readonly types = new Map<TypeId, MachineType>();
-  readonly live = new Map<JobId, JobRecord>();
-  readonly offers = new Map<PartId, Offer>();
-  readonly partNews = new Map<PartId, PartNews>();
-  readonly peers = new Map<NodeId, PeerNews>();
+  readonly activeJobs = new Map<JobId, JobRecord>();
+  readonly freeCapacity = new Map<ShardId, FreeCapacity>();
+  readonly shardAnnouncements = new Map<ShardId, ShardAnnouncement>();
+  readonly peers = new Map<NodeId, PeerStatus>();
   /** Which part a rented machine is meant for; a hint until the machine is named in the state service. */
-  readonly rentedFor = new Map<MachineId, PartId>();
+  readonly rentedFor = new Map<MachineId, ShardId>();
   /** Those of them that we rented, until they are named. */
-  readonly rentedHere = new Map<MachineId, PartId>();
+  readonly rentedHere = new Map<MachineId, ShardId>();
   /** Which images peers' machines hold, for whoever takes a part over. */
   readonly imageHints = new Map<MachineId, readonly (readonly [ImageId, number])[]>();
   /** By part and image: what critical work could have at once where the image is. */
-  readonly ready = new Map<PartId, ReadonlyMap<ImageId, Resources>>();
+  readonly ready = new Map<ShardId, ReadonlyMap<ImageId, Resources>>();
   /** Machines that were returned or lost for good. Names are never used again. */
-  readonly gone = new Set<MachineId>();
+  readonly retiredMachines = new Set<MachineId>();
   /** Specs of jobs that are over, while their tasks may still be on machines. */
-  readonly past = new Map<JobId, JobSpec>();
+  readonly recentlyEnded = new Map<JobId, JobSpec>();
   /** Machines that the state service names, counted by part. */
-  readonly named = new NamedMachines();
+  readonly registeredMachines = new RegisteredMachines();
   private readonly mutex = new Mutex();
-  view!: View;
-  state!: StateClient;
+  view!: StoreCache;
+  state!: KeyValueClient;
   cloud!: CloudClient;
   mesh!: Mesh;
   /** Asks for a placement round soon. */
@@ -136,8 +137,8 @@
     return this.view.loaded && now - this.view.confirmed < limit;
   }
 
-  partRecord(p: PartId): PartRecord | null {
-    const entry = this.view.get(partKey(p));
+  shardRecord(p: ShardId): ShardRecord | null {
+    const entry = this.view.get(shardKey(p));
     return entry ? decodePart(entry.value) : null;
   }
 
@@ -152,8 +153,8 @@
   }
 
   /** Conditions under which an owner's write may apply: it still owns the part. */
-  ownerCondition(part: Part): Condition {
-    return { key: partKey(part.id), version: part.version };
+  ownerCondition(shard: Shard): Condition {
+    return { key: shardKey(shard.id), version: shard.version };
   }
 
   /**
@@ -163,11 +164,11 @@
   async settle(
     when: Condition[],
     changes: Change[],
-    rank: Rank,
-  ): Promise<Exclude<TxnResult, { kind: 'unknown' }>> {
+    rank: RequestPriority,
+  ): Promise<Exclude<SwapResult, { kind: 'unknown' }>> {
     let unclear = false;
     for (let wait = 100; ; wait = Math.min(2000, wait * 2)) {
-      const result = await this.state.txn(when, changes, rank);
+      const result = await this.state.compareAndSwap(when, changes, rank);
       if (result.kind === 'unknown') unclear = true;
       // A refusal says nothing about an earlier copy that is still on its way.
       else if (result.kind !== 'refused' || !unclear) return result;
@@ -185,15 +186,15 @@
       return 'unreadable';
     }
     if (record) {
-      this.live.set(id, record);
+      this.activeJobs.set(id, record);
       this.time.reached(record.accepted ?? 0, this.clock.now());
     } else {
-      const old = this.live.get(id);
-      this.live.delete(id);
-      if (old) this.past.set(id, old.spec);
+      const old = this.activeJobs.get(id);
+      this.activeJobs.delete(id);
+      if (old) this.recentlyEnded.set(id, old.spec);
       // As many jobs may end together as are active, and their tasks are on machines for a while.
-      if (this.past.size > Math.max(MIN_RECENTLY_ENDED, this.live.size))
-        this.past.delete(this.past.keys().next().value as JobId);
+      if (this.recentlyEnded.size > Math.max(MIN_RECENTLY_ENDED, this.activeJobs.size))
+        this.recentlyEnded.delete(this.recentlyEnded.keys().next().value as JobId);
     }
     return record ?? 'over';
   }
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -1,14 +1,14 @@
 /** Which machine types there are: asked of the cloud, and kept in the state service for a start without it. */
 import type { MachineType } from '../cloud/wire.js';
 import type { Core } from '../core.js';
-import { RESOURCE_KINDS } from '../model/resources.js';
-import { CATALOG_KEY } from '../parts/records.js';
-import { Rank } from '../state/budget.js';
+import { decodeCatalog, encodeCatalog } from '../autoscaling/codec.js';
+import { CATALOG_KEY } from '../shards/records.js';
+import { RequestPriority } from '../store/rate-limiter.js';
 import { millis, steady } from '../units.js';
 
 const REFRESH = 60_000;
 
-export class Catalog {
+export class InstanceTypeCatalog {
   private readAt = steady(-1e12);
 
   constructor(private readonly core: Core) {}
@@ -33,13 +33,13 @@
   /** The catalog is kept in the state service too, so that a restart while the cloud is away can decide. */
   private useStored(): void {
     const entry = this.core.view.get(CATALOG_KEY);
-    const types = entry ? decodeStored(entry.value) : null;
+    const types = entry ? decodeCatalog(entry.value) : null;
     if (types) this.use(types);
   }
 
   private use(types: readonly MachineType[]): void {
     for (const t of types) this.core.types.set(t.name, t);
-    for (const part of this.core.parts.values()) part.resize();
+    for (const shard of this.core.parts.values()) shard.resize();
     this.core.wake();
   }
 
@@ -48,21 +48,14 @@
     const stored = core.view.get(CATALOG_KEY);
     const names = (list: readonly MachineType[] | null): string =>
       JSON.stringify(list?.map((t) => [t.name, t.cpus, t.gpus, t.memoryGb, t.zones]));
-    if (!core.view.loaded || (stored && names(decodeStored(stored.value)) === names(types))) return;
-    const value = { types };
+    if (!core.view.loaded || (stored && names(decodeCatalog(stored.value)) === names(types))) return;
+    const value = encodeCatalog(types);
     if (Buffer.byteLength(JSON.stringify(value)) > core.settings.valueBytes) return;
     const version = core.view.version(CATALOG_KEY);
-    await core.state.txn(
+    await core.state.compareAndSwap(
       [{ key: CATALOG_KEY, version }],
       [{ op: 'put', key: CATALOG_KEY, value }],
-      Rank.progress,
+      RequestPriority.progress,
     );
   }
 }
-
-function decodeStored(value: unknown): MachineType[] | null {
-  const types = (value as { types?: MachineType[] } | null)?.types;
-  const isWhole = (t: MachineType): boolean =>
-    typeof t.name === 'string' && RESOURCE_KINDS.every((kind) => typeof t[kind] === 'number');
-  return Array.isArray(types) && types.every(isWhole) ? types : null;
-}
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -1,19 +1,19 @@
 /** Rents machines for what finds no room, returns idle, taken, failed and silent ones. */
 import type { Listed, RentRequest } from '../cloud/wire.js';
 import type { Core } from '../core.js';
-import { pinOf, type Machine, type Part } from '../parts/model.js';
-import { decodeMachine, machineKey } from '../parts/records.js';
+import { requiredZone, type Machine, type Shard } from '../shards/model.js';
+import { decodeMachine, machineKey } from '../shards/records.js';
 import { countOf, type Unplaced } from '../placement/round.js';
-import type { RunTimes } from '../placement/runtimes.js';
-import { Rank } from '../state/budget.js';
-import type { MachineId, PartId, RentalId, SteadyMs, ZoneId } from '../units.js';
+import type { RuntimeEstimator } from '../placement/runtimes.js';
+import { RequestPriority } from '../store/rate-limiter.js';
+import type { MachineId, ShardId, RentalId, SteadyMs, ZoneId } from '../units.js';
 import { millis } from '../units.js';
-import { zoneOfPart } from '../flock/news.js';
+import { zoneOfPart } from '../overflow/announcement.js';
 import { kindKey, planRentals, type Demand, type Kind } from './plan.js';
 import { absentFrom, look, reasonToReturn, type ReturnContext, type Sight } from './returns.js';
 
 interface Pending extends Kind {
-  readonly part: PartId;
+  readonly part: ShardId;
   readonly id: MachineId;
   readonly at: SteadyMs;
 }
@@ -26,12 +26,12 @@
 const GATHER = millis(50);
 const MAX_NAMES = 100;
 
-export class Fleet {
+export class Autoscaler {
   private readonly pending = new Map<MachineId, Pending>();
   private readonly blockedUntil = new Map<string, number>();
-  private readonly demands = new Map<PartId, Demand[]>();
-  private readonly renting = new Set<PartId>();
-  private readonly lastRent = new Map<PartId, SteadyMs>();
+  private readonly demands = new Map<ShardId, Demand[]>();
+  private readonly renting = new Set<ShardId>();
+  private readonly lastRent = new Map<ShardId, SteadyMs>();
   private readonly strangers = new Map<MachineId, SteadyMs>();
   private rentals = 0;
   private unlisted: (id: MachineId) => boolean = () => false;
@@ -39,43 +39,45 @@
 
   constructor(
     private readonly core: Core,
-    private readonly runTimes: RunTimes,
-    private readonly onGone: (part: Part, machine: Machine) => void,
+    private readonly runTimes: RuntimeEstimator,
+    private readonly onGone: (shard: Shard, machine: Machine) => void,
     /** Reports, and waits for its turn to be registered: it is not one that nobody uses. */
     private readonly isCandidate: (id: MachineId) => boolean,
   ) {}
 
   /** The scheduler says what found no room in this round. */
-  demand(part: Part, unplaced: readonly Unplaced[], now: SteadyMs): void {
+  demand(shard: Shard, unplaced: readonly Unplaced[], now: SteadyMs): void {
     const list: Demand[] = [];
     for (const u of unplaced) {
       if (u.reason !== 'room') continue;
       const byPin = new Map<ZoneId | null, number>();
       if (u.indices === 'all') byPin.set(null, countOf(u));
-      else for (const i of u.indices) byPin.set(pinOf(u.job, i), (byPin.get(pinOf(u.job, i)) ?? 0) + 1);
+      else
+        for (const i of u.indices)
+          byPin.set(requiredZone(u.job, i), (byPin.get(requiredZone(u.job, i)) ?? 0) + 1);
       const waitedMs = now - (u.job.waitingSince ?? now);
       for (const [pin, count] of byPin) list.push({ spec: u.job.spec, pin, count, waitedMs });
     }
-    this.demands.set(part.id, list);
+    this.demands.set(shard.id, list);
   }
 
   /** A few times a second. */
   tick(): void {
     const now = this.core.clock.now();
-    for (const part of this.core.parts.values()) {
+    for (const shard of this.core.parts.values()) {
       if (!this.core.authority(now)) continue;
-      this.rent(part, now);
+      this.rent(shard, now);
     }
   }
 
   /** Once a second: looks at every machine. */
   review(): void {
     const now = this.core.clock.now();
-    for (const part of this.core.parts.values()) {
+    for (const shard of this.core.parts.values()) {
       if (!this.core.authority(now)) continue;
-      const ctx = this.returnContext(part, now);
-      const sight = look(part, ctx);
-      for (const m of part.machines.values()) this.reviewMachine(part, m, sight, ctx);
+      const ctx = this.returnContext(shard, now);
+      const sight = look(shard, ctx);
+      for (const m of shard.machines.values()) this.reviewMachine(shard, m, sight, ctx);
     }
   }
 
@@ -86,30 +88,30 @@
     this.core.rentedHere.delete(id);
   }
 
-  private rent(part: Part, now: SteadyMs): void {
-    const demands = this.demands.get(part.id) ?? [];
-    if (demands.length === 0 || this.renting.has(part.id) || this.core.types.size === 0) return;
-    if (now - (this.lastRent.get(part.id) ?? -1e12) < RENT_GAP) return;
+  private rent(shard: Shard, now: SteadyMs): void {
+    const demands = this.demands.get(shard.id) ?? [];
+    if (demands.length === 0 || this.renting.has(shard.id) || this.core.types.size === 0) return;
+    if (now - (this.lastRent.get(shard.id) ?? -1e12) < RENT_GAP) return;
     const wishes = planRentals(demands, {
       types: [...this.core.types.values()],
       zones: this.core.settings.zones,
-      home: zoneOfPart(this.core, part.id),
-      pending: [...this.pending.values()].filter((p) => p.part === part.id),
+      home: zoneOfPart(this.core, shard.id),
+      pending: [...this.pending.values()].filter((p) => p.part === shard.id),
       blocked: (k) => (this.blockedUntil.get(kindKey(k)) ?? 0) > now,
-      runningTasks: part.bound.size,
+      runningTasks: shard.allocations.size,
       correction: (lane) => this.runTimes.correction(lane),
     });
     const wish = wishes[0];
     if (!wish) return;
-    this.lastRent.set(part.id, now);
-    this.renting.add(part.id);
+    this.lastRent.set(shard.id, now);
+    this.renting.add(shard.id);
     this.rentals += 1;
     // Part and token are nobody else's: the name is never used again.
-    const rental = `c${part.id}-${part.token}-${this.rentals}` as RentalId;
-    void this.carryOut(part.id, { ...wish, rental }).finally(() => this.renting.delete(part.id));
+    const rental = `c${shard.id}-${shard.token}-${this.rentals}` as RentalId;
+    void this.carryOut(shard.id, { ...wish, rental }).finally(() => this.renting.delete(shard.id));
   }
 
-  private async carryOut(part: PartId, request: RentRequest): Promise<void> {
+  private async carryOut(shard: ShardId, request: RentRequest): Promise<void> {
     const { core } = this;
     for (let i = 0; i < 4; i += 1) {
       const result = await core.cloud.rent(request);
@@ -117,7 +119,7 @@
       if (result.kind === 'rented') {
         for (const id of result.machines) {
           this.pending.set(id, {
-            part,
+            part: shard,
             id,
             at: now,
             type: request.type,
@@ -125,9 +127,9 @@
             spot: request.spot,
           });
           // In another zone it belongs to a part there: a cut between zones then parts nobody from his machines.
-          if (request.zone === zoneOfPart(core, part)) {
-            core.rentedFor.set(id, part);
-            core.rentedHere.set(id, part);
+          if (request.zone === zoneOfPart(core, shard)) {
+            core.rentedFor.set(id, shard);
+            core.rentedHere.set(id, shard);
           }
         }
         if (result.machines.length < request.count) this.block(request, now + REFUSED_BACKOFF);
@@ -147,42 +149,45 @@
     this.blockedUntil.set(kindKey(kind), until);
   }
 
-  private returnContext(part: Part, now: SteadyMs): ReturnContext {
+  private returnContext(shard: Shard, now: SteadyMs): ReturnContext {
     const { reportMs, tuning } = this.core;
-    const wanted = (this.demands.get(part.id) ?? []).length > 0;
+    const wanted = (this.demands.get(shard.id) ?? []).length > 0;
     const { idleReturn, silentReturn } = tuning;
     const stateOk = this.core.stateHealthy();
     return { now, reportMs, idleReturn, silentReturn, wanted, stateOk, unlisted: this.unlisted };
   }
 
   /** Should this machine go back, and may it? */
-  private reviewMachine(part: Part, m: Machine, sight: Sight, ctx: ReturnContext): void {
+  private reviewMachine(shard: Shard, m: Machine, sight: Sight, ctx: ReturnContext): void {
     if (m.returning) return;
-    const why = reasonToReturn(part, m, sight, ctx);
+    const why = reasonToReturn(shard, m, sight, ctx);
     if (why === null) return;
     m.returning = true;
-    this.core.log.info({ machine: m.id, part: part.id, why, bound: m.bindings.size }, 'returning machine');
-    void this.giveBack(part, m);
+    this.core.log.info(
+      { machine: m.id, part: shard.id, why, bound: m.allocations.size },
+      'returning machine',
+    );
+    void this.giveBack(shard, m);
   }
 
   /** Once asked, the deletion may be carried out at any later time: the machine takes no more work. */
-  private async giveBack(part: Part, m: Machine): Promise<void> {
+  private async giveBack(shard: Shard, m: Machine): Promise<void> {
     const { core } = this;
     for (let wait = 500; !(await this.deleted(m.id)); wait = Math.min(5000, wait * 2)) {
       await core.sleep(millis(wait * (0.7 + core.random(600) / 1000)));
-      if (core.parts.get(part.id) !== part) return;
+      if (core.parts.get(shard.id) !== shard) return;
     }
     await core.exclusive(() => {
-      if (part.machines.get(m.id) === m) this.onGone(part, m);
+      if (shard.machines.get(m.id) === m) this.onGone(shard, m);
     });
     const key = machineKey(m.id);
     for (let i = 0; i < 20; i += 1) {
       const version = core.view.version(key);
-      if (version === 0 || core.parts.get(part.id) !== part) return;
-      const result = await core.state.txn(
-        [{ key, version }, core.ownerCondition(part)],
+      if (version === 0 || core.parts.get(shard.id) !== shard) return;
+      const result = await core.state.compareAndSwap(
+        [{ key, version }, core.ownerCondition(shard)],
         [{ op: 'drop', key }],
-        Rank.handover,
+        RequestPriority.handover,
       );
       if (result.kind === 'done')
         return core.exclusive(() => core.view.learn(key, undefined, result.revision));
@@ -224,19 +229,24 @@
     const known = new Set(listed.map((l) => l.id));
     for (const l of listed) {
       const entry = core.view.get(machineKey(l.id));
-      const part = entry ? core.parts.get(decodeMachine(entry.value)?.part as PartId) : undefined;
-      const machine = part?.machines.get(l.id);
-      if (part && machine) {
+      const shard = entry ? core.parts.get(decodeMachine(entry.value)?.part as ShardId) : undefined;
+      const machine = shard?.machines.get(l.id);
+      if (shard && machine) {
         if (l.state === 'failed' && !machine.returning) {
           machine.returning = true;
-          void this.giveBack(part, machine);
+          void this.giveBack(shard, machine);
         }
         continue;
       }
       const bootMs = (core.types.get(l.type)?.bootS ?? 60) * 1000;
       const limit = l.state === 'failed' ? 0 : this.pending.has(l.id) ? 4 * bootMs : 5 * bootMs + 15_000;
       if (this.isCandidate(l.id)) continue;
-      if (!entry && !core.gone.has(l.id) && l.ageS * 1000 > limit && this.strangerFor(l.id, now) > 3000)
+      if (
+        !entry &&
+        !core.retiredMachines.has(l.id) &&
+        l.ageS * 1000 > limit &&
+        this.strangerFor(l.id, now) > 3000
+      )
         unwanted.push(l.id);
     }
     for (const id of this.strangers.keys()) if (!known.has(id)) this.strangers.delete(id);
--- a/src/fleet/returns.ts
+++ b/src/fleet/returns.ts
@@ -3,7 +3,7 @@
  * dead: hundreds may lose the network in the same second, and must be neither returned wholesale nor replaced.
  */
 import type { Listed } from '../cloud/wire.js';
-import type { Machine, Part } from '../parts/model.js';
+import type { Machine, Shard } from '../shards/model.js';
 import type { MachineId, Millis, Seconds, SteadyMs, ZoneId } from '../units.js';
 
 /** Calls that a machine may miss after a claim. */
@@ -43,11 +43,11 @@
 const isSilent = (m: Machine, ctx: ReturnContext): boolean =>
   ctx.now - (m.lastHeard ?? m.since) > Math.max(3.2 * ctx.reportMs, 5000);
 
-export function look(part: Part, ctx: ReturnContext): Sight {
+export function look(shard: Shard, ctx: ReturnContext): Sight {
   const heard = new Map<ZoneId, number>();
   const heardMachines = new Set<MachineId>();
   const count = { reached: 0, ordinary: 0, silentOrdinary: 0, missingOrdinary: 0 };
-  for (const m of part.machines.values()) {
+  for (const m of shard.machines.values()) {
     if (m.lastHeard !== null && ctx.now - m.lastHeard < 1.5 * ctx.reportMs) {
       heard.set(m.zone, (heard.get(m.zone) ?? 0) + 1);
       heardMachines.add(m.id);
@@ -55,10 +55,10 @@
     if (m.unreachedSince === null && m.lastHeard !== null) count.reached += 1;
     if (m.spot) continue;
     if (isSilent(m, ctx)) count.silentOrdinary += 1;
-    if (!m.settled && m.lastHeard === null) count.missingOrdinary += 1;
-    if (!m.returning && m.settled) count.ordinary += 1;
+    if (!m.reconciled && m.lastHeard === null) count.missingOrdinary += 1;
+    if (!m.returning && m.reconciled) count.ordinary += 1;
   }
-  const few = Math.max(1, Math.floor(part.machines.size * FEW_SHARE));
+  const few = Math.max(1, Math.floor(shard.machines.size * FEW_SHARE));
   return { heard, heardMachines, few, ...count };
 }
 
@@ -66,16 +66,16 @@
 const othersHeard = (m: Machine, sight: Sight): boolean =>
   (sight.heard.get(m.zone) ?? 0) - (sight.heardMachines.has(m.id) ? 1 : 0) > 0;
 
-export function reasonToReturn(part: Part, m: Machine, sight: Sight, ctx: ReturnContext): string | null {
-  const why = reason(part, m, sight, ctx);
-  if (why !== null && !m.spot && m.settled) sight.ordinary -= 1;
+export function reasonToReturn(shard: Shard, m: Machine, sight: Sight, ctx: ReturnContext): string | null {
+  const why = reason(shard, m, sight, ctx);
+  if (why !== null && !m.spot && m.reconciled) sight.ordinary -= 1;
   return why;
 }
 
-function reason(part: Part, m: Machine, sight: Sight, ctx: ReturnContext): string | null {
+function reason(shard: Shard, m: Machine, sight: Sight, ctx: ReturnContext): string | null {
   const silent = ctx.now - (m.lastHeard ?? m.since);
   // A taken machine never comes back: asking the cloud makes certain that its tasks are gone.
-  if (m.takenAt !== null && ctx.now > m.takenAt && silent > 2 * ctx.reportMs) return 'taken';
+  if (m.interruptedAt !== null && ctx.now > m.interruptedAt && silent > 2 * ctx.reportMs) return 'taken';
   const unseen = m.lastHeard === null && m.missedCalls > 0;
   if ((unseen || silent > 1.5 * ctx.reportMs) && ctx.unlisted(m.id)) return 'not listed any more';
   // Spot machines may all be taken at once, ordinary ones are not: silent with many of those, it is a cut.
@@ -83,19 +83,19 @@
     return 'spot machine silent';
   const patience = sight.silentOrdinary <= sight.few ? 1 : 2;
   if (silent > ctx.silentReturn * patience) return 'silent';
-  if (isMissing(part, m, sight)) return 'it does not answer after a claim';
+  if (isMissing(shard, m, sight)) return 'it does not answer after a claim';
   if (isDeaf(m, sight, ctx)) return 'it is heard and cannot be reached';
   return reasonIfIdle(m, sight, ctx);
 }
 
 function reasonIfIdle(m: Machine, sight: Sight, ctx: ReturnContext): string | null {
-  if (m.bindings.size > 0 || m.directBusy || !m.settled || m.lastHeard === null) {
+  if (m.allocations.size > 0 || m.directBusy || !m.reconciled || m.lastHeard === null) {
     m.idleSince = null;
     return null;
   }
   if (m.faults.length >= FAULTS) return 'tasks fail on it';
   m.idleSince ??= ctx.now;
-  if (m.takenAt !== null || ctx.wanted || !ctx.stateOk) return null;
+  if (m.interruptedAt !== null || ctx.wanted || !ctx.stateOk) return null;
   // One ordinary machine stays, so that a new job does not wait for a boot.
   if (ctx.now - m.idleSince < ctx.idleReturn || (!m.spot && sight.ordinary <= 1)) return null;
   return 'idle';
@@ -105,8 +105,8 @@
  * After a claim what was not seen is frozen until every machine has spoken, and a machine that is gone never will.
  * Deleting it settles that. Not when many are missing: then it is a cut, or we are.
  */
-function isMissing(part: Part, m: Machine, sight: Sight): boolean {
-  if (m.settled || part.accounted || m.lastHeard !== null) return false;
+function isMissing(shard: Shard, m: Machine, sight: Sight): boolean {
+  if (m.reconciled || shard.reconciled || m.lastHeard !== null) return false;
   // What a cut made it miss does not count when the cut ends and the last of them are few.
   if (sight.missingOrdinary > sight.few || !othersHeard(m, sight)) m.missedCalls = 0;
   return m.missedCalls >= MISSED_CALLS;
--- a/src/jobs/age.ts
+++ b/src/jobs/age.ts
@@ -3,9 +3,9 @@
  * between processes, so the controllers count time together: one of them writes the count every few seconds, and each
  * goes on from there by its own clock. While no controller runs, nothing is counted.
  */
-import { aliveKey, TIME_KEY } from '../parts/records.js';
+import { aliveKey, TIME_KEY } from '../shards/records.js';
 import type { Settings } from '../settings/settings.js';
-import { Rank } from '../state/budget.js';
+import { RequestPriority } from '../store/rate-limiter.js';
 import type { Clock, Millis, SharedMs, SteadyMs } from '../units.js';
 import { millis, steady } from '../units.js';
 import type { Authority, StateAccess } from './dependencies.js';
@@ -35,6 +35,9 @@
   }
 }
 
+/** The value of `TIME_KEY`. */
+export const encodeTime = (count: SharedMs): unknown => ({ ms: count });
+
 /** The count in the value of `TIME_KEY`, in milliseconds; NaN when it cannot be read. */
 export const decodeTime = (value: unknown): number =>
   Number((value as { ms?: unknown } | null | undefined)?.ms ?? NaN);
@@ -59,16 +62,16 @@
     if (!context.authority(now) || !context.stateHealthy()) return;
     if (now - this.lastWrite < WRITE_INTERVAL_MS || !this.isFirst()) return;
     this.lastWrite = now;
-    void this.write({ ms: context.time.now(now) });
+    void this.write(encodeTime(context.time.now(now)));
   }
 
-  private async write(value: { ms: SharedMs }): Promise<void> {
+  private async write(value: unknown): Promise<void> {
     const { state, view } = this.context;
     const version = view.version(TIME_KEY);
-    const result = await state.txn(
+    const result = await state.compareAndSwap(
       [{ key: TIME_KEY, version }],
       [{ op: 'put', key: TIME_KEY, value }],
-      Rank.handover,
+      RequestPriority.handover,
     );
     if (result.kind !== 'done') return;
     await this.context.exclusive(() => view.learn(TIME_KEY, value, result.revision));
@@ -76,7 +79,7 @@
 
   private isFirst(): boolean {
     const { settings, view } = this.context;
-    const first = settings.parts.find((part) => view.get(aliveKey(part.node)) !== undefined);
+    const first = settings.parts.find((shard) => view.get(aliveKey(shard.node)) !== undefined);
     return first?.node === settings.node;
   }
 }
--- a/src/jobs/cancellation.ts
+++ b/src/jobs/cancellation.ts
@@ -1,13 +1,13 @@
 /** Cancels jobs: one transaction drops the record and writes the final state. */
 import type { Answer } from '../http/server.js';
 import type { Log } from '../log.js';
-import { Rank } from '../state/budget.js';
+import { RequestPriority } from '../store/rate-limiter.js';
 import type { JobId, Revision } from '../units.js';
 import { NO_REVISION } from '../units.js';
 import type { ActiveJobs, StateAccess } from './dependencies.js';
 import { endChanges, type FinalStateCache } from './final-states.js';
 import type { JobReader } from './lookup.js';
-import { finalKey, liveKey } from './record.js';
+import { finalKey, liveKey } from './codec.js';
 import { accepted, NOT_FOUND, UNAVAILABLE } from './responses.js';
 
 /** How often a cancellation is tried when the record changes under it or an outcome is unknown. */
@@ -50,13 +50,13 @@
   /** null: the record has changed since that version, or the outcome is unknown. */
   private async cancelAt(id: JobId, version: Revision): Promise<Answer | null> {
     // The view may have dropped the job after our read found it live: its end must not be overwritten then.
-    const result = await this.access.state.txn(
+    const result = await this.access.state.compareAndSwap(
       [
         { key: liveKey(id), version },
         { key: finalKey(id), version: NO_REVISION },
       ],
       endChanges(id, 'cancelled'),
-      Rank.abort,
+      RequestPriority.abort,
     );
     if (result.kind === 'conflict' || result.kind === 'unknown') return null;
     if (result.kind === 'refused') return UNAVAILABLE;
--- /dev/null
+++ b/src/jobs/codec.ts
@@ -0,0 +1,137 @@
+/**
+ * Maps job records to what the store keeps, and names the keys they stand under. Versions of the software read each
+ * other's records during an upgrade: keys and field names stay as they are here, whatever the code calls them.
+ */
+import * as v from 'valibot';
+import { RangeSet, type Range } from '../ranges.js';
+import type { JobId, ShardId, Revision, SharedMs, StateKey, ZoneId } from '../units.js';
+import type { FinalState, JobRecord } from './record.js';
+import type { JobSpec } from './spec.js';
+
+/** Prefix of the records of all jobs that are not over. */
+export const LIVE = 'c/live/';
+/** Where a job's record stands while it is not over. */
+export const liveKey = (id: JobId): StateKey => `${LIVE}${id}` as StateKey;
+/** Where a job's final state stands: kept for good, outside the prefix that start-up lists. */
+export const finalKey = (id: JobId): StateKey => `over/${id}` as StateKey;
+
+/** What the store calls the fields of a specification, in the order in which they are written. */
+const STORED_SPEC_FIELDS = {
+  id: 'id',
+  lane: 'lane',
+  team: 'team',
+  shape: 'shape',
+  priority: 'priority',
+  tasks: 'tasks',
+  cpus: 'cpus',
+  gpus: 'gpus',
+  memoryGb: 'memoryGb',
+  types: 'types',
+  zone: 'zone',
+  oneZone: 'oneZone',
+  spread: 'spread',
+  spot: 'spot',
+  image: 'image',
+  imageGb: 'imageGb',
+  estimateS: 'estimateS',
+  checkpointS: 'checkpointS',
+  saveS: 'saveS',
+  deadlineS: 'deadlineS',
+} as const satisfies Record<Exclude<keyof JobSpec, 'unknownFields'>, string>;
+
+const SPEC_FIELDS = new Map<string, string>(
+  Object.entries(STORED_SPEC_FIELDS).map(([field, stored]) => [stored, field]),
+);
+
+const range = v.pipe(
+  v.tuple([v.number(), v.number()]),
+  v.check(([from, to]) => from < to),
+);
+const assignment = v.tuple([v.number(), v.number(), v.number(), v.nullable(v.string())]);
+const storedRecord = v.object({
+  // Written by ourselves from a checked submission: its presence is what must hold here.
+  spec: v.custom<Record<string, unknown>>(
+    (spec) => typeof spec === 'object' && spec !== null && 'id' in spec && 'tasks' in spec,
+  ),
+  home: v.number(),
+  // Absent in records of earlier versions.
+  born: v.optional(v.number(), 0),
+  at: v.optional(v.nullable(v.number()), null),
+  parts: v.array(assignment),
+  done: v.array(range),
+});
+const storedFinalState = v.object({ state: v.picklist(['done', 'cancelled']) });
+
+/** A job's record as the store keeps it. */
+interface StoredRecord {
+  readonly spec: Readonly<Record<string, unknown>>;
+  readonly home: number;
+  readonly born: number;
+  readonly at: number | null;
+  readonly parts: readonly (readonly [from: number, to: number, shard: number, zone: string | null])[];
+  readonly done: readonly Range[];
+}
+
+/** The value of `liveKey`. */
+export function encodeRecord(record: JobRecord): StoredRecord {
+  return {
+    spec: encodeSpec(record.spec),
+    home: record.home,
+    born: record.born,
+    at: record.accepted,
+    parts: record.assignments.map((assigned) => [assigned.from, assigned.to, assigned.part, assigned.zone]),
+    done: record.done.ranges(),
+  };
+}
+
+/** null: the value was written by a version that this one does not understand. */
+export function decodeRecord(value: unknown): JobRecord | null {
+  const result = v.safeParse(storedRecord, value);
+  if (!result.success) return null;
+  const stored = result.output;
+  return {
+    spec: decodeSpec(stored.spec),
+    home: stored.home as ShardId,
+    born: stored.born as Revision,
+    accepted: stored.at as SharedMs | null,
+    assignments: stored.parts.map(([from, to, shard, zone]) => ({
+      from,
+      to,
+      part: shard as ShardId,
+      zone: zone as ZoneId | null,
+    })),
+    done: RangeSet.of(stored.done as Range[]),
+  };
+}
+
+/** Fields that an earlier version did not store stay absent. */
+function encodeSpec(spec: JobSpec): Record<string, unknown> {
+  const stored: Record<string, unknown> = {};
+  for (const [field, name] of Object.entries(STORED_SPEC_FIELDS)) {
+    const value = spec[field as keyof JobSpec];
+    if (value !== undefined) stored[name] = value;
+  }
+  return { ...stored, ...spec.unknownFields };
+}
+
+/** Fields that this version does not know are kept, so that they are not lost when the record is written again. */
+function decodeSpec(stored: Readonly<Record<string, unknown>>): JobSpec {
+  const spec: Record<string, unknown> = {};
+  const unknownFields: Record<string, unknown> = {};
+  for (const [name, value] of Object.entries(stored)) {
+    const field = SPEC_FIELDS.get(name);
+    if (field === undefined) unknownFields[name] = value;
+    else spec[field] = value;
+  }
+  if (Object.keys(unknownFields).length > 0) spec['unknownFields'] = unknownFields;
+  return spec as unknown as JobSpec;
+}
+
+/** The value of `finalKey`. */
+export const encodeFinal = (state: FinalState): { readonly state: FinalState } => ({ state });
+
+/** null: the value cannot be read. */
+export function decodeFinal(value: unknown): FinalState | null {
+  const result = v.safeParse(storedFinalState, value);
+  return result.success ? result.output.state : null;
+}
--- a/src/jobs/dependencies.ts
+++ b/src/jobs/dependencies.ts
@@ -2,9 +2,9 @@
  * What the job slice uses of the rest of the controller, as narrow interfaces. The controller passes its own objects:
  * nothing in this folder depends on the class that holds them all.
  */
-import type { ReadResult, TxnResult } from '../state/client.js';
-import type { Rank } from '../state/budget.js';
-import type { Change, Condition, Entry } from '../state/wire.js';
+import type { ReadResult, SwapResult } from '../store/client.js';
+import type { RequestPriority } from '../store/rate-limiter.js';
+import type { Change, Condition, Entry } from '../store/wire.js';
 import type { Clock, JobId, Millis, Revision, StateKey, SteadyMs } from '../units.js';
 import type { JobRecord } from './record.js';
 
@@ -20,9 +20,13 @@
   /** How long a submission would wait for its turn in the request budget. */
   readonly submitWait: Millis;
   /** Reads one key from the store, not from the view. */
-  get(key: StateKey, rank: Rank): Promise<ReadResult>;
+  get(key: StateKey, rank: RequestPriority): Promise<ReadResult>;
   /** Applies the changes if every condition holds, and otherwise nothing. */
-  txn(conditions: readonly Condition[], changes: readonly Change[], rank: Rank): Promise<TxnResult>;
+  compareAndSwap(
+    conditions: readonly Condition[],
+    changes: readonly Change[],
+    rank: RequestPriority,
+  ): Promise<SwapResult>;
 }
 
 /** This controller's copy of what the state service holds. It may be behind the store. */
--- a/src/jobs/final-states.ts
+++ b/src/jobs/final-states.ts
@@ -1,7 +1,8 @@
 /** Final states: the changes that end a job, and a cache. A final state never changes, so memory may answer for it. */
-import type { Change } from '../state/wire.js';
+import type { Change } from '../store/wire.js';
 import type { JobId } from '../units.js';
-import { encodeFinal, finalKey, liveKey, type FinalState } from './record.js';
+import { encodeFinal, finalKey, liveKey } from './codec.js';
+import type { FinalState } from './record.js';
 
 const MAX_ENTRIES = 20_000;
 
--- a/src/jobs/lookup-batcher.ts
+++ b/src/jobs/lookup-batcher.ts
@@ -2,14 +2,14 @@
  * Answers what a job's state is now, for many askers at once. No answer rests on a view that is older than the
  * question: the questions of a short interval share one request to the state service.
  */
-import { Rank } from '../state/budget.js';
-import type { Condition } from '../state/wire.js';
+import { RequestPriority } from '../store/rate-limiter.js';
+import type { Condition } from '../store/wire.js';
 import type { JobId, Millis, StateKey, SteadyMs } from '../units.js';
 import { millis, NO_REVISION } from '../units.js';
 import type { ActiveJobs, StateAccess, Timers } from './dependencies.js';
 import type { FinalStateCache } from './final-states.js';
 import type { JobLookup, JobReader } from './lookup.js';
-import { finalKey, liveKey } from './record.js';
+import { finalKey, liveKey } from './codec.js';
 
 /** Queries that come within this time share one transaction; at a small request budget more of them do. */
 const BATCH_INTERVAL_MS = 60;
@@ -155,7 +155,11 @@
     const lookups = new Map(batch.map((query) => [query.id, this.lookupFromView(query.id)] as const));
     const conditions = new Map<StateKey, Condition>();
     for (const query of batch) for (const c of this.conditionsFor(query.id)) conditions.set(c.key, c);
-    const result = await this.context.state.txn([...conditions.values()], [], Rank.submit);
+    const result = await this.context.state.compareAndSwap(
+      [...conditions.values()],
+      [],
+      RequestPriority.submit,
+    );
     if (result.kind === 'done') {
       for (const query of batch) respond(query, lookups.get(query.id) as JobLookup);
       return;
--- a/src/jobs/lookup.ts
+++ b/src/jobs/lookup.ts
@@ -1,9 +1,10 @@
 /** Looks a single job up in the state service. */
-import { Rank } from '../state/budget.js';
+import { RequestPriority } from '../store/rate-limiter.js';
 import type { JobId } from '../units.js';
 import type { StateAccess } from './dependencies.js';
 import type { FinalStateCache } from './final-states.js';
-import { decodeFinal, decodeRecord, finalKey, liveKey, type FinalState, type JobRecord } from './record.js';
+import { decodeFinal, decodeRecord, finalKey, liveKey } from './codec.js';
+import type { FinalState, JobRecord } from './record.js';
 
 /** What the state service says of a job now. */
 export type JobLookup =
@@ -23,7 +24,7 @@
   /** Reads the record, then the final state: a job that ends in between is found by the second read. */
   async read(id: JobId): Promise<JobLookup> {
     const { state, view } = this.access;
-    const live = await state.get(liveKey(id), Rank.submit);
+    const live = await state.get(liveKey(id), RequestPriority.submit);
     if (live.kind === 'failed') return { kind: 'unknown' };
     if (live.kind === 'found') {
       const record = decodeRecord(live.entry.value);
@@ -35,7 +36,7 @@
 
   /** Reads the final state only: `absent` does not say that the job is not active. */
   async readFinal(id: JobId): Promise<JobLookup> {
-    const final = await this.access.state.get(finalKey(id), Rank.submit);
+    const final = await this.access.state.get(finalKey(id), RequestPriority.submit);
     if (final.kind === 'failed') return { kind: 'unknown' };
     if (final.kind === 'absent') return { kind: 'absent' };
     const state = decodeFinal(final.entry.value);
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -1,14 +1,16 @@
 /** Writes finished tasks into the job records, and ends a job with its last task. */
 import type { Log } from '../log.js';
-import type { Part, PartJob } from '../parts/model.js';
+import type { Shard, ShardJob } from '../shards/model.js';
 import { RangeSet } from '../ranges.js';
 import type { Settings } from '../settings/settings.js';
-import { Rank } from '../state/budget.js';
-import type { Change } from '../state/wire.js';
-import type { Clock, JobId, PartId, SteadyMs } from '../units.js';
+import { RequestPriority } from '../store/rate-limiter.js';
+import type { Change } from '../store/wire.js';
+import type { Clock, JobId, ShardId, SteadyMs } from '../units.js';
 import type { ActiveJobs, StateAccess } from './dependencies.js';
 import { endChanges } from './final-states.js';
-import { encodeRecord, isComplete, liveKey, recordBytes, withDone, type JobRecord } from './record.js';
+import { encodeRecord, liveKey } from './codec.js';
+import { recordBytes, withDone } from './stored-size.js';
+import { isComplete, type JobRecord } from './record.js';
 
 /** Progress of a job is written at most this often; its part's last task at once. */
 const PROGRESS_INTERVAL_MS = 1500;
@@ -25,8 +27,8 @@
   readonly log: Log;
   readonly settings: Pick<Settings, 'valueBytes'>;
   /** The pools that this controller owns. */
-  readonly parts: ReadonlyMap<PartId, Part>;
-  readonly live: ActiveJobs;
+  readonly parts: ReadonlyMap<ShardId, Shard>;
+  readonly activeJobs: ActiveJobs;
   /** Asks for a placement round soon. */
   readonly wake: () => void;
 }
@@ -64,10 +66,10 @@
 
   private collect(now: SteadyMs): Map<JobId, PendingWrite> {
     const out = new Map<JobId, PendingWrite>();
-    for (const part of this.context.parts.values()) {
-      for (const job of part.ended) {
-        const record = this.context.live.get(job.id);
-        if (job.finished.isEmpty || !record || part.jobs.get(job.id) !== job) part.ended.delete(job);
+    for (const shard of this.context.parts.values()) {
+      for (const job of shard.ended) {
+        const record = this.context.activeJobs.get(job.id);
+        if (job.finished.isEmpty || !record || shard.jobs.get(job.id) !== job) shard.ended.delete(job);
         if (job.finished.isEmpty || !record || this.writing.has(job.id)) continue;
         const finished = out.get(job.id)?.finished ?? RangeSet.empty();
         finished.addAll(job.finished);
@@ -82,13 +84,13 @@
   /** How far apart the writes of one job are, in milliseconds: all jobs share the budget meant for progress. */
   private interval(): number {
     let jobs = 0;
-    for (const part of this.context.parts.values()) jobs += part.ended.size;
+    for (const shard of this.context.parts.values()) jobs += shard.ended.size;
     return Math.max(PROGRESS_INTERVAL_MS, (jobs * 1000) / (PROGRESS_SHARE * this.context.state.writeRate));
   }
 
   /** Nothing of the job is left to do here: other parts may be waiting for this word to end it. */
-  private isLast(job: PartJob, finished: RangeSet, record: JobRecord): boolean {
-    if (!job.waiting.isEmpty || !job.frozen.isEmpty || !job.moving.isEmpty) return false;
+  private isLast(job: ShardJob, finished: RangeSet, record: JobRecord): boolean {
+    if (!job.waiting.isEmpty || !job.unaccounted.isEmpty || !job.moving.isEmpty) return false;
     const open = RangeSet.of(
       record.assignments.filter((a) => this.context.parts.has(a.part)).map((a) => [a.from, a.to] as const),
     );
@@ -112,7 +114,11 @@
       return;
     }
     const changes: Change[] = complete ? endChanges(pending.id, 'done') : [{ op: 'put', key, value }];
-    const result = await state.txn([{ key, version }], changes, pending.last ? Rank.final : Rank.progress);
+    const result = await state.compareAndSwap(
+      [{ key, version }],
+      changes,
+      pending.last ? RequestPriority.final : RequestPriority.progress,
+    );
     this.lastWrite.set(pending.id, clock.now());
     if (this.lastWrite.size > MAX_WRITE_TIMES) this.lastWrite.clear();
     if (result.kind !== 'done') return;
--- a/src/jobs/service.ts
+++ b/src/jobs/service.ts
@@ -15,9 +15,9 @@
 
 /** What the service uses of the controller. */
 export interface JobServiceContext extends SubmissionContext, Timers {
-  readonly live: ActiveJobs;
+  readonly activeJobs: ActiveJobs;
   /** Specs of jobs that ended lately. */
-  readonly past: Pick<ReadonlyMap<JobId, JobSpec>, 'get'>;
+  readonly recentlyEnded: Pick<ReadonlyMap<JobId, JobSpec>, 'get'>;
 }
 
 /** Answers users' requests about jobs. */
@@ -37,7 +37,7 @@
     refresh: () => Promise<boolean>,
     announceCancelled: (id: JobId, version: Revision) => void,
   ) {
-    const { live, settings, log } = context;
+    const { activeJobs: live, settings, log } = context;
     const reader = new JobReader(context, this.finalStates);
     this.lookups = new LookupBatcher(context, live, this.finalStates, reader, settings.txnOps, refresh);
     this.submission = new JobSubmission(context, live, this.finalStates, this.lookups, assign);
@@ -56,7 +56,7 @@
     if (lookup.kind === 'unknown') return UNAVAILABLE;
     if (lookup.kind === 'absent') return NOT_FOUND;
     if (lookup.kind === 'active') return statusAnswer(activeStatus(id, lookup.record, this.context));
-    const done = lookup.state === 'done' ? (this.context.past.get(id)?.tasks ?? 0) : 0;
+    const done = lookup.state === 'done' ? (this.context.recentlyEnded.get(id)?.tasks ?? 0) : 0;
     return statusAnswer({ id, state: lookup.state, done, running: 0 });
   }
 
--- a/src/jobs/spec.ts
+++ b/src/jobs/spec.ts
@@ -42,4 +42,6 @@
   readonly saveS: Seconds;
   /** When the job should be done, counted from its submission; null: no deadline. */
   readonly deadlineS: Seconds | null;
+  /** What a later version stored beside these fields: kept when the record is written again. */
+  readonly unknownFields?: Readonly<Record<string, unknown>>;
 }
--- a/src/jobs/status.ts
+++ b/src/jobs/status.ts
@@ -8,7 +8,7 @@
   /** By job: tasks that are done and not yet in the job's record. */
   readonly jobs: { get(id: JobId): { readonly finished: { readonly size: number } } | undefined };
   /** By job: its tasks that are allocated to machines. */
-  readonly boundOf: { get(id: JobId): Iterable<{ readonly phase: string }> | undefined };
+  readonly allocationsByJob: { get(id: JobId): Iterable<{ readonly phase: string }> | undefined };
 }
 
 /** What one peer announced last. */
@@ -29,7 +29,8 @@
   let done = record.done.size;
   for (const pool of sources.parts.values()) {
     done += pool.jobs.get(id)?.finished.size ?? 0;
-    for (const allocation of pool.boundOf.get(id) ?? []) if (allocation.phase === 'running') running += 1;
+    for (const allocation of pool.allocationsByJob.get(id) ?? [])
+      if (allocation.phase === 'running') running += 1;
   }
   for (const peer of sources.peers.values()) running += peer.running.get(id) ?? 0;
   running = Math.min(running, record.spec.tasks - done);
--- a/src/jobs/submission.ts
+++ b/src/jobs/submission.ts
@@ -4,7 +4,7 @@
 import type { Log } from '../log.js';
 import { RangeSet } from '../ranges.js';
 import type { Settings } from '../settings/settings.js';
-import { Rank } from '../state/budget.js';
+import { RequestPriority } from '../store/rate-limiter.js';
 import type { Clock, JobId, SharedMs, SteadyMs, TypeId } from '../units.js';
 import { NO_REVISION } from '../units.js';
 import { impossible } from './admission.js';
@@ -12,7 +12,9 @@
 import type { FinalStateCache } from './final-states.js';
 import type { LookupBatcher } from './lookup-batcher.js';
 import type { JobLookup } from './lookup.js';
-import { encodeRecord, finalKey, liveKey, recordBytes, type Assignment, type JobRecord } from './record.js';
+import { encodeRecord, finalKey, liveKey } from './codec.js';
+import { recordBytes } from './stored-size.js';
+import type { Assignment, JobRecord } from './record.js';
 import { accepted, created, rejected, UNAVAILABLE, unavailableFor } from './responses.js';
 import type { JobSpec } from './spec.js';
 import { activeStatus, type TaskSources } from './status.js';
@@ -94,9 +96,10 @@
     const value = encodeRecord(record);
     const conditions = [liveKey(spec.id), finalKey(spec.id)].map((key) => ({ key, version: NO_REVISION }));
     const change = { op: 'put', key: liveKey(spec.id), value } as const;
-    let result = await state.txn(conditions, [change], Rank.submit);
+    let result = await state.compareAndSwap(conditions, [change], RequestPriority.submit);
     // Outcome unknown: a second try either creates the job or shows that it stands.
-    if (result.kind === 'unknown') result = await state.txn(conditions, [change], Rank.submit);
+    if (result.kind === 'unknown')
+      result = await state.compareAndSwap(conditions, [change], RequestPriority.submit);
     if (result.kind === 'conflict') return this.existingJob(spec.id);
     if (result.kind !== 'done') return unavailableFor(state.submitWait);
     const revision = result.revision;
--- a/src/parts/ownership.ts
+++ b/src/leadership/leadership.ts
@@ -1,19 +1,22 @@
 /** Who owns which part: being alive, claiming, taking over, giving up, raising the token. */
 import type { Core } from '../core.js';
-import { Rank } from '../state/budget.js';
-import type { Incarnation, LeaseId, NodeId, PartId, Revision, SteadyMs, Token } from '../units.js';
-import { millis, partId, plus, steady } from '../units.js';
+import { RequestPriority } from '../store/rate-limiter.js';
+import type { Incarnation, LeaseId, NodeId, ShardId, Revision, SteadyMs, FencingToken } from '../units.js';
+import { millis, shardId, plus, steady } from '../units.js';
 import {
   decodeMachine,
   decodePart,
   decodeToken,
+  encodeAlive,
+  encodeShard,
+  encodeToken,
   aliveKey,
   MACHINES,
-  PARTS,
-  partKey,
+  SHARDS,
+  shardKey,
   TOKEN_KEY,
-} from './records.js';
-import { newMachine, Part, syncJob, type Machine } from './model.js';
+} from '../shards/records.js';
+import { newMachine, Shard, syncJob, type Machine } from '../shards/model.js';
 
 /** What a decision on one part looks at. */
 export interface ClaimFacts {
@@ -47,7 +50,7 @@
 const HOME_FIRST = 600;
 
 /** The paper's replacement manager: a part whose owner is gone is claimed, and its home gets it back. */
-export function decideClaim(f: ClaimFacts): ClaimDecision {
+export function decideFailover(f: ClaimFacts): ClaimDecision {
   if (f.owner === f.me && f.ownerIncarnation === f.incarnation) return 'wait';
   if (f.steadySince === null) return 'wait';
   if (f.home === f.me) {
@@ -73,23 +76,23 @@
   delay: number;
 }
 
-export class Ownership {
+export class ShardLeadership {
   private lease: LeaseId | null = null;
   private leaseOk: SteadyMs | null = null;
   /** Our alive key stands until then for certain. */
   private aliveUntil = steady(-1e12);
   private aliveWritten = false;
-  private readonly watchful = new Map<PartId, Watchful>();
-  private readonly released = new Set<PartId>();
-  private readonly busy = new Set<PartId>();
+  private readonly watchful = new Map<ShardId, Watchful>();
+  private readonly released = new Set<ShardId>();
+  private readonly busy = new Set<ShardId>();
   private ownedBefore = false;
   private workersAnswerAt = steady(-1e12);
   /** Recent visits of machines whose owner is another controller, by part. */
-  readonly strays = new Map<PartId, Map<string, SteadyMs>>();
+  readonly redirectedHeartbeats = new Map<ShardId, Map<string, SteadyMs>>();
 
   constructor(
     private readonly core: Core,
-    private readonly probe: (p: PartId) => Promise<boolean>,
+    private readonly probe: (p: ShardId) => Promise<boolean>,
   ) {}
 
   async runAlive(): Promise<never> {
@@ -124,10 +127,10 @@
     const change = {
       op: 'put',
       key: aliveKey(settings.node),
-      value: { incarnation },
+      value: encodeAlive(incarnation),
       lease: this.lease,
     } as const;
-    const result = await state.txn([], [change], Rank.ownership);
+    const result = await state.compareAndSwap([], [change], RequestPriority.ownership);
     this.aliveWritten = result.kind === 'done';
     if (result.kind === 'refused') this.lease = null;
     return this.aliveWritten;
@@ -137,21 +140,21 @@
   tick(): void {
     const now = this.core.clock.now();
     if (!this.core.view.loaded) return;
-    for (const { part, node } of this.core.settings.parts) {
-      if (this.busy.has(part)) continue;
-      const facts = this.facts(part, node, now);
-      const decision = decideClaim(facts);
+    for (const { part: shard, node } of this.core.settings.parts) {
+      if (this.busy.has(shard)) continue;
+      const facts = this.facts(shard, node, now);
+      const decision = decideFailover(facts);
       if (decision === 'wait') continue;
-      this.busy.add(part);
-      const work = decision === 'claim' ? this.claim(part) : this.askWorkers(part);
-      void work.finally(() => this.busy.delete(part));
+      this.busy.add(shard);
+      const work = decision === 'claim' ? this.claim(shard) : this.askWorkers(shard);
+      void work.finally(() => this.busy.delete(shard));
     }
     this.releaseUnreachable(now);
   }
 
-  private facts(part: PartId, home: NodeId, now: SteadyMs): ClaimFacts {
+  private facts(shard: ShardId, home: NodeId, now: SteadyMs): ClaimFacts {
     const { core } = this;
-    const entry = core.view.get(partKey(part));
+    const entry = core.view.get(shardKey(shard));
     const record = entry ? decodePart(entry.value) : null;
     const owner = entry ? (record?.owner ?? null) : undefined;
     const ownerIncarnation = record?.incarnation ?? null;
@@ -171,81 +174,81 @@
       // After a cut the view is current a moment before we know that our key is gone: what we claimed then would be
       // taken from us at once, as from one who is dead.
       steadySince: current && now < this.aliveUntil ? this.leaseOk : null,
-      strays: this.strayCount(part, now),
-      releasedByMe: this.released.has(part),
+      strays: this.strayCount(shard, now),
+      releasedByMe: this.released.has(shard),
       workersAnswer: now - this.workersAnswerAt < 2000,
-      lasted: this.lasted(part, `${owner}/${ownerIncarnation}/${ownerAlive}/${homeAlive}`, now, home),
+      lasted: this.lasted(shard, `${owner}/${ownerIncarnation}/${ownerAlive}/${homeAlive}`, now, home),
     };
   }
 
   /** Time in the same situation, less a delay that differs between controllers: nearest zone first. */
-  private lasted(part: PartId, situation: string, now: SteadyMs, home: NodeId): number {
-    let w = this.watchful.get(part);
+  private lasted(shard: ShardId, situation: string, now: SteadyMs, home: NodeId): number {
+    let w = this.watchful.get(shard);
     if (!w || w.situation !== situation) {
       const near = this.core.settings.parts.find((p) => p.node === home)?.zone === this.core.settings.zone;
       w = { situation, since: now, delay: (near ? 0 : 250) + this.core.random(150) };
-      this.watchful.set(part, w);
+      this.watchful.set(shard, w);
     }
     return now - w.since - w.delay;
   }
 
-  private strayCount(part: PartId, now: SteadyMs): number {
-    const visits = this.strays.get(part);
+  private strayCount(shard: ShardId, now: SteadyMs): number {
+    const visits = this.redirectedHeartbeats.get(shard);
     if (!visits) return 0;
     for (const [m, at] of visits) if (now - at > 6000) visits.delete(m);
     return visits.size;
   }
 
-  strayCounts(): Map<PartId, number> {
+  strayCounts(): Map<ShardId, number> {
     const now = this.core.clock.now();
-    const out = new Map<PartId, number>();
-    for (const part of this.strays.keys()) {
-      const n = this.strayCount(part, now);
-      if (n > 0) out.set(part, n);
+    const out = new Map<ShardId, number>();
+    for (const shard of this.redirectedHeartbeats.keys()) {
+      const n = this.strayCount(shard, now);
+      if (n > 0) out.set(shard, n);
     }
     return out;
   }
 
-  noteStray(part: PartId, machine: string): void {
-    const visits = this.strays.get(part) ?? new Map<string, SteadyMs>();
+  noteStray(shard: ShardId, machine: string): void {
+    const visits = this.redirectedHeartbeats.get(shard) ?? new Map<string, SteadyMs>();
     visits.set(machine, this.core.clock.now());
-    this.strays.set(part, visits);
+    this.redirectedHeartbeats.set(shard, visits);
   }
 
-  private async claim(part: PartId): Promise<void> {
+  private async claim(shard: ShardId): Promise<void> {
     const { core } = this;
-    const w = this.watchful.get(part);
-    if (w && core.settings.part !== part && core.clock.now() - w.since < w.delay) return;
-    const token = (decodeToken(core.view.get(TOKEN_KEY)?.value) + 1) as Token;
-    const value = { owner: core.settings.node, incarnation: core.incarnation, token };
+    const w = this.watchful.get(shard);
+    if (w && core.settings.part !== shard && core.clock.now() - w.since < w.delay) return;
+    const token = (decodeToken(core.view.get(TOKEN_KEY)?.value) + 1) as FencingToken;
+    const value = encodeShard({ owner: core.settings.node, incarnation: core.incarnation, token });
     const result = await core.settle(
       [
         { key: TOKEN_KEY, version: core.view.version(TOKEN_KEY) },
-        { key: partKey(part), version: core.view.version(partKey(part)) },
+        { key: shardKey(shard), version: core.view.version(shardKey(shard)) },
       ],
       [
-        { op: 'put', key: TOKEN_KEY, value: { token } },
-        { op: 'put', key: partKey(part), value },
+        { op: 'put', key: TOKEN_KEY, value: encodeToken(token) },
+        { op: 'put', key: shardKey(shard), value },
       ],
-      Rank.ownership,
+      RequestPriority.ownership,
     );
-    core.log.info({ part, token, result: result.kind }, 'claim');
+    core.log.info({ part: shard, token, result: result.kind }, 'claim');
     if (result.kind !== 'done') await core.sleep(millis(100 + core.random(150)));
   }
 
   /** A higher token for a part we own: makes every unresolved direct order of ours void. */
-  async raise(part: Part): Promise<void> {
-    if (this.busy.has(part.id)) return;
-    this.busy.add(part.id);
+  async raise(shard: Shard): Promise<void> {
+    if (this.busy.has(shard.id)) return;
+    this.busy.add(shard.id);
     try {
-      await this.claim(part.id);
+      await this.claim(shard.id);
     } finally {
-      this.busy.delete(part.id);
+      this.busy.delete(shard.id);
     }
   }
 
-  private async askWorkers(part: PartId): Promise<void> {
-    if (await this.probe(part)) this.workersAnswerAt = this.core.clock.now();
+  private async askWorkers(shard: ShardId): Promise<void> {
+    if (await this.probe(shard)) this.workersAnswerAt = this.core.clock.now();
     else await this.core.sleep(millis(2000));
   }
 
@@ -253,47 +256,47 @@
   private releaseUnreachable(now: SteadyMs): void {
     // Without a current view we cannot release anything, and may not own anything any more.
     if (now - this.core.view.confirmed > this.core.tuning.followBlock + 1500) return;
-    for (const part of this.core.parts.values()) {
-      if (this.busy.has(part.id) || now - part.claimedAt < 8000) continue;
+    for (const shard of this.core.parts.values()) {
+      if (this.busy.has(shard.id) || now - shard.claimedAt < 8000) continue;
       const limit = Math.max(3.2 * this.core.reportMs, 4500);
-      const machines = [...part.machines.values()].filter((m) => !m.returning && now - m.since > limit);
+      const machines = [...shard.machines.values()].filter((m) => !m.returning && now - m.since > limit);
       // What we refuse because it does not hear us does reach us: a new owner would have to wait for it all over again.
       const heardAt = (m: Machine): number =>
         Math.max(m.lastReport ?? -Infinity, m.refusedUnreachable ?? -Infinity);
       const silent = machines.filter((m) => now - heardAt(m) > limit);
       if (machines.length < 2 || silent.length * 3 < machines.length * 2) continue;
-      if (!this.othersDoBetter(part.id)) continue;
-      this.busy.add(part.id);
-      void this.release(part, silent.length, machines.length).finally(() => this.busy.delete(part.id));
+      if (!this.othersDoBetter(shard.id)) continue;
+      this.busy.add(shard.id);
+      void this.release(shard, silent.length, machines.length).finally(() => this.busy.delete(shard.id));
     }
   }
 
   /** Peers hear the part's machines, or we hear no peer: it is we who are cut off. */
-  private othersDoBetter(part: PartId): boolean {
+  private othersDoBetter(shard: ShardId): boolean {
     const { settings, peers } = this.core;
     if (settings.peers.length === 0) return false;
     const heard = settings.peers.filter((p) => this.core.heard(p.node, millis(3000)));
     if (heard.length === 0) return true;
-    return heard.some((p) => (peers.get(p.node)?.strays.get(part) ?? 0) > 0);
+    return heard.some((p) => (peers.get(p.node)?.strays.get(shard) ?? 0) > 0);
   }
 
-  private async release(part: Part, silent: number, machines: number): Promise<void> {
+  private async release(shard: Shard, silent: number, machines: number): Promise<void> {
     const { core } = this;
-    core.log.info({ part: part.id, silent, machines }, 'releasing a part whose workers do not reach us');
-    this.released.add(part.id);
-    const value = { owner: null, incarnation: null, token: part.token };
+    core.log.info({ part: shard.id, silent, machines }, 'releasing a part whose workers do not reach us');
+    this.released.add(shard.id);
+    const value = encodeShard({ owner: null, incarnation: null, token: shard.token });
     const result = await core.settle(
-      [core.ownerCondition(part)],
-      [{ op: 'put', key: partKey(part.id), value }],
-      Rank.ownership,
+      [core.ownerCondition(shard)],
+      [{ op: 'put', key: shardKey(shard.id), value }],
+      RequestPriority.ownership,
     );
-    if (result.kind !== 'done') this.released.delete(part.id);
+    if (result.kind !== 'done') this.released.delete(shard.id);
   }
 
   /** The view shows a change of a part: owned means the store says that it is ours. */
   onPart(key: string, value: unknown, version: Revision): void {
     const { core } = this;
-    const id = partId(Number(key.slice(PARTS.length)));
+    const id = shardId(Number(key.slice(SHARDS.length)));
     const record = value === undefined ? null : decodePart(value);
     const mine = record !== null && record.incarnation === core.incarnation;
     const known = core.parts.get(id);
@@ -314,23 +317,23 @@
     this.open(id, record.token, version);
   }
 
-  private open(id: PartId, token: Token, version: Revision): void {
+  private open(id: ShardId, token: FencingToken, version: Revision): void {
     const { core } = this;
     const now = core.clock.now();
-    const part = new Part(id, token, version, now, core.types);
+    const shard = new Shard(id, token, version, now, core.types);
     for (const entry of core.view.under(MACHINES)) {
       const m = decodeMachine(entry.value);
       if (!m || m.part !== id) continue;
       const name = entry.key.slice(MACHINES.length) as never;
       const machine = newMachine(name, m.address, m.type, m.zone, m.spot, now, false);
-      part.add(machine);
-      for (const [image, gb] of core.imageHints.get(machine.id) ?? []) part.sawImage(machine, image, gb);
+      shard.add(machine);
+      for (const [image, gb] of core.imageHints.get(machine.id) ?? []) shard.sawImage(machine, image, gb);
     }
-    core.parts.set(id, part);
-    for (const record of core.live.values()) {
+    core.parts.set(id, shard);
+    for (const record of core.activeJobs.values()) {
       const age = core.time.age(record.accepted, now);
-      syncJob(part, record, core.view.version(`c/live/${record.spec.id}` as never), now, true, age);
+      syncJob(shard, record, core.view.version(`c/live/${record.spec.id}` as never), now, true, age);
     }
-    core.log.info({ part: id, token, machines: part.machines.size, jobs: part.jobs.size }, 'part owned');
+    core.log.info({ part: id, token, machines: shard.machines.size, jobs: shard.jobs.size }, 'part owned');
   }
 }
--- /dev/null
+++ b/src/overflow/announcement.ts
@@ -0,0 +1,184 @@
+/** Composes what a controller announces to its peers, and takes in what they announce. */
+import type { Core } from '../core.js';
+import { liveKey } from '../jobs/codec.js';
+import { add, addTo, ZERO, type MutableResources, type Resources } from '../model/resources.js';
+import { decodePeerMessage } from '../peers/codec.js';
+import type {
+  CachedImages,
+  CancellationNotice,
+  CapacityAnnouncement,
+  FreeMachines,
+  MachineRequest,
+  QuotaTransferRequest,
+  ShardCapacity,
+} from '../peers/messages.js';
+import { usable } from '../placement/round.js';
+import { roomOn, waitingByZone, type Machine, type Shard } from '../shards/model.js';
+import type { ImageId, JobId, MachineId, ShardId, SteadyMs, TeamId, ZoneId } from '../units.js';
+import { plus } from '../units.js';
+import { reserve, type FreeCapacity } from './peer-ranking.js';
+
+/** Machines whose images one announcement tells. */
+const HINTS = 12;
+
+const shapeOf = (m: Machine, r: Resources): string =>
+  `${m.type}/${m.zone}/${m.spot}/${r.cpus.toFixed(2)}/${r.gpus.toFixed(2)}/${r.memoryGb.toFixed(2)}`;
+
+/** What one of our parts has free right now, less what its own queue is about to take. */
+export function freeCapacityOf(core: Core, shard: Shard): FreeCapacity {
+  const now = core.clock.now();
+  const ctx = { now, reportMs: core.reportMs };
+  const shapes = new Map<string, FreeMachines>();
+  for (const m of shard.totals.notFull()) {
+    if (!usable(m, ctx)) continue;
+    const room = roomOn(m, core.types.get(m.type));
+    const key = shapeOf(m, room);
+    const known = shapes.get(key);
+    if (known) known.count += 1;
+    else shapes.set(key, { type: m.type, zone: m.zone, spot: m.spot, ...room, count: 1 });
+  }
+  const offer: FreeCapacity = {
+    part: shard.id,
+    zone: zoneOfPart(core, shard.id),
+    expires: plus(now, core.tuning.announceExpiry),
+    machines: [...shapes.values()],
+  };
+  // What waits for its team's limit takes no room: others may have it meanwhile.
+  // Neither does a job in its back-off, nor a task in a zone other than its own.
+  for (const job of shard.queue) {
+    if (shard.teamsBlockedByQuota.has(job.spec.team) || now < job.notBefore) continue;
+    for (const [zone, count] of waitingByZone(job)) reserve(offer, job.spec, zone, count);
+  }
+  return offer;
+}
+
+/** What critical work could have at once on machines with the image, lesser work making room. */
+export function readyImages(core: Core, shard: Shard): Map<ImageId, Resources> {
+  const out = new Map<ImageId, Resources>();
+  const ctx = { now: core.clock.now(), reportMs: core.reportMs };
+  for (const [image, holders] of shard.totals.images()) {
+    const ready: MutableResources = { ...ZERO };
+    for (const m of holders) {
+      if (!m.spot && usable(m, ctx)) addTo(ready, add(roomOn(m, core.types.get(m.type)), m.preemptible));
+    }
+    if (ready.cpus > 0) out.set(image, ready);
+  }
+  return out;
+}
+
+/** Our own parts as peers will see them, and as new jobs are placed by. */
+export function refreshFreeCapacity(core: Core): void {
+  for (const shard of core.parts.values()) {
+    core.freeCapacity.set(shard.id, freeCapacityOf(core, shard));
+    core.ready.set(shard.id, readyImages(core, shard));
+  }
+}
+
+/** Which machine holds what, for whoever takes the part over: what is new, and the rest by turns. */
+function imageHints(shard: Shard): Map<MachineId, CachedImages> {
+  const machines = [...shard.imageTurns(HINTS)];
+  return new Map(machines.map((machine) => [machine.id, [...machine.images]]));
+}
+
+export const zoneOfPart = (core: Core, shard: ShardId): ZoneId =>
+  core.settings.parts.find((p) => p.part === shard)?.zone ?? core.settings.zone;
+
+function freeMachinesOf(core: Core, shard: Shard): FreeMachines[] {
+  return (core.freeCapacity.get(shard.id) ?? freeCapacityOf(core, shard)).machines.filter((m) => m.count > 0);
+}
+
+/** Running tasks by job, in all shards that this controller leads. */
+function countRunningTasks(core: Core): Map<JobId, number> {
+  const running = new Map<JobId, number>();
+  for (const shard of core.parts.values()) {
+    for (const [job, allocations] of shard.allocationsByJob) {
+      let count = running.get(job) ?? 0;
+      for (const allocation of allocations) if (allocation.phase === 'running') count += 1;
+      if (count > 0) running.set(job, count);
+    }
+  }
+  return running;
+}
+
+/** What this controller announces now. */
+export function composeAnnouncement(
+  core: Core,
+  unusedQuotaOf: (shard: Shard) => Map<TeamId, Resources>,
+  redirectedHeartbeats: ReadonlyMap<ShardId, number>,
+): CapacityAnnouncement {
+  return {
+    kind: 'capacityAnnouncement',
+    node: core.settings.node,
+    incarnation: core.incarnation,
+    storeHealthy: core.stateHealthy(),
+    rateUsage: core.state.use,
+    runningTasks: countRunningTasks(core),
+    redirectedHeartbeats,
+    rentedMachines: core.rentedHere,
+    shards: [...core.parts.values()].map((shard) => shardCapacityOf(core, shard, unusedQuotaOf(shard))),
+  };
+}
+
+function shardCapacityOf(
+  core: Core,
+  shard: Shard,
+  unusedQuota: ReadonlyMap<TeamId, Resources>,
+): ShardCapacity {
+  return {
+    shard: shard.id,
+    freeMachines: freeMachinesOf(core, shard),
+    used: shard.totals.teams,
+    unusedQuota,
+    criticalCapacity: core.ready.get(shard.id) ?? new Map<ImageId, Resources>(),
+    cachedImages: imageHints(shard),
+  };
+}
+
+function learnAnnouncement(core: Core, announcement: CapacityAnnouncement): void {
+  const now = core.clock.now();
+  core.peers.set(announcement.node, {
+    heard: now,
+    incarnation: announcement.incarnation,
+    stateOk: announcement.storeHealthy,
+    use: announcement.rateUsage,
+    running: announcement.runningTasks,
+    strays: announcement.redirectedHeartbeats,
+  });
+  for (const [machine, shard] of announcement.rentedMachines) core.rentedFor.set(machine, shard);
+  const expires = plus(now, core.tuning.announceExpiry);
+  // Both of us may believe that we lead a shard for a moment: our own knowledge is the better one.
+  for (const capacity of announcement.shards)
+    if (!core.parts.has(capacity.shard)) learnShardCapacity(core, capacity, expires);
+}
+
+function learnShardCapacity(core: Core, capacity: ShardCapacity, expires: SteadyMs): void {
+  const { shard, used, unusedQuota } = capacity;
+  for (const [machine, images] of capacity.cachedImages) core.imageHints.set(machine, images);
+  core.ready.set(shard, capacity.criticalCapacity);
+  core.shardAnnouncements.set(shard, { expires, used, spare: unusedQuota });
+  const machines = [...capacity.freeMachines];
+  core.freeCapacity.set(shard, { part: shard, zone: zoneOfPart(core, shard), expires, machines });
+}
+
+/**
+ * Takes in a committed cancellation without waiting for the watch: the peer may be served by the state service while we
+ * are not. It is learned like the answer to a write of our own; a late copy is older than the view and changes nothing.
+ */
+function learnCancellation(core: Core, { job, version }: CancellationNotice): void {
+  void core.exclusive(() => core.view.learn(liveKey(job), undefined, version));
+}
+
+/** A peer's message; a request for quota, or for machines, is returned to the caller. */
+export function receive(core: Core, sent: unknown): QuotaTransferRequest | MachineRequest | null {
+  const message = decodePeerMessage(sent);
+  switch (message?.kind) {
+    case 'capacityAnnouncement':
+      learnAnnouncement(core, message);
+      return null;
+    case 'cancellationNotice':
+      learnCancellation(core, message);
+      return null;
+    default:
+      return message;
+  }
+}
--- a/src/flock/assign.ts
+++ b/src/overflow/assignment.ts
@@ -3,22 +3,22 @@
 import type { Assignment } from '../jobs/record.js';
 import { Priority, type JobSpec } from '../jobs/spec.js';
 import { covers, scale, times, TOLERANCE, ZERO, type Resources } from '../model/resources.js';
-import type { ImageId, PartId, SteadyMs, ZoneId } from '../units.js';
+import type { ImageId, ShardId, SteadyMs, ZoneId } from '../units.js';
 import { allowed } from '../model/constraints.js';
 import { fits } from '../model/resources.js';
-import { capacityFor, reserve, willingList, type Offer, type Random } from './willing.js';
+import { capacityFor, reserve, rankPeers, type FreeCapacity, type Random } from './peer-ranking.js';
 
 export interface AssignContext {
   readonly now: SteadyMs;
-  readonly home: PartId;
+  readonly home: ShardId;
   readonly homeZone: ZoneId;
-  readonly parts: readonly { part: PartId; zone: ZoneId }[];
+  readonly parts: readonly { part: ShardId; zone: ZoneId }[];
   readonly zones: readonly ZoneId[];
   readonly types: readonly MachineType[];
   /** Announced room of every part, our own included. */
-  readonly offers: ReadonlyMap<PartId, Offer>;
+  readonly freeCapacity: ReadonlyMap<ShardId, FreeCapacity>;
   /** By part and image: what critical work could have at once where the image is. */
-  readonly ready: ReadonlyMap<PartId, ReadonlyMap<ImageId, Resources>>;
+  readonly ready: ReadonlyMap<ShardId, ReadonlyMap<ImageId, Resources>>;
   readonly random: Random;
 }
 
@@ -27,18 +27,18 @@
 
 function capacityInZone(ctx: AssignContext, spec: JobSpec, zone: ZoneId): number {
   let n = 0;
-  for (const o of ctx.offers.values()) if (o.expires > ctx.now) n += capacityFor(o, spec, zone);
+  for (const o of ctx.freeCapacity.values()) if (o.expires > ctx.now) n += capacityFor(o, spec, zone);
   return n;
 }
 
-const readyFor = (ctx: AssignContext, spec: JobSpec, part: PartId): Resources =>
-  ctx.ready.get(part)?.get(spec.image) ?? ZERO;
+const readyFor = (ctx: AssignContext, spec: JobSpec, shard: ShardId): Resources =>
+  ctx.ready.get(shard)?.get(spec.image) ?? ZERO;
 
 /**
  * Critical work should start at once: where its image is, home if it is there, else nearest zone first, then most
  * room. null: nowhere, or not critical.
  */
-function readyPart(ctx: AssignContext, spec: JobSpec, zone: ZoneId | null, count: number): PartId | null {
+function readyPart(ctx: AssignContext, spec: JobSpec, zone: ZoneId | null, count: number): ShardId | null {
   if (spec.priority !== Priority.critical) return null;
   const all = scale(spec, count);
   const able = ctx.parts.filter(
@@ -46,7 +46,7 @@
   );
   if (able.some((p) => p.part === ctx.home)) return ctx.home;
   const far = (z: ZoneId): number => (z === ctx.homeZone ? 0 : 1);
-  const ready = (p: PartId): number => times(readyFor(ctx, spec, p), spec);
+  const ready = (p: ShardId): number => times(readyFor(ctx, spec, p), spec);
   able.sort((a, b) => far(a.zone) - far(b.zone) || ready(b.part) - ready(a.part));
   return able[0]?.part ?? null;
 }
@@ -56,38 +56,38 @@
   const one = readyPart(ctx, spec, null, spec.tasks);
   if (one !== null) return [{ from: 0, to: spec.tasks, part: one, zone: null }];
   if (spec.priority !== Priority.critical) return [];
-  const slots = (p: PartId): number =>
+  const slots = (p: ShardId): number =>
     Math.floor(Math.min(Number.MAX_SAFE_INTEGER, times(readyFor(ctx, spec, p), spec)) + TOLERANCE);
-  const far = (p: { part: PartId; zone: ZoneId }): number =>
+  const far = (p: { part: ShardId; zone: ZoneId }): number =>
     p.part === ctx.home ? 0 : p.zone === ctx.homeZone ? 1 : 2;
   const order = [...ctx.parts].sort((a, b) => far(a) - far(b) || slots(b.part) - slots(a.part));
   const out: Assignment[] = [];
   let at = 0;
-  for (const { part } of order) {
-    const to = Math.min(spec.tasks, at + slots(part));
-    if (to > at) out.push({ from: at, to, part, zone: null });
+  for (const { part: shard } of order) {
+    const to = Math.min(spec.tasks, at + slots(shard));
+    if (to > at) out.push({ from: at, to, part: shard, zone: null });
     at = to;
   }
   return out;
 }
 
 /** The part that should place tasks in a zone: ours if it is there, else the one with most room there. */
-function partFor(ctx: AssignContext, spec: JobSpec, zone: ZoneId, count: number): PartId {
+function partFor(ctx: AssignContext, spec: JobSpec, zone: ZoneId, count: number): ShardId {
   const ready = readyPart(ctx, spec, zone, count);
   if (ready !== null) return ready;
-  const own = ctx.offers.get(ctx.home);
+  const own = ctx.freeCapacity.get(ctx.home);
   if (ctx.homeZone === zone && own && capacityFor(own, spec, zone) >= count) return ctx.home;
-  const best = willingList(ctx.offers.values(), zone, spec, zone, ctx.now, ctx.random)[0];
+  const best = rankPeers(ctx.freeCapacity.values(), zone, spec, zone, ctx.now, ctx.random)[0];
   if (best) return best.offer.part;
   if (ctx.homeZone === zone) return ctx.home;
   return ctx.parts.find((p) => p.zone === zone)?.part ?? ctx.home;
 }
 
 function pinned(ctx: AssignContext, spec: JobSpec, from: number, to: number, zone: ZoneId): Assignment {
-  const part = partFor(ctx, spec, zone, to - from);
-  const offer = ctx.offers.get(part);
+  const shard = partFor(ctx, spec, zone, to - from);
+  const offer = ctx.freeCapacity.get(shard);
   if (offer) reserve(offer, spec, zone, to - from);
-  return { from, to, part, zone };
+  return { from, to, part: shard, zone };
 }
 
 const byRoom = (ctx: AssignContext, spec: JobSpec, zones: readonly ZoneId[]): ZoneId[] =>
@@ -113,13 +113,13 @@
 function overflow(ctx: AssignContext, spec: JobSpec): Assignment[] {
   const out = whereReady(ctx, spec);
   let at = out.at(-1)?.to ?? 0;
-  const own = ctx.offers.get(ctx.home);
+  const own = ctx.freeCapacity.get(ctx.home);
   const here = own ? Math.min(spec.tasks - at, capacityFor(own, spec, null)) : spec.tasks - at;
   if (own) reserve(own, spec, null, here);
   if (here > 0) out.push({ from: at, to: at + here, part: ctx.home, zone: null });
   at += here;
-  const others = [...ctx.offers.values()].filter((o) => o.part !== ctx.home);
-  for (const { offer, capacity } of willingList(others, ctx.homeZone, spec, null, ctx.now, ctx.random)) {
+  const others = [...ctx.freeCapacity.values()].filter((o) => o.part !== ctx.home);
+  for (const { offer, capacity } of rankPeers(others, ctx.homeZone, spec, null, ctx.now, ctx.random)) {
     if (at >= spec.tasks) break;
     const to = Math.min(spec.tasks, at + capacity);
     reserve(offer, spec, null, to - at);
@@ -132,8 +132,8 @@
 
 /** A gang stays in one part: home if it has room for all, else the nearest that announced room for all. */
 function whole(ctx: AssignContext, spec: JobSpec): Assignment {
-  const own = ctx.offers.get(ctx.home);
-  const list = willingList(ctx.offers.values(), ctx.homeZone, spec, spec.zone, ctx.now, ctx.random);
+  const own = ctx.freeCapacity.get(ctx.home);
+  const list = rankPeers(ctx.freeCapacity.values(), ctx.homeZone, spec, spec.zone, ctx.now, ctx.random);
   const fitting = list.find((o) => o.capacity >= spec.tasks);
   const home = !own || capacityFor(own, spec, spec.zone) >= spec.tasks || !fitting;
   return { from: 0, to: spec.tasks, part: home ? ctx.home : fitting.offer.part, zone: spec.zone };
--- a/src/flock/overflow.ts
+++ b/src/overflow/hand-over.ts
@@ -1,24 +1,25 @@
 /** Hands waiting tasks to a peer's part that announced room: one conditional write naming the lender. */
 import type { Core } from '../core.js';
-import { encodeRecord, liveKey, reassign } from '../jobs/record.js';
+import { encodeRecord, liveKey } from '../jobs/codec.js';
+import { reassign } from '../jobs/record.js';
 import { Priority, type JobSpec } from '../jobs/spec.js';
-import { pinOf, type Part, type PartJob } from '../parts/model.js';
+import { requiredZone, type Shard, type ShardJob } from '../shards/model.js';
 import type { Unplaced } from '../placement/round.js';
 import { RangeSet } from '../ranges.js';
-import { Rank } from '../state/budget.js';
+import { RequestPriority } from '../store/rate-limiter.js';
 import type { SteadyMs, ZoneId } from '../units.js';
-import { zoneOfPart } from './news.js';
-import { chooseRepin } from './repin.js';
-import { reserve, willingList, type Offer } from './willing.js';
+import { zoneOfPart } from './announcement.js';
+import { chooseZoneReassignment } from './zone-reassignment.js';
+import { reserve, rankPeers, type FreeCapacity } from './peer-ranking.js';
 
 /** Tasks rest this long with a part before they are handed on: a stale offer must not make them wander. */
 const REST = 800;
 const REST_CRITICAL = 2000;
 
 export interface HandOver {
-  readonly job: PartJob;
+  readonly job: ShardJob;
   readonly tasks: RangeSet;
-  readonly to: Part['id'];
+  readonly to: Shard['id'];
   /** The job's record with the tasks entrusted to the lender. */
   readonly value: unknown;
 }
@@ -30,22 +31,22 @@
 /** Pure choice: what to hand to whom. Takes the promised room off the offer. */
 export function chooseHandOver(
   core: Core,
-  part: Part,
+  shard: Shard,
   unplaced: readonly Unplaced[],
   now: SteadyMs,
 ): HandOver | null {
-  const others = [...core.offers.values()].filter((o) => o.part !== part.id);
+  const others = [...core.freeCapacity.values()].filter((o) => o.part !== shard.id);
   // Jobs that ask for the same find the same: nothing.
   const refused = new Set<string>();
   for (const u of unplaced) {
     const { job } = u;
     if (u.reason !== 'room' || !job.moving.isEmpty) continue;
     const rest = job.spec.priority === Priority.critical ? REST_CRITICAL : REST;
-    const rested = job.record.home === part.id ? 0 : rest;
+    const rested = job.record.home === shard.id ? 0 : rest;
     if (now - job.arrivedAt < rested || now - job.arrivedAt < 30) continue;
-    const pins = u.indices === 'all' ? [null] : new Set(u.indices.map((i) => pinOf(job, i)));
+    const pins = u.indices === 'all' ? [null] : new Set(u.indices.map((i) => requiredZone(job, i)));
     for (const pin of pins) {
-      const choice = chooseFor(core, part, u, pin, others, refused, now);
+      const choice = chooseFor(core, shard, u, pin, others, refused, now);
       if (choice) return choice;
     }
   }
@@ -55,26 +56,26 @@
 /** What to do with the tasks of one job that wait for one zone: a lender that has room there, or another zone. */
 function chooseFor(
   core: Core,
-  part: Part,
+  shard: Shard,
   { job, indices }: Unplaced,
   pin: ZoneId | null,
-  others: readonly Offer[],
+  others: readonly FreeCapacity[],
   refused: Set<string>,
   now: SteadyMs,
 ): HandOver | null {
   const shape = shapeOf(job.spec, pin);
   const willing = refused.has(shape)
     ? []
-    : willingList(others, zoneOfPart(core, part.id), job.spec, pin, now, core.random);
+    : rankPeers(others, zoneOfPart(core, shard.id), job.spec, pin, now, core.random);
   if (willing.length === 0) {
     refused.add(shape);
-    return pin === null ? null : moveZone(core, part, job, pin, now);
+    return pin === null ? null : moveZone(core, shard, job, pin, now);
   }
   const gang = job.spec.shape === 'gang';
   const same =
     gang || indices === 'all'
-      ? [...job.waiting].filter((i) => pinOf(job, i) === pin)
-      : indices.filter((i) => pinOf(job, i) === pin);
+      ? [...job.waiting].filter((i) => requiredZone(job, i) === pin)
+      : indices.filter((i) => requiredZone(job, i) === pin);
   const found = gang ? willing.find((o) => o.capacity >= job.spec.tasks) : willing[0];
   // A gang goes whole: none of its tasks may be on a machine here.
   if (!found || (gang && same.length < job.spec.tasks)) return null;
@@ -88,13 +89,13 @@
 }
 
 /** The tasks have waited for room in their zone, and no part has any there. */
-function moveZone(core: Core, part: Part, job: PartJob, fromZone: ZoneId, now: SteadyMs): HandOver | null {
-  const move = chooseRepin(part.id, job, fromZone, {
+function moveZone(core: Core, shard: Shard, job: ShardJob, fromZone: ZoneId, now: SteadyMs): HandOver | null {
+  const move = chooseZoneReassignment(shard.id, job, fromZone, {
     now,
-    homeZone: zoneOfPart(core, part.id),
+    homeZone: zoneOfPart(core, shard.id),
     zones: core.settings.zones,
     types: [...core.types.values()],
-    offers: core.offers,
+    freeCapacity: core.freeCapacity,
     random: core.random,
   });
   if (!move) return null;
@@ -105,49 +106,58 @@
 }
 
 /** The job's record with these tasks entrusted to that part in that zone; null: it has no room for another range. */
-function recordWith(core: Core, job: PartJob, tasks: RangeSet, to: Part['id'], zone: ZoneId | null): unknown {
+function recordWith(
+  core: Core,
+  job: ShardJob,
+  tasks: RangeSet,
+  to: Shard['id'],
+  zone: ZoneId | null,
+): unknown {
   const value = encodeRecord(reassign(job.record, tasks, to, () => zone));
   // Such a job stays here, and must not keep others from going.
   return Buffer.byteLength(JSON.stringify(value)) > core.settings.valueBytes ? null : value;
 }
 
 export class Overflow {
-  private readonly busy = new Set<Part['id']>();
+  private readonly busy = new Set<Shard['id']>();
 
   constructor(private readonly core: Core) {}
 
-  consider(part: Part, unplaced: readonly Unplaced[]): void {
-    if (this.busy.has(part.id) || !part.accounted) return;
-    const choice = chooseHandOver(this.core, part, unplaced, this.core.clock.now());
+  consider(shard: Shard, unplaced: readonly Unplaced[]): void {
+    if (this.busy.has(shard.id) || !shard.reconciled) return;
+    const choice = chooseHandOver(this.core, shard, unplaced, this.core.clock.now());
     if (!choice) return;
-    this.busy.add(part.id);
-    void this.handOver(part, choice).finally(() => {
-      this.busy.delete(part.id);
+    this.busy.add(shard.id);
+    void this.handOver(shard, choice).finally(() => {
+      this.busy.delete(shard.id);
       this.core.wake();
     });
   }
 
   /** None of these tasks is on a machine: they wait here, and stop waiting before the write is sent. */
-  private async handOver(part: Part, { job, tasks, to, value }: HandOver): Promise<void> {
+  private async handOver(shard: Shard, { job, tasks, to, value }: HandOver): Promise<void> {
     const { core } = this;
     job.waiting.removeAll(tasks);
     job.moving.addAll(tasks);
     const key = liveKey(job.id);
     const result = await core.settle(
-      [{ key, version: job.version }, core.ownerCondition(part)],
+      [{ key, version: job.version }, core.ownerCondition(shard)],
       [{ op: 'put', key, value }],
-      Rank.handover,
+      RequestPriority.handover,
+    );
+    core.log.debug(
+      { job: job.id, tasks: tasks.size, from: shard.id, to, result: result.kind },
+      'handed over',
     );
-    core.log.debug({ job: job.id, tasks: tasks.size, from: part.id, to, result: result.kind }, 'handed over');
     if (result.kind === 'done') await core.exclusive(() => core.view.learn(key, value, result.revision));
     else if (result.kind === 'conflict') await this.look(key);
-    await core.exclusive(() => this.takeBack(part, job));
+    await core.exclusive(() => this.takeBack(shard, job));
   }
 
   /** A conflict says that the record is newer than what we know: reads it before deciding anything. */
   private async look(key: ReturnType<typeof liveKey>): Promise<void> {
     for (;;) {
-      const read = await this.core.state.get(key, Rank.handover);
+      const read = await this.core.state.get(key, RequestPriority.handover);
       if (read.kind === 'found') {
         await this.core.exclusive(() => this.core.view.learn(key, read.entry.value, read.entry.version));
         return;
@@ -158,14 +168,14 @@
   }
 
   /** Whatever the record still entrusts to us waits again; a hand-over that was applied has taken it away. */
-  private takeBack(part: Part, job: PartJob): void {
-    if (part.jobs.get(job.id) !== job) return;
+  private takeBack(shard: Shard, job: ShardJob): void {
+    if (shard.jobs.get(job.id) !== job) return;
     for (const i of job.moving) {
-      const ours = job.record.assignments.some((a) => a.part === part.id && a.from <= i && i < a.to);
+      const ours = job.record.assignments.some((a) => a.part === shard.id && a.from <= i && i < a.to);
       if (ours && !job.record.done.has(i) && !job.finished.has(i)) job.waiting.add(i);
     }
     job.moving.removeAll(job.moving.clone());
     // While all its waiting tasks were moving, the placement rounds took the job for one without any.
-    part.queue.add(job);
+    shard.queue.add(job);
   }
 }
--- a/src/flock/machine-transfer.ts
+++ b/src/overflow/machine-transfer.ts
@@ -5,14 +5,15 @@
  */
 import type { Core } from '../core.js';
 import { fits, isZero, slots, subtract, type Resources } from '../model/resources.js';
-import type { Machine, Part } from '../parts/model.js';
-import { machineKey, type MachineRecord } from '../parts/records.js';
+import type { Machine, Shard } from '../shards/model.js';
+import { encodeMachine, machineKey } from '../shards/records.js';
+import { encodePeerMessage } from '../peers/codec.js';
+import type { MachineRequest } from '../peers/messages.js';
 import { usable, type OversizedGang } from '../placement/round.js';
-import { Rank } from '../state/budget.js';
-import type { PartId, SteadyMs } from '../units.js';
+import { RequestPriority } from '../store/rate-limiter.js';
+import type { ShardId, SteadyMs } from '../units.js';
 import { millis, plus, steady } from '../units.js';
-import type { MachineRequest } from './machine-request.js';
-import { zoneOfPart } from './news.js';
+import { zoneOfPart } from './announcement.js';
 
 /** Between two requests of a pool, in milliseconds. */
 const REQUEST_INTERVAL_MS = 2000;
@@ -28,14 +29,14 @@
 }
 
 /** Nothing is on the machine, and no order that may still be carried out there is outstanding. */
-const isEmpty = (m: Machine): boolean => m.bindings.size === 0 && m.exited.size === 0 && !m.directBusy;
+const isEmpty = (m: Machine): boolean => m.allocations.size === 0 && m.exited.size === 0 && !m.directBusy;
 
 /** Critical work does not end by itself. */
-const holdsCritical = (m: Machine): boolean => !isZero(subtract(m.used, m.lesser));
+const holdsCritical = (m: Machine): boolean => !isZero(subtract(m.used, m.preemptible));
 
 /** Pure: which machines of the pool suit the request, those that were promised first, then the least used. */
 export function chooseTransfer(
-  part: Part,
+  shard: Shard,
   request: MachineRequest,
   core: Pick<Core, 'types' | 'reportMs'>,
   now: SteadyMs,
@@ -46,7 +47,7 @@
     return usable({ ...m, draining: false }, { now, reportMs: core.reportMs }) && !holdsCritical(m);
   };
   const capacityOf = (m: Machine): Resources | undefined => core.types.get(m.type);
-  const suitable = [...part.machines.values()].filter(suits);
+  const suitable = [...shard.machines.values()].filter(suits);
   suitable.sort((a, b) => Number(b.draining) - Number(a.draining) || a.used.cpus - b.used.cpus);
   const chosen: Machine[] = [];
   let missing = request.tasks;
@@ -61,31 +62,31 @@
 }
 
 export class MachineTransfer {
-  private readonly requestedAt = new Map<PartId, SteadyMs>();
+  private readonly requestedAt = new Map<ShardId, SteadyMs>();
   /** When a pool of ours last had a gang that is larger than it. */
-  private readonly shortSince = new Map<PartId, SteadyMs>();
+  private readonly shortSince = new Map<ShardId, SteadyMs>();
   private readonly promised = new Map<Machine, SteadyMs>();
 
   constructor(private readonly core: Core) {}
 
   /** The pool has such a gang: asks one peer of the same zone after another. */
-  request(part: Part, gang: OversizedGang): void {
+  request(shard: Shard, gang: OversizedGang): void {
     const { core } = this;
     const now = core.clock.now();
-    this.shortSince.set(part.id, now);
-    if (now - (this.requestedAt.get(part.id) ?? -Infinity) < REQUEST_INTERVAL_MS) return;
-    this.requestedAt.set(part.id, now);
-    const zone = zoneOfPart(core, part.id);
-    const peers = core.settings.parts.filter((p) => p.part !== part.id && p.zone === zone);
+    this.shortSince.set(shard.id, now);
+    if (now - (this.requestedAt.get(shard.id) ?? -Infinity) < REQUEST_INTERVAL_MS) return;
+    this.requestedAt.set(shard.id, now);
+    const zone = zoneOfPart(core, shard.id);
+    const peers = core.settings.parts.filter((p) => p.part !== shard.id && p.zone === zone);
     const peer = peers[Math.floor(now / PEER_TURN_MS) % peers.length];
     if (!peer) return;
     const { cpus, gpus, memoryGb, types, spot } = gang.job.spec;
     const need = { cpus, gpus, memoryGb, tasks: gang.tasks, types, spot, zone };
-    const request: MachineRequest = { kind: 'machines', from: part.id, to: peer.part, ...need };
+    const request: MachineRequest = { kind: 'machineRequest', from: shard.id, to: peer.part, ...need };
     if (core.parts.has(peer.part)) this.answer(request);
     else {
-      const owner = core.partRecord(peer.part)?.owner;
-      if (owner) core.mesh.send(owner, request);
+      const owner = core.shardRecord(peer.part)?.owner;
+      if (owner) core.mesh.send(owner, encodePeerMessage(request));
     }
   }
 
@@ -93,24 +94,24 @@
   answer(request: MachineRequest): void {
     const { core } = this;
     const now = core.clock.now();
-    const part = core.parts.get(request.to);
-    if (!part?.accounted || request.from === request.to || !core.authority(now)) return;
+    const shard = core.parts.get(request.to);
+    if (!shard?.reconciled || request.from === request.to || !core.authority(now)) return;
     if (!core.settings.parts.some((p) => p.part === request.from)) return;
-    if (this.goesFirst(part, request, now)) return;
-    const { empty, emptying } = chooseTransfer(part, request, core, now);
+    if (this.goesFirst(shard, request, now)) return;
+    const { empty, emptying } = chooseTransfer(shard, request, core, now);
     for (const machine of emptying) this.promise(machine, now);
     for (const machine of empty) {
       if (machine.draining && !this.promised.has(machine)) continue;
       machine.draining = true;
       this.promised.delete(machine);
-      void this.transfer(part, machine, request.from);
+      void this.transfer(shard, machine, request.from);
     }
   }
 
   /** Of two pools that both have such a gang the one with the lower number gathers machines first. */
-  private goesFirst(part: Part, request: MachineRequest, now: SteadyMs): boolean {
-    const short = now - (this.shortSince.get(part.id) ?? steady(-Infinity)) < PROMISE;
-    return short && part.id < request.from;
+  private goesFirst(shard: Shard, request: MachineRequest, now: SteadyMs): boolean {
+    const short = now - (this.shortSince.get(shard.id) ?? steady(-Infinity)) < PROMISE;
+    return short && shard.id < request.from;
   }
 
   private promise(machine: Machine, now: SteadyMs): void {
@@ -130,19 +131,19 @@
   }
 
   /** Nothing is placed on the machine meanwhile, also where the outcome of the write stays open for long. */
-  private async transfer(part: Part, machine: Machine, to: PartId): Promise<void> {
+  private async transfer(shard: Shard, machine: Machine, to: ShardId): Promise<void> {
     const { core } = this;
     const key = machineKey(machine.id);
     const { address, type, zone, spot } = machine;
-    const record: MachineRecord = { part: to, address, type, zone, spot };
+    const value = encodeMachine({ part: to, address, type, zone, spot });
     const result = await core.settle(
-      [{ key, version: core.view.version(key) }, core.ownerCondition(part)],
-      [{ op: 'put', key, value: record }],
-      Rank.handover,
+      [{ key, version: core.view.version(key) }, core.ownerCondition(shard)],
+      [{ op: 'put', key, value }],
+      RequestPriority.handover,
     );
-    core.log.info({ machine: machine.id, from: part.id, to, result: result.kind }, 'machine transferred');
+    core.log.info({ machine: machine.id, from: shard.id, to, result: result.kind }, 'machine transferred');
     await core.exclusive(() => {
-      if (result.kind === 'done') core.view.learn(key, record, result.revision);
+      if (result.kind === 'done') core.view.learn(key, value, result.revision);
       machine.draining = false;
     });
   }
--- a/src/flock/willing.ts
+++ b/src/overflow/peer-ranking.ts
@@ -2,24 +2,17 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { JobSpec } from '../jobs/spec.js';
-import { fits, scale, slots, subtract, type Resources } from '../model/resources.js';
+import { fits, scale, slots, subtract } from '../model/resources.js';
 import { allowed } from '../model/constraints.js';
-import type { PartId, SteadyMs, TypeId, ZoneId } from '../units.js';
+import type { FreeMachines } from '../peers/messages.js';
+import type { ShardId, SteadyMs, ZoneId } from '../units.js';
 
-export interface FreeMachine extends Resources {
-  readonly type: TypeId;
-  readonly zone: ZoneId;
-  readonly spot: boolean;
-  /** How many machines have this much free. */
-  count: number;
-}
-
-export interface Offer {
-  readonly part: PartId;
+export interface FreeCapacity {
+  readonly part: ShardId;
   readonly zone: ZoneId;
   readonly expires: SteadyMs;
   /** Room left as far as we know: what we hand over is taken off until the next announcement. */
-  readonly machines: FreeMachine[];
+  readonly machines: FreeMachines[];
 }
 
 export type Random = (below: number) => number;
@@ -30,25 +23,31 @@
   return (below) => (below <= 1 ? 0 : uniformInt(generator, 0, below - 1));
 }
 
-const roomFor = (offer: Offer, spec: JobSpec, pin: ZoneId | null): FreeMachine[] =>
+const roomFor = (offer: FreeCapacity, spec: JobSpec, pin: ZoneId | null): FreeMachines[] =>
   offer.machines.filter((m) => m.count > 0 && fits(spec, m) && allowed(spec, m.type, m.zone, m.spot, pin));
 
 /** How many tasks like this fit into what is announced, by zone restriction. */
-export function capacityFor(offer: Offer, spec: JobSpec, pin: ZoneId | null): number {
+export function capacityFor(offer: FreeCapacity, spec: JobSpec, pin: ZoneId | null): number {
   let n = 0;
   for (const m of roomFor(offer, spec, pin)) n += m.count * slots(m, spec);
   return n;
 }
 
 /** `machines` of a shape get `each` tasks: they have another shape from then on. */
-function takeFrom(offer: Offer, shape: FreeMachine, spec: JobSpec, each: number, machines: number): void {
+function takeFrom(
+  offer: FreeCapacity,
+  shape: FreeMachines,
+  spec: JobSpec,
+  each: number,
+  machines: number,
+): void {
   if (machines === 0) return;
   shape.count -= machines;
   offer.machines.push({ ...shape, ...subtract(shape, scale(spec, each)), count: machines });
 }
 
 /** Takes room for `count` tasks off the offer, so that the next hand-over does not promise it again. */
-export function reserve(offer: Offer, spec: JobSpec, pin: ZoneId | null, count: number): void {
+export function reserve(offer: FreeCapacity, spec: JobSpec, pin: ZoneId | null, count: number): void {
   let left = count;
   for (const m of roomFor(offer, spec, pin)) {
     if (left <= 0) return;
@@ -64,18 +63,18 @@
 }
 
 /** Unexpired offers with room for such a task: own zone first, then most free room; equals in random order. */
-export function willingList(
-  offers: Iterable<Offer>,
+export function rankPeers(
+  offers: Iterable<FreeCapacity>,
   from: ZoneId,
   spec: JobSpec,
   pin: ZoneId | null,
   now: SteadyMs,
   random: Random,
-): { offer: Offer; capacity: number }[] {
+): { offer: FreeCapacity; capacity: number }[] {
   const open = [...offers]
     .filter((o) => o.expires > now)
     .map((offer) => ({ offer, capacity: capacityFor(offer, spec, pin), draw: random(1 << 20) }))
     .filter((o) => o.capacity > 0);
-  const far = (o: Offer): number => (o.zone === from ? 0 : 1);
+  const far = (o: FreeCapacity): number => (o.zone === from ? 0 : 1);
   return open.sort((a, b) => far(a.offer) - far(b.offer) || b.capacity - a.capacity || a.draw - b.draw);
 }
--- a/src/flock/repin.ts
+++ b/src/overflow/zone-reassignment.ts
@@ -5,23 +5,26 @@
  */
 import type { JobSpec } from '../jobs/spec.js';
 import type { JobRecord } from '../jobs/record.js';
-import { waitingRuns, type PartJob } from '../parts/model.js';
+import { waitingRuns, type ShardJob } from '../shards/model.js';
 import { RangeSet } from '../ranges.js';
-import type { PartId, ZoneId } from '../units.js';
-import { eligibleZones, type AssignContext } from './assign.js';
-import { willingList, type Offer } from './willing.js';
+import type { ShardId, ZoneId } from '../units.js';
+import { eligibleZones, type AssignContext } from './assignment.js';
+import { rankPeers, type FreeCapacity } from './peer-ranking.js';
 
 /** How long the tasks of a job wait for room in their zone before they may move to another, in milliseconds. */
 export const REPIN_AFTER = 5000;
 
-export type RepinContext = Pick<AssignContext, 'now' | 'homeZone' | 'zones' | 'types' | 'offers' | 'random'>;
+export type RepinContext = Pick<
+  AssignContext,
+  'now' | 'homeZone' | 'zones' | 'types' | 'freeCapacity' | 'random'
+>;
 
-export interface Repin {
+export interface ZoneReassignment {
   readonly tasks: RangeSet;
-  readonly part: PartId;
+  readonly part: ShardId;
   readonly zone: ZoneId;
   /** The offer whose room is taken; null: the tasks only join the others of their job. */
-  readonly offer: Offer | null;
+  readonly offer: FreeCapacity | null;
 }
 
 /** Tasks that the record entrusts to each zone, the finished ones included: the strictest reading of the limit. */
@@ -32,7 +35,7 @@
 }
 
 /** How many more tasks the job may have in a zone. */
-function allowance(job: PartJob, zone: ZoneId): number {
+function allowance(job: ShardJob, zone: ZoneId): number {
   const { spec, record } = job;
   if (spec.spread) return Math.ceil(spec.tasks / 2) - tasksInZone(record, zone);
   // All tasks move together or none does: none of them may be on a machine, or have been.
@@ -43,9 +46,9 @@
  * Tasks that must be together can only change their zone together, and only the owner of a task knows that it is on no
  * machine: while they are split among parts, the waiting ones gather at the part with the lowest number.
  */
-function collectingPart({ record }: PartJob): PartId | null {
+function collectingPart({ record }: ShardJob): ShardId | null {
   if (!record.done.isEmpty) return null;
-  return Math.min(...record.assignments.map((a) => a.part)) as PartId;
+  return Math.min(...record.assignments.map((a) => a.part)) as ShardId;
 }
 
 /**
@@ -56,22 +59,27 @@
   spec.zone === null && spec.spread !== spec.oneZone && !(spec.shape === 'gang' && spec.spread);
 
 /** The best move for the tasks that wait in `fromZone`, or null: nowhere else is room that the job may use. */
-export function chooseRepin(part: PartId, job: PartJob, fromZone: ZoneId, ctx: RepinContext): Repin | null {
+export function chooseZoneReassignment(
+  shard: ShardId,
+  job: ShardJob,
+  fromZone: ZoneId,
+  ctx: RepinContext,
+): ZoneReassignment | null {
   const { spec, waitingSince } = job;
   if (!mayMove(spec) || waitingSince === null || ctx.now - waitingSince < REPIN_AFTER) return null;
-  if (!job.moving.isEmpty || !job.frozen.isEmpty) return null;
+  if (!job.moving.isEmpty || !job.unaccounted.isEmpty) return null;
   const waiting = RangeSet.of(
     waitingRuns(job)
       .filter((run) => run.zone === fromZone)
       .map((run) => [run.from, run.to] as const),
   );
   const collector = spec.oneZone ? collectingPart(job) : null;
-  if (collector !== null && collector !== part)
+  if (collector !== null && collector !== shard)
     return { tasks: waiting, part: collector, zone: fromZone, offer: null };
-  let best: { zone: ZoneId; offer: Offer; count: number } | null = null;
+  let best: { zone: ZoneId; offer: FreeCapacity; count: number } | null = null;
   for (const zone of eligibleZones(spec, ctx.zones, ctx.types)) {
     if (zone === fromZone) continue;
-    const willing = willingList(ctx.offers.values(), ctx.homeZone, spec, zone, ctx.now, ctx.random)[0];
+    const willing = rankPeers(ctx.freeCapacity.values(), ctx.homeZone, spec, zone, ctx.now, ctx.random)[0];
     if (!willing) continue;
     const allowed = allowance(job, zone);
     const count = Math.min(waiting.size, allowed, spec.spread ? willing.capacity : allowed);
--- /dev/null
+++ b/src/peers/messages.ts
@@ -0,0 +1,105 @@
+/**
+ * Messages that controllers send each other, as the code uses them. They are hints: nothing unsafe may follow when one
+ * is lost, late, doubled or sent by an earlier incarnation. `codec.ts` maps them to what goes over the connection.
+ */
+import type { Resources } from '../model/resources.js';
+import type {
+  ImageId,
+  Incarnation,
+  JobId,
+  MachineId,
+  NodeId,
+  Revision,
+  ShardId,
+  TeamId,
+  TypeId,
+  ZoneId,
+} from '../units.js';
+
+/** Machines of the same type and zone that have the same amount free. */
+export interface FreeMachines extends Resources {
+  readonly type: TypeId;
+  readonly zone: ZoneId;
+  readonly spot: boolean;
+  /** How many machines have this much free. */
+  count: number;
+}
+
+/** What a controller draws of the store's rate limits: requests and changes a second. */
+export interface RateUsage {
+  readonly requests: number;
+  readonly writes: number;
+}
+
+/** The images of one machine and their sizes in GB, the least recently used first. */
+export type CachedImages = readonly (readonly [ImageId, number])[];
+
+/** What the leader of a shard tells about it. */
+export interface ShardCapacity {
+  readonly shard: ShardId;
+  readonly freeMachines: readonly FreeMachines[];
+  /** What each team's tasks take. */
+  readonly used: ReadonlyMap<TeamId, Resources>;
+  /** What the shard can give of each team's quota. */
+  readonly unusedQuota: ReadonlyMap<TeamId, Resources>;
+  /** What critical tasks could have at once on machines that hold an image, others being preempted. */
+  readonly criticalCapacity: ReadonlyMap<ImageId, Resources>;
+  readonly cachedImages: ReadonlyMap<MachineId, CachedImages>;
+}
+
+/** Sent to all peers at every check interval: the state of the controller and of the shards that it leads. */
+export interface CapacityAnnouncement {
+  readonly kind: 'capacityAnnouncement';
+  readonly node: NodeId;
+  readonly incarnation: Incarnation;
+  readonly storeHealthy: boolean;
+  readonly rateUsage: RateUsage;
+  /** Running tasks by job. */
+  readonly runningTasks: ReadonlyMap<JobId, number>;
+  /** Machines that came to the sender because the leader of their shard does not answer them. */
+  readonly redirectedHeartbeats: ReadonlyMap<ShardId, number>;
+  /** Machines that the sender rented and that are not registered yet, with the shard they are meant for. */
+  readonly rentedMachines: ReadonlyMap<MachineId, ShardId>;
+  readonly shards: readonly ShardCapacity[];
+}
+
+/**
+ * `waiting`: for tasks that wait; the giver keeps what its own need. `reservation`: for a task that has waited too long;
+ * the giver keeps nothing for its own. `remainder`: for one task, from what the giver can start nothing with.
+ */
+export type QuotaTransferPurpose = 'waiting' | 'reservation' | 'remainder';
+
+/** A shard asks another for a part of its share of a team's quota. */
+export interface QuotaTransferRequest extends Resources {
+  readonly kind: 'quotaTransferRequest';
+  readonly from: ShardId;
+  readonly to: ShardId;
+  readonly team: TeamId;
+  readonly purpose: QuotaTransferPurpose;
+}
+
+/** A cancellation that its sender has seen committed, at this revision of the store. */
+export interface CancellationNotice {
+  readonly kind: 'cancellationNotice';
+  readonly job: JobId;
+  readonly version: Revision;
+}
+
+/**
+ * A shard asks another for machines, since a gang of its own is larger than the shard: what one task takes, on which
+ * machines it may run, and how many tasks have no place.
+ */
+export interface MachineRequest extends Resources {
+  readonly kind: 'machineRequest';
+  readonly from: ShardId;
+  readonly to: ShardId;
+  readonly tasks: number;
+  /** null: any. */
+  readonly types: readonly TypeId[] | null;
+  readonly zone: ZoneId;
+  /** Spot machines are allowed. */
+  readonly spot: boolean;
+}
+
+/** Any message from one controller to another. */
+export type PeerMessage = CapacityAnnouncement | QuotaTransferRequest | CancellationNotice | MachineRequest;
--- a/src/placement/consolidation.ts
+++ b/src/placement/consolidation.ts
@@ -16,13 +16,13 @@
   ZERO,
   type MutableResources,
 } from '../model/resources.js';
-import type { Binding, Machine, Part } from '../parts/model.js';
-import { isUnclear, pinOf, roomOn } from '../parts/model.js';
+import type { Allocation, Machine, Shard } from '../shards/model.js';
+import { isUnclear, requiredZone, roomOn } from '../shards/model.js';
 import { allowed } from '../model/constraints.js';
 import { usable, type PlanContext } from './round.js';
 
 export interface Move {
-  readonly binding: Binding;
+  readonly binding: Allocation;
   readonly to: Machine;
 }
 
@@ -30,27 +30,27 @@
 const SETTLED_FOR = 60_000;
 type Context = Pick<PlanContext, 'now' | 'types' | 'reportMs'>;
 
-export function chooseMove(part: Part, ctx: Context): Move | null {
-  if (!isMostlyFree(part, ctx)) return null;
-  const from = emptiest(part, ctx);
+export function chooseMove(shard: Shard, ctx: Context): Move | null {
+  if (!isMostlyFree(shard, ctx)) return null;
+  const from = emptiest(shard, ctx);
   if (!from) return null;
   const moves: Move[] = [];
   const taken = new Map<Machine, number>();
-  for (const binding of from.bindings.values()) {
-    const to = target(part, from, binding, taken, ctx);
+  for (const allocation of from.allocations.values()) {
+    const to = target(shard, from, allocation, taken, ctx);
     // Only what frees the whole machine is worth a move.
     if (!to) return null;
     taken.set(to, (taken.get(to) ?? 0) + 1);
-    moves.push({ binding, to });
+    moves.push({ binding: allocation, to });
   }
   return moves[0] ?? null;
 }
 
 /** While there is work, spread replicas lose less with a machine, and holders of an image have work that can make way. */
-function isMostlyFree(part: Part, ctx: Context): boolean {
+function isMostlyFree(shard: Shard, ctx: Context): boolean {
   const total: MutableResources = { ...ZERO };
   const used: MutableResources = { ...ZERO };
-  for (const m of part.machines.values()) {
+  for (const m of shard.machines.values()) {
     addTo(total, ctx.types.get(m.type) ?? ZERO);
     addTo(used, m.used);
   }
@@ -61,21 +61,21 @@
 const loadOf = (m: Machine, ctx: Context): number => asCpus(m.used, ctx.types.get(m.type) ?? ZERO);
 
 function criticalLoadOf(m: Machine, ctx: Context): number {
-  return asCpus(subtract(m.used, m.lesser), ctx.types.get(m.type) ?? ZERO);
+  return asCpus(subtract(m.used, m.preemptible), ctx.types.get(m.type) ?? ZERO);
 }
 
 /** Of the machines with nothing but settled replicas the one with the least on it. */
-function emptiest(part: Part, ctx: Context): Machine | null {
+function emptiest(shard: Shard, ctx: Context): Machine | null {
   let best: Machine | null = null;
-  for (const m of part.machines.values()) {
-    if (m.bindings.size === 0 || !isZero(m.lesser) || isUnclear(m) || !usable(m, ctx)) continue;
+  for (const m of shard.machines.values()) {
+    if (m.allocations.size === 0 || !isZero(m.preemptible) || isUnclear(m) || !usable(m, ctx)) continue;
     if (best && loadOf(m, ctx) >= loadOf(best, ctx)) continue;
-    if ([...m.bindings.values()].every((b) => settled(b, ctx))) best = m;
+    if ([...m.allocations.values()].every((b) => settled(b, ctx))) best = m;
   }
   return best;
 }
 
-const settled = (b: Binding, ctx: Context): boolean =>
+const settled = (b: Allocation, ctx: Context): boolean =>
   b.spec?.shape === 'service' &&
   b.stop === null &&
   b.runningSince !== null &&
@@ -86,18 +86,18 @@
 
 /** The fullest machine that holds the image and has more on it than the one to be freed. */
 function target(
-  part: Part,
+  shard: Shard,
   from: Machine,
-  b: Binding,
+  b: Allocation,
   taken: ReadonlyMap<Machine, number>,
   ctx: Context,
 ): Machine | null {
-  const job = part.jobs.get(b.job);
+  const job = shard.jobs.get(b.job);
   if (!b.spec || !job) return null;
-  const pin = pinOf(job, b.index);
+  const pin = requiredZone(job, b.index);
   let best: Machine | null = null;
   let headroom = 0;
-  for (const m of part.sums.holdersOf(b.spec.image)) {
+  for (const m of shard.totals.holdersOf(b.spec.image)) {
     if (m === from || !usable(m, ctx) || !allowed(b.spec, m.type, m.zone, m.spot, pin)) continue;
     const type = ctx.types.get(m.type) ?? ZERO;
     const left = subtract(roomOn(m, ctx.types.get(m.type)), scale(b.spec, taken.get(m) ?? 0));
--- a/src/placement/gangs.ts
+++ b/src/placement/gangs.ts
@@ -2,7 +2,7 @@
 import { decideGang, forgetAttempt, type GangDecision } from '../model/gang.js';
 import type { Resources } from '../model/resources.js';
 import { millis, type Attempt, type ZoneId } from '../units.js';
-import { pinOf, type Machine, type Part, type PartJob } from '../parts/model.js';
+import { requiredZone, type Machine, type Shard, type ShardJob } from '../shards/model.js';
 import { placesFor, type Places } from './places.js';
 import {
   charge,
@@ -20,44 +20,44 @@
 import { endGangTurn, reserveGangPlaces, reserveShare } from './reservations.js';
 
 /** What should become of a gang, by all that is known of it here. */
-export function decisionOn(part: Part, job: PartJob, ctx: PlanContext): GangDecision | null {
+export function decisionOn(shard: Shard, job: ShardJob, ctx: PlanContext): GangDecision | null {
   if (!job.gang) return null;
   return decideGang({
     now: ctx.now,
     missing: !job.waiting.isEmpty,
-    members: [...(part.boundOf.get(job.id) ?? [])],
+    members: [...(shard.allocationsByJob.get(job.id) ?? [])],
     history: job.gang,
     finished: !job.finished.isEmpty,
-    unaccounted: !job.frozen.isEmpty || !job.moving.isEmpty,
-    issued: (attempt) => part.issued(attempt),
+    unaccounted: !job.unaccounted.isEmpty || !job.moving.isEmpty,
+    issued: (attempt) => shard.issued(attempt),
     waitLimit: millis(ctx.gangWaitMs),
   });
 }
 
 /** Gangs that cannot go on as they are: the tasks that are left stop, so that all can begin anew. */
-export function stopBrokenGangs(part: Part, s: Scratch, ctx: PlanContext, plan: Plan): void {
-  for (const job of part.gangs) {
-    if (part.jobs.get(job.id) !== job) {
-      part.gangs.delete(job);
+export function stopBrokenGangs(shard: Shard, s: Scratch, ctx: PlanContext, plan: Plan): void {
+  for (const job of shard.gangs) {
+    if (shard.jobs.get(job.id) !== job) {
+      shard.gangs.delete(job);
       continue;
     }
-    const action = decisionOn(part, job, ctx)?.action;
+    const action = decisionOn(shard, job, ctx)?.action;
     if (action?.kind !== 'stop') continue;
-    for (const binding of part.boundOf.get(job.id) ?? []) {
-      if (binding.stop) continue;
-      s.stopping.add(binding);
-      plan.stops.push({ binding, grace: action.grace });
+    for (const allocation of shard.allocationsByJob.get(job.id) ?? []) {
+      if (allocation.stop) continue;
+      s.stopping.add(allocation);
+      plan.stops.push({ binding: allocation, grace: action.grace });
     }
   }
 }
 
 /** Starts all tasks of a gang, or those that are missing of one that has not started yet. */
-export function placeGang(part: Part, job: PartJob, s: Scratch, ctx: PlanContext, plan: Plan): void {
-  const action = decisionOn(part, job, ctx)?.action;
+export function placeGang(shard: Shard, job: ShardJob, s: Scratch, ctx: PlanContext, plan: Plan): void {
+  const action = decisionOn(shard, job, ctx)?.action;
   if (action?.kind === 'start' && job.waiting.size === job.spec.tasks) {
     if (job.gang) forgetAttempt(job.gang);
-    place(part, job, undefined, s, ctx, plan);
-  } else if (action?.kind === 'replace') place(part, job, action.attempt, s, ctx, plan);
+    place(shard, job, undefined, s, ctx, plan);
+  } else if (action?.kind === 'replace') place(shard, job, action.attempt, s, ctx, plan);
 }
 
 /** Tasks of one gang for which others are stopped, at the most: beyond it the gang waits for room to come free. */
@@ -72,51 +72,51 @@
 }
 
 function place(
-  part: Part,
-  job: PartJob,
+  shard: Shard,
+  job: ShardJob,
   attempt: Attempt | undefined,
   s: Scratch,
   ctx: PlanContext,
   plan: Plan,
 ): void {
-  endGangTurn(part, job, s, ctx);
+  endGangTurn(shard, job, s, ctx);
   const used = { ...usedHere(s, job.spec.team) };
-  const found = search(part, job, attempt, s, ctx);
+  const found = search(shard, job, attempt, s, ctx);
   if (!found.limited && found.without.length === 0) {
-    job.holds.clear();
+    job.reservations.clear();
     plan.starts.push(...found.starts);
     return;
   }
-  if (!found.limited && roomIsMade(part, job, found, s, ctx, plan)) return;
-  giveUp(part, job, found, used, s, ctx);
-  if (found.limited) reserveShare(part, job, job.waiting.size, s, ctx, plan);
-  else reserveGangPlaces(part, job, mayTake(job, attempt), s, ctx, plan);
+  if (!found.limited && roomIsMade(shard, job, found, s, ctx, plan)) return;
+  giveUp(shard, job, found, used, s, ctx);
+  if (found.limited) reserveShare(shard, job, job.waiting.size, s, ctx, plan);
+  else reserveGangPlaces(shard, job, mayTake(job, attempt), s, ctx, plan);
   plan.unplaced.push({ job, reason: found.limited ? 'limit' : 'room', indices: waitingOf(job) });
 }
 
 /** The waiting tasks; `all` where none of them is pinned to a zone. */
-const waitingOf = (job: PartJob): number[] | 'all' =>
+const waitingOf = (job: ShardJob): number[] | 'all' =>
   job.record.assignments.some((a) => a.zone !== null) ? [...job.waiting] : 'all';
 
 function search(
-  part: Part,
-  job: PartJob,
+  shard: Shard,
+  job: ShardJob,
   attempt: Attempt | undefined,
   s: Scratch,
   ctx: PlanContext,
 ): Search {
   const found: Search = { starts: [], without: [], limited: false };
   const places = new Map<ZoneId | null, Places>();
-  releaseHolds(part, job, s, 1);
+  releaseHolds(shard, job, s, 1);
   for (const index of job.waiting) {
     if (!withinShare(job.spec, s, ctx)) {
       found.limited = true;
       break;
     }
-    const pin = pinOf(job, index);
+    const pin = requiredZone(job, index);
     let open = places.get(pin);
-    if (!open) places.set(pin, (open = placesFor(part, job, pin, s, ctx, mayTake(job, attempt))));
-    const machine = open.next(heldFor(part, job, index));
+    if (!open) places.set(pin, (open = placesFor(shard, job, pin, s, ctx, mayTake(job, attempt))));
+    const machine = open.next(heldFor(shard, job, index));
     if (!machine) {
       found.without.push(index);
       if (found.without.length > MAX_ROOM_MADE) break;
@@ -131,27 +131,27 @@
 
 /** An attempt must not come back to a machine that it has left: a late order about its end there might hit it. */
 const mayTake =
-  (job: PartJob, attempt: Attempt | undefined) =>
+  (job: ShardJob, attempt: Attempt | undefined) =>
   (machine: Machine): boolean =>
     attempt === undefined || !job.gang?.leftMachines.has(machine.id);
 
-function heldFor(part: Part, job: PartJob, index: number): Machine | undefined {
-  const hold = job.holds.get(index);
-  return hold && part.machines.get(hold.machine);
+function heldFor(shard: Shard, job: ShardJob, index: number): Machine | undefined {
+  const hold = job.reservations.get(index);
+  return hold && shard.machines.get(hold.machine);
 }
 
 /** Takes room off the round for what is held, or gives it back to it. */
-function releaseHolds(part: Part, job: PartJob, s: Scratch, sign: 1 | -1): void {
-  for (const index of job.holds.keys()) {
-    const machine = heldFor(part, job, index);
+function releaseHolds(shard: Shard, job: ShardJob, s: Scratch, sign: 1 | -1): void {
+  for (const index of job.reservations.keys()) {
+    const machine = heldFor(shard, job, index);
     if (machine) take(s.room.get(machine.id), job.spec, sign === 1 ? -1 : 1);
   }
 }
 
 /** Stops others for the tasks without a place; only if that makes room for all of them. The rest keep their places. */
 function roomIsMade(
-  part: Part,
-  job: PartJob,
+  shard: Shard,
+  job: ShardJob,
   found: Search,
   s: Scratch,
   ctx: PlanContext,
@@ -160,37 +160,37 @@
   if (ctx.now < job.searchAfter || job.waitingSince === null) return false;
   if (found.without.length > MAX_ROOM_MADE) return false;
   // What an earlier round has stopped for it is still on its way out.
-  if (found.without.every((index) => job.holds.get(index)?.reserved === false)) {
-    keepPlaces(part, job, found, s, plan);
+  if (found.without.every((index) => job.reservations.get(index)?.reserved === false)) {
+    keepPlaces(shard, job, found, s, plan);
     return true;
   }
   const undo = savepoint(s, plan);
   for (const index of found.without) {
-    if (job.holds.has(index)) continue;
-    if (makeRoom(part, job, index, pinOf(job, index), s, ctx, plan)) continue;
+    if (job.reservations.has(index)) continue;
+    if (makeRoom(shard, job, index, requiredZone(job, index), s, ctx, plan)) continue;
     undo();
     return false;
   }
-  keepPlaces(part, job, found, s, plan);
+  keepPlaces(shard, job, found, s, plan);
   return true;
 }
 
 /** Nothing starts in this round; whatever has been found or made for the gang is kept for it. */
-function keepPlaces(part: Part, job: PartJob, found: Search, s: Scratch, plan: Plan): void {
+function keepPlaces(shard: Shard, job: ShardJob, found: Search, s: Scratch, plan: Plan): void {
   for (const { index, machine } of found.starts) {
-    if (job.holds.get(index)?.machine === machine.id) continue;
+    if (job.reservations.get(index)?.machine === machine.id) continue;
     plan.holds.push({ job, index, machine: machine.id, reserved: false });
   }
   for (const index of found.without) {
-    const machine = heldFor(part, job, index);
+    const machine = heldFor(shard, job, index);
     if (machine) take(s.room.get(machine.id), job.spec, 1);
   }
 }
 
 /** The round is as it was before the search; what earlier rounds hold for the gang is held until it expires. */
 function giveUp(
-  part: Part,
-  job: PartJob,
+  shard: Shard,
+  job: ShardJob,
   found: Search,
   used: Resources,
   s: Scratch,
@@ -198,5 +198,5 @@
 ): void {
   for (const start of found.starts) take(scratchRoom(start.machine, s, ctx), job.spec, -1);
   s.used.set(job.spec.team, used);
-  releaseHolds(part, job, s, -1);
+  releaseHolds(shard, job, s, -1);
 }
--- a/src/placement/places.ts
+++ b/src/placement/places.ts
@@ -12,7 +12,7 @@
   ZERO,
   type Resources,
 } from '../model/resources.js';
-import type { Machine, Part, PartJob } from '../parts/model.js';
+import type { Machine, Shard, ShardJob } from '../shards/model.js';
 import type { SteadyMs, TypeId, ZoneId } from '../units.js';
 import { allowed } from '../model/constraints.js';
 import { scratchRoom, type PlanContext, type Scratch } from './round.js';
@@ -45,8 +45,8 @@
   private at = 0;
 
   constructor(
-    private readonly part: Part,
-    private readonly job: PartJob,
+    private readonly part: Shard,
+    private readonly job: ShardJob,
     private readonly types: ReadonlyMap<TypeId, MachineType>,
     /** What the round has left on a machine; null: nothing of the job may start there. */
     private readonly roomOf: (m: Machine) => Resources | null,
@@ -77,9 +77,9 @@
   }
 
   private find(): Place[] {
-    const { part, job } = this;
+    const { part: shard, job } = this;
     const out: Place[] = [];
-    for (const machine of part.sums.withFree(job.spec, this.types)) {
+    for (const machine of shard.totals.withFree(job.spec, this.types)) {
       const room = this.roomOf(machine);
       if (room && fits(job.spec, room)) out.push({ machine, room, key: this.keyOf(machine, room) });
     }
@@ -110,8 +110,8 @@
 
 /** Where tasks of a job that are pinned to this zone may start in a round. */
 export function placesFor(
-  part: Part,
-  job: PartJob,
+  shard: Shard,
+  job: ShardJob,
   pin: ZoneId | null,
   s: Scratch,
   ctx: PlanContext,
@@ -119,14 +119,14 @@
 ): Places {
   const roomOf = (m: Machine): Resources | null =>
     allowed(job.spec, m.type, m.zone, m.spot, pin) && mayTake(m) ? scratchRoom(m, s, ctx) : null;
-  return new Places(part, job, ctx.types, roomOf, ctx.now);
+  return new Places(shard, job, ctx.types, roomOf, ctx.now);
 }
 
-const criticalOn = (m: Machine): Resources => subtract(m.used, m.lesser);
+const criticalOn = (m: Machine): Resources => subtract(m.used, m.preemptible);
 
 /** In steps: what replicas would take of the machine, those of this round included, who are placed before others. */
 function crowding(m: Machine, room: Resources, spec: JobSpec, capacity: Resources): number {
-  const taken = add(subtract(subtract(capacity, m.lesser), room), spec);
+  const taken = add(subtract(subtract(capacity, m.preemptible), room), spec);
   return Math.ceil(CROWD_STEPS * dominantShare(taken, capacity) - TOLERANCE);
 }
 
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -4,7 +4,14 @@
  */
 import { Priority, type JobSpec } from '../jobs/spec.js';
 import { RESOURCE_KINDS, sizeOf, TOLERANCE, ZERO, type Resources } from '../model/resources.js';
-import { pinOf, waitingRuns, type Binding, type Machine, type Part, type PartJob } from '../parts/model.js';
+import {
+  requiredZone,
+  waitingRuns,
+  type Allocation,
+  type Machine,
+  type Shard,
+  type ShardJob,
+} from '../shards/model.js';
 import type { ZoneId } from '../units.js';
 import { placeGang, stopBrokenGangs } from './gangs.js';
 import { compareKeys, placesFor, type Places } from './places.js';
@@ -35,7 +42,7 @@
 const AGE_STEP = 15_000;
 
 interface Ranked {
-  readonly job: PartJob;
+  readonly job: ShardJob;
   readonly key: readonly number[];
 }
 
@@ -47,13 +54,13 @@
  * Critical first, then work within its team's guarantee, then by priority, then the deadlines that can be met,
  * small jobs first. Waiting makes up for size, and after long enough for priority: every job begins.
  */
-function rank(part: Part, job: PartJob, ctx: PlanContext): Ranked {
+function rank(shard: Shard, job: ShardJob, ctx: PlanContext): Ranked {
   const spec = job.spec;
   const estimate = spec.estimateS * ctx.correction(spec.lane) * 1000;
   const size = sizeOf(spec, ctx.types.values());
   const due = deadlineAt(job);
   const late = lateness(job, estimate, ctx);
-  const unbegun = unbegunFor(part, job, ctx);
+  const unbegun = unbegunFor(shard, job, ctx);
   const starving = unbegun > STARVED_AFTER;
   const aged = (ctx.now - job.firstSeen) / AGE_STEP;
   const key = [
@@ -74,10 +81,10 @@
 
 const byKey = (a: Ranked, b: Ranked): number => compareKeys(a.key, b.key) || (a.job.id < b.job.id ? -1 : 1);
 
-export function planRound(part: Part, ctx: PlanContext): Plan {
-  const s = startRound(part);
-  const waiting = queued(part);
-  keepHeldRoom(part, waiting, s, ctx);
+export function planRound(shard: Shard, ctx: PlanContext): Plan {
+  const s = startRound(shard);
+  const waiting = queued(shard);
+  keepHeldRoom(shard, waiting, s, ctx);
   const plan: Plan = {
     starts: [],
     stops: [],
@@ -86,43 +93,43 @@
     gathering: new Map(),
     oversized: null,
   };
-  stopBrokenGangs(part, s, ctx, plan);
+  stopBrokenGangs(shard, s, ctx, plan);
   const due = waiting.filter((j) => ctx.now >= j.notBefore);
-  const ranked = due.map((j) => rank(part, j, ctx)).sort(byKey);
+  const ranked = due.map((j) => rank(shard, j, ctx)).sort(byKey);
   for (const { job } of ranked) {
-    if (job.gang) placeGang(part, job, s, ctx, plan);
-    else placeJob(part, job, s, ctx, plan);
+    if (job.gang) placeGang(shard, job, s, ctx, plan);
+    else placeJob(shard, job, s, ctx, plan);
   }
   return plan;
 }
 
 /** Jobs with waiting tasks; those without leave the queue. */
-function queued(part: Part): PartJob[] {
-  const out: PartJob[] = [];
-  for (const job of part.queue) {
-    if (!job.waiting.isEmpty && part.jobs.get(job.id) === job) out.push(job);
+function queued(shard: Shard): ShardJob[] {
+  const out: ShardJob[] = [];
+  for (const job of shard.queue) {
+    if (!job.waiting.isEmpty && shard.jobs.get(job.id) === job) out.push(job);
     else {
-      job.holds.clear();
-      part.queue.delete(job);
+      job.reservations.clear();
+      shard.queue.delete(job);
     }
   }
   return out;
 }
 
-function keepHeldRoom(part: Part, waiting: readonly PartJob[], s: Scratch, ctx: PlanContext): void {
+function keepHeldRoom(shard: Shard, waiting: readonly ShardJob[], s: Scratch, ctx: PlanContext): void {
   for (const job of waiting) {
-    for (const [index, hold] of job.holds) {
-      const machine = part.machines.get(hold.machine);
+    for (const [index, hold] of job.reservations) {
+      const machine = shard.machines.get(hold.machine);
       const room = machine ? scratchRoom(machine, s, ctx) : null;
       const over = !machine || ctx.now >= hold.until || !job.waiting.has(index);
-      if (over || (hold.reserved && !room)) job.holds.delete(index);
+      if (over || (hold.reserved && !room)) job.reservations.delete(index);
       else take(room, job.spec, 1);
-      if (hold.reserved && job.holds.has(index)) s.reserved += 1;
+      if (hold.reserved && job.reservations.has(index)) s.reserved += 1;
     }
   }
 }
 
-function placeJob(part: Part, job: PartJob, s: Scratch, ctx: PlanContext, plan: Plan): void {
+function placeJob(shard: Shard, job: ShardJob, s: Scratch, ctx: PlanContext, plan: Plan): void {
   const noRoom: number[] = [];
   const noLimit: number[] = [];
   const places = new Map<ZoneId | null, Places>();
@@ -132,7 +139,12 @@
   const pinned = job.record.assignments.some((a) => a.zone !== null);
   const shown = new Map<ZoneId | null, number>();
   for (const index of runsToTry(job, shown)) {
-    if (!pinned && job.holds.size === 0 && plan.holds.length === holds && (hopeless.size > 0 || limited)) {
+    if (
+      !pinned &&
+      job.reservations.size === 0 &&
+      plan.holds.length === holds &&
+      (hopeless.size > 0 || limited)
+    ) {
       // What holds for one task of the job holds for all.
       plan.unplaced.push({ job, reason: limited ? 'limit' : 'room', indices: 'all' });
       return;
@@ -140,23 +152,23 @@
     if (noLimit.length >= UNPLACED_SHOWN || plan.starts.length >= MAX_STARTS) break;
     if (!withinShare(job.spec, s, ctx)) {
       noLimit.push(index);
-      if (noLimit.length === 1) reserveShare(part, job, 1, s, ctx, plan);
-      if (job.spec.priority === Priority.critical) makeShare(part, job, noLimit.length, s, ctx, plan);
+      if (noLimit.length === 1) reserveShare(shard, job, 1, s, ctx, plan);
+      if (job.spec.priority === Priority.critical) makeShare(shard, job, noLimit.length, s, ctx, plan);
       else limited = true;
       continue;
     }
-    const pin = pinOf(job, index);
-    const hold = job.holds.get(index);
-    if (hold && !job.holds.delete(index)) continue;
-    const held = hold && part.machines.get(hold.machine);
+    const pin = requiredZone(job, index);
+    const hold = job.reservations.get(index);
+    if (hold && !job.reservations.delete(index)) continue;
+    const held = hold && shard.machines.get(hold.machine);
     if (held) take(scratchRoom(held, s, ctx), job.spec, -1);
     let open = places.get(pin);
-    if (!open) places.set(pin, (open = placesFor(part, job, pin, s, ctx)));
+    if (!open) places.set(pin, (open = placesFor(shard, job, pin, s, ctx)));
     const machine = open.next(held);
     const worse = machine && held?.images.has(job.spec.image) && fetchMatters(job, machine, ctx);
     if (hold && held && machine !== held && (!machine || worse)) {
       // Its place is being cleared: a free machine that lacks the image would only start it later.
-      job.holds.set(index, hold);
+      job.reservations.set(index, hold);
       take(s.room.get(held.id), job.spec, 1);
       continue;
     }
@@ -164,7 +176,7 @@
       machine &&
       machine !== held &&
       fetchMatters(job, machine, ctx) &&
-      makeRoom(part, job, index, pin, s, ctx, plan, true);
+      makeRoom(shard, job, index, pin, s, ctx, plan, true);
     if (machine && !better) {
       take(s.room.get(machine.id), job.spec, 1);
       charge(s, job.spec);
@@ -173,10 +185,10 @@
     }
     if (!better && !hopeless.has(pin)) {
       // One search that finds nobody to stop speaks for all tasks of the job: others need the searches too.
-      if (makeRoom(part, job, index, pin, s, ctx, plan)) continue;
+      if (makeRoom(shard, job, index, pin, s, ctx, plan)) continue;
       hopeless.add(pin);
     }
-    if (!better && reservePlace(part, job, index, pin, s, ctx, plan)) continue;
+    if (!better && reservePlace(shard, job, index, pin, s, ctx, plan)) continue;
     noRoom.push(index);
     shown.set(pin, (shown.get(pin) ?? 0) + 1);
   }
@@ -185,13 +197,20 @@
 }
 
 /** The waiting tasks of a job, less the rest of those whose zone has shown that it has no room for many of them. */
-function* runsToTry(job: PartJob, shown: ReadonlyMap<ZoneId | null, number>): Generator<number> {
+function* runsToTry(job: ShardJob, shown: ReadonlyMap<ZoneId | null, number>): Generator<number> {
   for (const { from, to, zone } of waitingRuns(job))
     for (let index = from; index < to && (shown.get(zone) ?? 0) < UNPLACED_SHOWN; index += 1) yield index;
 }
 
 /** A team at its limit: its critical tasks get what its own lesser work uses of the resources that are short. */
-function makeShare(part: Part, job: PartJob, count: number, s: Scratch, ctx: PlanContext, plan: Plan): void {
+function makeShare(
+  shard: Shard,
+  job: ShardJob,
+  count: number,
+  s: Scratch,
+  ctx: PlanContext,
+  plan: Plan,
+): void {
   const { spec } = job;
   const share = ctx.share(spec.team);
   const used = usedWith(spec, s);
@@ -199,9 +218,9 @@
   const isEnough = (freed: Resources): boolean => short.every((kind) => freed[kind] >= count * spec[kind]);
   const freed = (): Resources => s.leaving.get(spec.team) ?? ZERO;
   if (isEnough(freed())) return;
-  const own: Binding[] = [];
-  for (const [id, bindings] of part.boundOf) {
-    const lesser = part.jobs.get(id)?.spec;
+  const own: Allocation[] = [];
+  for (const [id, bindings] of shard.allocationsByJob) {
+    const lesser = shard.jobs.get(id)?.spec;
     if (lesser?.team !== spec.team || lesser.priority <= spec.priority) continue;
     if (!short.some((kind) => lesser[kind] > 0)) continue;
     for (const b of bindings) if (b.spec && !b.stop && !s.stopping.has(b)) own.push(b);
@@ -216,7 +235,7 @@
 }
 
 /** Work that should start at once: would it wait for its image there, longer than room is made elsewhere? */
-function fetchMatters(job: PartJob, machine: Machine, ctx: PlanContext): boolean {
+function fetchMatters(job: ShardJob, machine: Machine, ctx: PlanContext): boolean {
   if (machine.images.has(job.spec.image)) return false;
   if (job.spec.priority !== Priority.critical && !ctx.guaranteed(job.id)) return false;
   const rate = ctx.types.get(machine.type)?.fetchGbPerS ?? 1;
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -11,7 +11,7 @@
   type MutableResources,
   type Resources,
 } from '../model/resources.js';
-import type { Binding, Machine, Part, PartJob } from '../parts/model.js';
+import type { Allocation, Machine, Shard, ShardJob } from '../shards/model.js';
 import type { SteadyMs, ZoneId } from '../units.js';
 import { millis, plus } from '../units.js';
 import { isCrowded } from './places.js';
@@ -48,7 +48,7 @@
 type SizeContext = Pick<PlanContext, 'now' | 'types'>;
 
 /** Work lost when this task is stopped now: its size in CPUs, by its dominant resource, times milliseconds. */
-export function lostWork(b: Binding, ctx: SizeContext): number {
+export function lostWork(b: Allocation, ctx: SizeContext): number {
   if (!b.spec) return 0;
   const size = sizeOf(b.spec, ctx.types.values());
   if (b.runningSince === null) return 0.5 * size * 1000;
@@ -57,27 +57,27 @@
 }
 
 /** What the users lose with a task besides its work: 2 when its job's deadline can still be kept, 0 when none can. */
-function deadlineStanding(part: Part, b: Binding, ctx: PlanContext): number {
-  const job = part.jobs.get(b.job);
+function deadlineStanding(shard: Shard, b: Allocation, ctx: PlanContext): number {
+  const job = shard.jobs.get(b.job);
   if (!b.spec || b.spec.deadlineS === null || !job) return 0;
   const run = b.runningSince === null ? 0 : ctx.now - b.runningSince;
   const estimate = b.spec.estimateS * ctx.correction(b.spec.lane) * 1000;
   return 2 - lateness(job, Math.max(0, estimate - run), ctx);
 }
 
-function preemptionCost(part: Part, b: Binding, ctx: PlanContext): number {
+function preemptionCost(shard: Shard, b: Allocation, ctx: PlanContext): number {
   const size = b.spec ? sizeOf(b.spec, ctx.types.values()) : 0;
   // A gang stops as a whole.
   const tasks = b.spec?.shape === 'gang' ? b.spec.tasks : 1;
-  return tasks * (lostWork(b, ctx) + deadlineStanding(part, b, ctx) * DEADLINE_STANDING_WORTH * size);
+  return tasks * (lostWork(b, ctx) + deadlineStanding(shard, b, ctx) * DEADLINE_STANDING_WORTH * size);
 }
 
 /** These tasks, and all others of the gangs among them. */
-function withTheirGangs(part: Part, list: readonly Binding[]): Set<Binding> {
+function withTheirGangs(shard: Shard, list: readonly Allocation[]): Set<Allocation> {
   const all = new Set(list);
   for (const b of list) {
     if (b.spec?.shape !== 'gang') continue;
-    for (const member of part.boundOf.get(b.job) ?? []) if (!member.stop) all.add(member);
+    for (const member of shard.allocationsByJob.get(b.job) ?? []) if (!member.stop) all.add(member);
   }
   return all;
 }
@@ -86,7 +86,7 @@
  * The same order as `rank` decides who is stopped for whom: otherwise a task that was stopped is placed first in
  * the next round, and both stop each other for good.
  */
-function mayStop(b: Binding, job: PartJob, guaranteed: boolean, s: Scratch, ctx: PlanContext): boolean {
+function mayStop(b: Allocation, job: ShardJob, guaranteed: boolean, s: Scratch, ctx: PlanContext): boolean {
   if (b.stop || !b.spec || s.stopping.has(b) || b.job === job.id) return false;
   if (job.spec.priority === Priority.critical) return b.spec.priority !== Priority.critical;
   if (b.spec.priority === Priority.critical) return false;
@@ -99,10 +99,10 @@
  * A job that began long overdue went before guaranteed work: stopped for that at once, it would be placed first again,
  * and both would stop each other for good.
  */
-function isProtected(part: Part, b: Binding, by: PartJob, ctx: PlanContext): boolean {
-  const job = part.jobs.get(b.job);
+function isProtected(shard: Shard, b: Allocation, by: ShardJob, ctx: PlanContext): boolean {
+  const job = shard.jobs.get(b.job);
   if (!job || by.spec.priority === Priority.critical || !job.record.done.isEmpty) return false;
-  return b.boundAt - job.firstSeen > OVERDUE_AFTER && ctx.now - b.boundAt < PROTECTED_FOR;
+  return b.allocatedAt - job.firstSeen > OVERDUE_AFTER && ctx.now - b.allocatedAt < PROTECTED_FOR;
 }
 
 /** Would its team without this task still use all of a guarantee that the task counts for? None: it is all borrowed. */
@@ -118,32 +118,32 @@
 
 interface Preemption {
   readonly machine: Machine;
-  readonly list: readonly Binding[];
+  readonly list: readonly Allocation[];
   readonly cost: number;
 }
 
 function preemptionOn(
-  part: Part,
+  shard: Shard,
   m: Machine,
   room: Resources,
-  job: PartJob,
+  job: ShardJob,
   guaranteed: boolean,
   s: Scratch,
   ctx: PlanContext,
 ): Preemption | null {
-  const stoppable: Binding[] = [];
+  const stoppable: Allocation[] = [];
   const most = { ...room };
-  for (const b of m.bindings.values()) {
-    if (!mayStop(b, job, guaranteed, s, ctx) || isProtected(part, b, job, ctx)) continue;
+  for (const b of m.allocations.values()) {
+    if (!mayStop(b, job, guaranteed, s, ctx) || isProtected(shard, b, job, ctx)) continue;
     stoppable.push(b);
     take(most, b.spec as JobSpec, -1);
   }
   // What each costs is only worth finding out where it would be enough.
   if (!fits(job.spec, most)) return null;
-  const candidates = stoppable.map((b) => ({ b, cost: preemptionCost(part, b, ctx) }));
+  const candidates = stoppable.map((b) => ({ b, cost: preemptionCost(shard, b, ctx) }));
   candidates.sort((x, y) => x.cost - y.cost);
   const free = { ...room };
-  const list: Binding[] = [];
+  const list: Allocation[] = [];
   let cost = 0;
   for (const { b, cost: more } of candidates) {
     if (fits(job.spec, free)) break;
@@ -154,12 +154,12 @@
   return fits(job.spec, free) ? { machine: m, list, cost } : null;
 }
 
-const criticalPatience = (part: Part, job: PartJob, ctx: PlanContext): number =>
-  job.record.home === part.id && ctx.peerHasRoom(job.spec) ? CRITICAL_PATIENCE : 0;
+const criticalPatience = (shard: Shard, job: ShardJob, ctx: PlanContext): number =>
+  job.record.home === shard.id && ctx.peerHasRoom(job.spec) ? CRITICAL_PATIENCE : 0;
 
 export function makeRoom(
-  part: Part,
-  job: PartJob,
+  shard: Shard,
+  job: ShardJob,
   index: number,
   pin: ZoneId | null,
   s: Scratch,
@@ -172,25 +172,25 @@
   if (s.searches >= (critical ? MAX_CRITICAL_SEARCHES : MAX_PREEMPTION_SEARCHES) || ctx.now < job.searchAfter)
     return false;
   if (!critical && deadlineAt(job) < ctx.now) return false;
-  if (!holdersOnly && waited < PATIENCE && !(critical && waited >= criticalPatience(part, job, ctx)))
+  if (!holdersOnly && waited < PATIENCE && !(critical && waited >= criticalPatience(shard, job, ctx)))
     return false;
   const alike = critical || holdersOnly ? null : fruitlessKey(job, pin, ctx);
-  if (alike !== null && isFruitless(part, alike, job.spec, ctx.now)) return false;
+  if (alike !== null && isFruitless(shard, alike, job.spec, ctx.now)) return false;
   s.searches += 1;
-  const best = cheapestPreemption(part, job, pin, s, ctx, holdersOnly);
+  const best = cheapestPreemption(shard, job, pin, s, ctx, holdersOnly);
   if (!best) {
     // Nobody may be stopped for it: that changes with what runs, not from one round to the next.
     if (!critical && !holdersOnly) job.searchAfter = plus(ctx.now, millis(SEARCH_AGAIN));
-    if (alike !== null) noteFruitless(part, alike, job.spec, ctx.now);
+    if (alike !== null) noteFruitless(shard, alike, job.spec, ctx.now);
     return false;
   }
   const { machine } = best;
   const soon = soonRoom(machine, s, ctx);
-  for (const b of withTheirGangs(part, best.list)) {
+  for (const b of withTheirGangs(shard, best.list)) {
     if (s.stopping.has(b)) continue;
     s.stopping.add(b);
     leaving(s, b.spec as JobSpec);
-    const freed = part.machines.get(b.machine);
+    const freed = shard.machines.get(b.machine);
     if (freed) take(soonRoom(freed, s, ctx), b.spec as JobSpec, -1);
     plan.stops.push({ binding: b, grace: graceFor(b) });
   }
@@ -202,22 +202,22 @@
 }
 
 /** Who may be stopped depends on this alone, and on how much room is asked for. */
-function fruitlessKey({ id, spec }: PartJob, pin: ZoneId | null, ctx: PlanContext): string {
+function fruitlessKey({ id, spec }: ShardJob, pin: ZoneId | null, ctx: PlanContext): string {
   const team = ctx.guaranteed(id) ? spec.team : '';
   return [spec.priority, team, spec.spot, spec.zone, pin, spec.types?.join()].join('/');
 }
 
 /** With hundreds of jobs waiting, each would look at every machine for itself and find nobody. */
-function isFruitless(part: Part, key: string, spec: JobSpec, now: SteadyMs): boolean {
-  const failed = part.fruitless.get(key);
+function isFruitless(shard: Shard, key: string, spec: JobSpec, now: SteadyMs): boolean {
+  const failed = shard.failedSearches.get(key);
   return failed !== undefined && now < failed.until && covers(spec, failed.need);
 }
 
-function noteFruitless(part: Part, key: string, spec: JobSpec, now: SteadyMs): void {
+function noteFruitless(shard: Shard, key: string, spec: JobSpec, now: SteadyMs): void {
   const { cpus, gpus, memoryGb } = spec;
   // Users may name any list of types: old keys are not kept for ever.
-  if (part.fruitless.size >= MAX_FRUITLESS) part.fruitless.clear();
-  part.fruitless.set(key, { need: { cpus, gpus, memoryGb }, until: plus(now, millis(SEARCH_AGAIN)) });
+  if (shard.failedSearches.size >= MAX_FRUITLESS) shard.failedSearches.clear();
+  shard.failedSearches.set(key, { need: { cpus, gpus, memoryGb }, until: plus(now, millis(SEARCH_AGAIN)) });
 }
 
 /** What a machine will have once those stopped in this round are gone. */
@@ -233,8 +233,8 @@
 
 /** The cheapest of the first machines on which enough may be stopped. */
 function cheapestPreemption(
-  part: Part,
-  job: PartJob,
+  shard: Shard,
+  job: ShardJob,
   pin: ZoneId | null,
   s: Scratch,
   ctx: PlanContext,
@@ -243,12 +243,12 @@
   const guaranteed = ctx.guaranteed(job.id);
   let best: Preemption | null = null;
   let found = 0;
-  for (const m of holdersOnly ? part.sums.holdersOf(job.spec.image) : part.machines.values()) {
-    if (isZero(m.lesser) || !allowed(job.spec, m.type, m.zone, m.spot, pin)) continue;
+  for (const m of holdersOnly ? shard.totals.holdersOf(job.spec.image) : shard.machines.values()) {
+    if (isZero(m.preemptible) || !allowed(job.spec, m.type, m.zone, m.spot, pin)) continue;
     const room = s.soon.get(m.id) ?? scratchRoom(m, s, ctx);
-    if (!room || !fits(job.spec, add(room, m.lesser))) continue;
+    if (!room || !fits(job.spec, add(room, m.preemptible))) continue;
     if (isCrowded(m, room, job.spec, ctx.types.get(m.type), ctx.now)) continue;
-    const preemption = preemptionOn(part, m, room, job, guaranteed, s, ctx);
+    const preemption = preemptionOn(shard, m, room, job, guaranteed, s, ctx);
     if (!preemption) continue;
     if (!best || preemption.cost < best.cost) best = preemption;
     found += 1;
@@ -258,6 +258,6 @@
 }
 
 /** Time to save for a task that can; none for others. */
-export function graceFor(b: Binding): number {
+export function graceFor(b: Allocation): number {
   return b.spec && b.spec.checkpointS > 0 ? Math.ceil(b.spec.saveS + 1) : 0;
 }
--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -14,7 +14,7 @@
   type MutableResources,
   type Resources,
 } from '../model/resources.js';
-import { pinOf, type Machine, type Part, type PartJob } from '../parts/model.js';
+import { requiredZone, type Machine, type Shard, type ShardJob } from '../shards/model.js';
 import type { MachineId, ZoneId } from '../units.js';
 import { chargeAll, scratchRoom, take, type Plan, type PlanContext, type Scratch } from './round.js';
 
@@ -26,8 +26,8 @@
 const MOST_OF_MACHINE = 0.5;
 
 /** How long the job has waited without any start; 0: it has begun. */
-export function unbegunFor(part: Part, job: PartJob, ctx: PlanContext): number {
-  const begun = !job.record.done.isEmpty || !job.finished.isEmpty || part.boundOf.has(job.id);
+export function unbegunFor(shard: Shard, job: ShardJob, ctx: PlanContext): number {
+  const begun = !job.record.done.isEmpty || !job.finished.isEmpty || shard.allocationsByJob.has(job.id);
   return begun ? 0 : ctx.now - job.firstSeen;
 }
 
@@ -44,8 +44,8 @@
  * while one machine is kept for it and empties. One for each job, and few of a part's machines at a time.
  */
 export function reservePlace(
-  part: Part,
-  job: PartJob,
+  shard: Shard,
+  job: ShardJob,
   index: number,
   pin: ZoneId | null,
   s: Scratch,
@@ -53,12 +53,12 @@
   plan: Plan,
 ): boolean {
   const { spec } = job;
-  if (unbegunFor(part, job, ctx) <= RESERVE_AFTER || job.holds.size > 0) return false;
+  if (unbegunFor(shard, job, ctx) <= RESERVE_AFTER || job.reservations.size > 0) return false;
   if (plan.holds.some((h) => h.job === job)) return false;
-  const most = Math.max(1, Math.floor(part.machines.size / RESERVED_SHARE));
+  const most = Math.max(1, Math.floor(shard.machines.size / RESERVED_SHARE));
   if (s.reserved + plan.holds.filter((h) => h.reserved).length >= most) return false;
   let best: { machine: Machine; room: MutableResources; free: number } | null = null;
-  for (const machine of part.machines.values()) {
+  for (const machine of shard.machines.values()) {
     const type = ctx.types.get(machine.type);
     if (!type || !needsMost(type, spec) || !allowed(spec, machine.type, machine.zone, machine.spot, pin))
       continue;
@@ -78,15 +78,15 @@
  * Of an array that is one task, of a gang all of them.
  */
 export function reserveShare(
-  part: Part,
-  job: PartJob,
+  shard: Shard,
+  job: ShardJob,
   count: number,
   s: Scratch,
   ctx: PlanContext,
   plan: Plan,
 ): void {
   const { spec } = job;
-  if (plan.gathering.has(spec.team) || unbegunFor(part, job, ctx) <= RESERVE_AFTER) return;
+  if (plan.gathering.has(spec.team) || unbegunFor(shard, job, ctx) <= RESERVE_AFTER) return;
   const needed = scale(spec, count);
   plan.gathering.set(spec.team, needed);
   chargeAll(s, spec.team, needed);
@@ -97,18 +97,18 @@
 const GANG_PAUSES = 30_000;
 
 /** Nobody else may wait beside room that is kept free for as long as a minute and a half. */
-function mayKeepPlaces(part: Part, job: PartJob, ctx: PlanContext): boolean {
-  const waited = unbegunFor(part, job, ctx) - RESERVE_AFTER;
+function mayKeepPlaces(shard: Shard, job: ShardJob, ctx: PlanContext): boolean {
+  const waited = unbegunFor(shard, job, ctx) - RESERVE_AFTER;
   return waited > 0 && waited % (GANG_KEEPS + GANG_PAUSES) < GANG_KEEPS;
 }
 
 /** At the end of its turn a gang gives up the places that were kept for it. */
-export function endGangTurn(part: Part, job: PartJob, s: Scratch, ctx: PlanContext): void {
-  if (mayKeepPlaces(part, job, ctx)) return;
-  for (const [index, { machine, reserved }] of job.holds) {
+export function endGangTurn(shard: Shard, job: ShardJob, s: Scratch, ctx: PlanContext): void {
+  if (mayKeepPlaces(shard, job, ctx)) return;
+  for (const [index, { machine, reserved }] of job.reservations) {
     if (!reserved) continue;
     take(s.room.get(machine), job.spec, -1);
-    job.holds.delete(index);
+    job.reservations.delete(index);
   }
 }
 
@@ -122,18 +122,18 @@
  * a part at a time, and only where that makes room for all of it.
  */
 export function reserveGangPlaces(
-  part: Part,
-  job: PartJob,
+  shard: Shard,
+  job: ShardJob,
   mayTake: (machine: Machine) => boolean,
   s: Scratch,
   ctx: PlanContext,
   plan: Plan,
 ): boolean {
-  if (!mayKeepPlaces(part, job, ctx) || job.holds.size > 0) return false;
+  if (!mayKeepPlaces(shard, job, ctx) || job.reservations.size > 0) return false;
   if (s.reserved > 0 || plan.holds.some((h) => h.reserved)) return false;
   const places: ReservedPlace[] = [];
   for (const index of job.waiting) {
-    const machine = roomiest(part, job.spec, pinOf(job, index), mayTake, s, ctx);
+    const machine = roomiest(shard, job.spec, requiredZone(job, index), mayTake, s, ctx);
     if (!machine) break;
     take(scratchRoom(machine, s, ctx), job.spec, 1);
     places.push({ index, machine: machine.id });
@@ -149,7 +149,7 @@
 
 /** The machine with most free that has room for the task once lesser work has left it. */
 function roomiest(
-  part: Part,
+  shard: Shard,
   spec: JobSpec,
   pin: ZoneId | null,
   mayTake: (machine: Machine) => boolean,
@@ -157,11 +157,11 @@
   ctx: PlanContext,
 ): Machine | null {
   let best: { readonly machine: Machine; readonly free: number } | null = null;
-  for (const machine of part.machines.values()) {
+  for (const machine of shard.machines.values()) {
     const type = ctx.types.get(machine.type);
     if (!type || !allowed(spec, machine.type, machine.zone, machine.spot, pin) || !mayTake(machine)) continue;
     const room = scratchRoom(machine, s, ctx);
-    if (!room || !fits(spec, add(room, machine.lesser))) continue;
+    if (!room || !fits(spec, add(room, machine.preemptible))) continue;
     const free = freeForReserve(room, type, spec);
     if (!best || free > best.free) best = { machine, free };
   }
--- a/src/placement/round.ts
+++ b/src/placement/round.ts
@@ -10,7 +10,14 @@
   type MutableResources,
   type Resources,
 } from '../model/resources.js';
-import { roomOn, usageOf, type Binding, type Machine, type Part, type PartJob } from '../parts/model.js';
+import {
+  roomOn,
+  usageOf,
+  type Allocation,
+  type Machine,
+  type Shard,
+  type ShardJob,
+} from '../shards/model.js';
 import type { Team } from '../settings/settings.js';
 import type { Attempt, JobId, MachineId, SteadyMs, TeamId, TypeId } from '../units.js';
 
@@ -39,7 +46,7 @@
 }
 
 export interface Start {
-  readonly job: PartJob;
+  readonly job: ShardJob;
   readonly index: number;
   readonly machine: Machine;
   /** The attempt that it joins; absent: a new one. */
@@ -47,12 +54,12 @@
 }
 
 export interface Stop {
-  readonly binding: Binding;
+  readonly binding: Allocation;
   readonly grace: number;
 }
 
 export interface Unplaced {
-  readonly job: PartJob;
+  readonly job: ShardJob;
   readonly reason: 'room' | 'limit';
   /** `all`: everything that waits of a job without pins; told so, since thousands of tasks may wait round after round. */
   readonly indices: readonly number[] | 'all';
@@ -60,7 +67,7 @@
 
 /** A gang that its pool could not hold even if all lesser work left it, and how many of its tasks have no place. */
 export interface OversizedGang {
-  readonly job: PartJob;
+  readonly job: ShardJob;
   readonly tasks: number;
 }
 
@@ -69,7 +76,7 @@
 export interface Plan {
   readonly starts: Start[];
   readonly stops: Stop[];
-  readonly holds: { job: PartJob; index: number; machine: MachineId; reserved: boolean }[];
+  readonly holds: { job: ShardJob; index: number; machine: MachineId; reserved: boolean }[];
   readonly unplaced: Unplaced[];
   /** By team: the share of its limit that one task, or one gang, needs for which smaller ones now make way. */
   readonly gathering: Map<TeamId, Resources>;
@@ -84,7 +91,7 @@
   readonly soon: Map<MachineId, MutableResources>;
   readonly used: Map<TeamId, Resources>;
   readonly anybody: Resources;
-  readonly stopping: Set<Binding>;
+  readonly stopping: Set<Allocation>;
   readonly leaving: Map<TeamId, Resources>;
   searches: number;
   /** Machines that are kept for tasks that fit nowhere. */
@@ -128,12 +135,12 @@
   s.used.set(team, add(usedHere(s, team), amount));
 }
 
-export function deadlineAt(job: PartJob): number {
+export function deadlineAt(job: ShardJob): number {
   return job.spec.deadlineS === null ? Infinity : job.firstSeen + job.spec.deadlineS * 1000;
 }
 
 /** 0: its deadline can be kept; 1: its users' second measure of lateness can; 2: neither. */
-export function lateness(job: PartJob, estimate: number, ctx: PlanContext): number {
+export function lateness(job: ShardJob, estimate: number, ctx: PlanContext): number {
   if (job.spec.deadlineS === null) return 0;
   const left = ctx.now + estimate - job.firstSeen;
   const due = job.spec.deadlineS * 1000;
@@ -142,12 +149,13 @@
 
 export function usable(m: Machine, ctx: Pick<PlanContext, 'now' | 'reportMs'>): boolean {
   if (m.unreachedSince !== null) return false;
-  if (!m.settled || m.draining || m.returning || m.takenAt !== null || ctx.now < m.avoidUntil) return false;
+  if (!m.reconciled || m.draining || m.returning || m.interruptedAt !== null || ctx.now < m.quarantinedUntil)
+    return false;
   return m.lastHeard !== null && ctx.now - m.lastHeard < ctx.reportMs * 2 + 1000;
 }
 
-export function startRound(part: Part): Scratch {
-  const usage = usageOf(part);
+export function startRound(shard: Shard): Scratch {
+  const usage = usageOf(shard);
   const s: Scratch = {
     room: new Map(),
     soon: new Map(),
@@ -160,7 +168,7 @@
     searches: 0,
     reserved: 0,
   };
-  for (const b of part.stopping) if (b.spec) leaving(s, b.spec);
+  for (const b of shard.stopping) if (b.spec) leaving(s, b.spec);
   return s;
 }
 
@@ -179,7 +187,7 @@
     refill(s.used, used);
     refill(s.leaving, leaving);
     s.stopping.clear();
-    for (const binding of stopping) s.stopping.add(binding);
+    for (const allocation of stopping) s.stopping.add(allocation);
     stops.length = decided.stops;
     holds.length = decided.holds;
   };
--- a/src/placement/runtimes.ts
+++ b/src/placement/runtimes.ts
@@ -2,7 +2,7 @@
 const KEPT = 40;
 const MIN_SAMPLES = 6;
 
-export class RunTimes {
+export class RuntimeEstimator {
   private readonly ratios = new Map<string, number[]>();
   private readonly medians = new Map<string, number>();
 
--- a/src/placement/scheduler.ts
+++ b/src/placement/scheduler.ts
@@ -1,22 +1,29 @@
 /** Runs placement rounds: plans, binds, stops, and passes on what found no room. */
 import type { Core } from '../core.js';
-import type { Fleet } from '../fleet/fleet.js';
-import { MachineTransfer } from '../flock/machine-transfer.js';
-import { Overflow } from '../flock/overflow.js';
-import { capacityFor } from '../flock/willing.js';
+import type { Autoscaler } from '../fleet/fleet.js';
+import { MachineTransfer } from '../overflow/machine-transfer.js';
+import { Overflow } from '../overflow/hand-over.js';
+import { capacityFor } from '../overflow/peer-ranking.js';
 import type { JobRecord } from '../jobs/record.js';
 import type { JobSpec } from '../jobs/spec.js';
 import { add, addTo, ZERO, type MutableResources, type Resources } from '../model/resources.js';
-import { bind, unbind, type Binding, type Machine, type Part, type PartJob } from '../parts/model.js';
+import {
+  allocate,
+  release,
+  type Allocation,
+  type Machine,
+  type Shard,
+  type ShardJob,
+} from '../shards/model.js';
 import { Guarantees } from '../quota/guarantee.js';
-import type { QuotaDesk } from '../quota/desk.js';
+import type { QuotaTransferService } from '../quota/transfer-service.js';
 import type { Attempt, JobId, SteadyMs, TaskIndex, TeamId } from '../units.js';
 import { millis, plus, taskId } from '../units.js';
 import type { WorkerService } from '../workers/service.js';
 import { chooseMove } from './consolidation.js';
 import { planRound } from './plan.js';
 import { countOf, type Plan, type PlanContext, type Start } from './round.js';
-import type { RunTimes } from './runtimes.js';
+import type { RuntimeEstimator } from './runtimes.js';
 import { graceFor } from './preemption.js';
 
 /** Rounds come this far apart while critical work waits, and otherwise, so that many events share one. */
@@ -47,7 +54,7 @@
   private lastRound = -1e12;
   private dueAt = 0;
   /** Jobs that found no room in a part's last round. */
-  private readonly short = new WeakMap<Part, ReadonlySet<PartJob>>();
+  private readonly short = new WeakMap<Shard, ReadonlySet<ShardJob>>();
   private readonly guarantees: Guarantees;
   private lastMove = -1e12;
   readonly overflow: Overflow;
@@ -56,9 +63,9 @@
   constructor(
     private readonly core: Core,
     private readonly workers: WorkerService,
-    private readonly quota: QuotaDesk,
-    private readonly fleet: Fleet,
-    private readonly runTimes: RunTimes,
+    private readonly quota: QuotaTransferService,
+    private readonly fleet: Autoscaler,
+    private readonly runTimes: RuntimeEstimator,
   ) {
     this.overflow = new Overflow(core);
     this.transfers = new MachineTransfer(core);
@@ -86,7 +93,7 @@
       this.armed = false;
       void this.core.exclusive(() => {
         this.lastRound = this.core.clock.now();
-        for (const part of this.core.parts.values()) this.round(part);
+        for (const shard of this.core.parts.values()) this.round(shard);
         this.lastCost = this.core.clock.now() - this.lastRound;
       });
     });
@@ -97,49 +104,53 @@
     this.guarantees.learn(id, record);
   }
 
-  private round(part: Part): void {
+  private round(shard: Shard): void {
     const now = this.core.clock.now();
     if (!this.core.authority(now)) return;
-    this.moveOffNoticed(part);
-    const context = this.context(now, part);
-    const plan = planRound(part, context);
-    this.apply(part, plan, now);
-    if (plan.starts.length + plan.stops.length + plan.unplaced.length === 0) this.consolidate(part, context);
-    this.workers.dispatch(part);
-    this.overflow.consider(part, plan.unplaced);
-    this.askForShares(part, plan);
-    if (plan.oversized) this.transfers.request(part, plan.oversized);
-    this.fleet.demand(part, plan.unplaced, now);
+    this.moveOffNoticed(shard);
+    const context = this.context(now, shard);
+    const plan = planRound(shard, context);
+    this.apply(shard, plan, now);
+    if (plan.starts.length + plan.stops.length + plan.unplaced.length === 0) this.consolidate(shard, context);
+    this.workers.dispatch(shard);
+    this.overflow.consider(shard, plan.unplaced);
+    this.askForShares(shard, plan);
+    if (plan.oversized) this.transfers.request(shard, plan.oversized);
+    this.fleet.demand(shard, plan.unplaced, now);
   }
 
   /** While nothing waits and nothing is on its way to or from a machine here. */
-  private consolidate(part: Part, context: PlanContext): void {
+  private consolidate(shard: Shard, context: PlanContext): void {
     const { now } = context;
-    if (!part.accounted || part.stopping.size > 0 || now - this.lastMove < MOVE_GAP) return;
+    if (!shard.reconciled || shard.stopping.size > 0 || now - this.lastMove < MOVE_GAP) return;
     this.lastMove = now;
-    const move = chooseMove(part, context);
+    const move = chooseMove(shard, context);
     if (!move) return;
-    const job = part.jobs.get(move.binding.job);
-    job?.holds.set(move.binding.index, { machine: move.to.id, until: plus(now, HOLD), reserved: false });
-    this.stop(part, move.binding, 0);
+    const job = shard.jobs.get(move.binding.job);
+    job?.reservations.set(move.binding.index, {
+      machine: move.to.id,
+      until: plus(now, HOLD),
+      reserved: false,
+    });
+    this.stop(shard, move.binding, 0);
   }
 
-  private context(now: SteadyMs, part: Part): PlanContext {
+  private context(now: SteadyMs, shard: Shard): PlanContext {
     const { core } = this;
-    const others = [...core.settings.parts].filter((p) => p.part !== part.id);
+    const others = [...core.settings.parts].filter((p) => p.part !== shard.id);
     const elsewhere = new Map<TeamId, Resources>();
     for (const { part: id } of others) {
-      const used = core.parts.get(id)?.sums.teams ?? core.partNews.get(id)?.used ?? [];
+      const used = core.parts.get(id)?.totals.teams ?? core.shardAnnouncements.get(id)?.used ?? [];
       for (const [team, amount] of used) elsewhere.set(team, add(elsewhere.get(team) ?? ZERO, amount));
     }
     return {
       now,
       types: core.types,
       teams: core.settings.teams,
-      share: (team) => this.quota.share(part.id, team),
+      share: (team) => this.quota.share(shard.id, team),
       usedElsewhere: (team) => elsewhere.get(team) ?? ZERO,
       guaranteed: remembered((job) => this.guarantees.has(job)),
-      peerHasRoom: (spec) => this.peerHasRoom(part, spec, now),
+      peerHasRoom: (spec) => this.peerHasRoom(shard, spec, now),
       latest: (lane) => core.settings.latest.get(lane) ?? 1,
       correction: (lane) => this.runTimes.correction(lane),
       reportMs: core.reportMs,
@@ -147,38 +158,38 @@
     };
   }
 
-  private peerHasRoom(part: Part, spec: JobSpec, now: SteadyMs): boolean {
-    for (const o of this.core.offers.values()) {
-      if (o.part !== part.id && o.expires > now && capacityFor(o, spec, null) > 0) return true;
+  private peerHasRoom(shard: Shard, spec: JobSpec, now: SteadyMs): boolean {
+    for (const o of this.core.freeCapacity.values()) {
+      if (o.part !== shard.id && o.expires > now && capacityFor(o, spec, null) > 0) return true;
     }
     return false;
   }
 
-  private apply(part: Part, plan: Plan, now: SteadyMs): void {
+  private apply(shard: Shard, plan: Plan, now: SteadyMs): void {
     // A gang's tasks find each other by their attempt: all of one start share it.
     const gangs = new Map<JobId, Attempt>();
     for (const s of plan.starts) {
-      const attempt = s.attempt ?? gangs.get(s.job.id) ?? part.nextAttempt();
+      const attempt = s.attempt ?? gangs.get(s.job.id) ?? shard.nextAttempt();
       if (s.job.gang) gangs.set(s.job.id, attempt);
-      this.start(part, s, attempt, now);
+      this.start(shard, s, attempt, now);
     }
-    for (const s of plan.stops) this.stop(part, s.binding, s.grace);
+    for (const s of plan.stops) this.stop(shard, s.binding, s.grace);
     for (const { job, index, machine, reserved } of plan.holds)
-      job.holds.set(index, { machine, until: plus(now, reserved ? RESERVED : HOLD), reserved });
+      job.reservations.set(index, { machine, until: plus(now, reserved ? RESERVED : HOLD), reserved });
     const teamsThatWaitFor = (reason: 'room' | 'limit'): Set<TeamId> =>
       new Set(plan.unplaced.filter((u) => u.reason === reason).map((u) => u.job.spec.team));
-    part.roomless = teamsThatWaitFor('room');
-    part.limited = teamsThatWaitFor('limit');
-    part.gathering = plan.gathering;
+    shard.teamsBlockedByCapacity = teamsThatWaitFor('room');
+    shard.teamsBlockedByQuota = teamsThatWaitFor('limit');
+    shard.quotaReservations = plan.gathering;
     const short = new Set(plan.unplaced.map((u) => u.job));
-    for (const job of this.short.get(part) ?? []) if (!short.has(job)) job.waitingSince = null;
+    for (const job of this.short.get(shard) ?? []) if (!short.has(job)) job.waitingSince = null;
     for (const job of short) job.waitingSince ??= now;
-    this.short.set(part, short);
+    this.short.set(shard, short);
   }
 
-  private start(part: Part, s: Start, attempt: Attempt, now: SteadyMs): void {
+  private start(shard: Shard, s: Start, attempt: Attempt, now: SteadyMs): void {
     const index = s.index as TaskIndex;
-    const binding: Binding = {
+    const allocation: Allocation = {
       id: taskId(s.job.id, index),
       job: s.job.id,
       index,
@@ -186,68 +197,68 @@
       machine: s.machine.id,
       spec: s.job.spec,
       phase: 'ordered',
-      boundAt: now,
+      allocatedAt: now,
       runningSince: null,
       gatheringSince: null,
       stop: null,
       inFlight: false,
       due: true,
-      doubt: null,
+      unacknowledged: null,
       answered: null,
     };
-    bind(part, s.machine, binding);
-    part.due.add(s.machine);
-    this.core.log.debug({ task: binding.id, machine: s.machine.id, attempt: binding.attempt }, 'start');
+    allocate(shard, s.machine, allocation);
+    shard.due.add(s.machine);
+    this.core.log.debug({ task: allocation.id, machine: s.machine.id, attempt: allocation.attempt }, 'start');
   }
 
   /** Stops a task; of a gang all tasks, with the same grace: only together can they save their work. */
-  stop(part: Part, b: Binding, grace: number): void {
-    if (b.spec?.shape !== 'gang') return this.stopTask(part, b, grace);
-    for (const member of [...(part.boundOf.get(b.job) ?? [])]) this.stopTask(part, member, grace);
+  stop(shard: Shard, b: Allocation, grace: number): void {
+    if (b.spec?.shape !== 'gang') return this.stopTask(shard, b, grace);
+    for (const member of [...(shard.allocationsByJob.get(b.job) ?? [])]) this.stopTask(shard, member, grace);
   }
 
-  private stopTask(part: Part, b: Binding, grace: number): void {
-    const machine = part.machines.get(b.machine);
+  private stopTask(shard: Shard, b: Allocation, grace: number): void {
+    const machine = shard.machines.get(b.machine);
     if (!machine || (b.stop && b.stop.grace <= grace)) return;
     this.core.log.debug({ task: b.id, machine: b.machine, grace }, 'stop');
     // Never sent: there is nothing to stop.
-    if (b.phase === 'ordered' && b.due && !b.inFlight && !b.doubt && b.answered === null)
-      unbind(part, machine, b);
+    if (b.phase === 'ordered' && b.due && !b.inFlight && !b.unacknowledged && b.answered === null)
+      release(shard, machine, b);
     else {
       b.stop = { grace, direct: 'due' };
-      part.stopping.add(b);
-      part.due.add(machine);
+      shard.stopping.add(b);
+      shard.due.add(machine);
     }
   }
 
   /** The job is over: every task of it is stopped, and counts until it is seen gone. */
-  stopJob(job: Binding['job']): void {
-    for (const part of this.core.parts.values()) {
-      part.jobs.delete(job);
-      for (const b of [...(part.boundOf.get(job) ?? [])]) this.stop(part, b, 0);
+  stopJob(job: Allocation['job']): void {
+    for (const shard of this.core.parts.values()) {
+      shard.jobs.delete(job);
+      for (const b of [...(shard.allocationsByJob.get(job) ?? [])]) this.stop(shard, b, 0);
     }
   }
 
   /** A machine about to be taken: what can save does, replicas move at once, the rest may still finish. */
-  private moveOffNoticed(part: Part): void {
-    for (const m of part.noticed) {
-      for (const b of [...m.bindings.values()]) {
+  private moveOffNoticed(shard: Shard): void {
+    for (const m of shard.interruptionNoticed) {
+      for (const b of [...m.allocations.values()]) {
         if (b.stop || !b.spec) continue;
         // Before its gang has started, another machine can take its place.
-        if (b.spec.shape === 'gang' && b.runningSince === null) this.stopTask(part, b, 0);
-        else if (b.spec.shape === 'service' || b.spec.checkpointS > 0) this.stop(part, b, graceFor(b));
-        else if (!this.mayFinish(b, m)) this.stop(part, b, 0);
+        if (b.spec.shape === 'gang' && b.runningSince === null) this.stopTask(shard, b, 0);
+        else if (b.spec.shape === 'service' || b.spec.checkpointS > 0) this.stop(shard, b, graceFor(b));
+        else if (!this.mayFinish(b, m)) this.stop(shard, b, 0);
       }
     }
   }
 
-  private mayFinish(b: Binding, m: Machine): boolean {
-    if (!b.spec || b.runningSince === null || m.takenAt === null) return false;
+  private mayFinish(b: Allocation, m: Machine): boolean {
+    if (!b.spec || b.runningSince === null || m.interruptedAt === null) return false;
     const expected = b.spec.estimateS * this.runTimes.correction(b.spec.lane) * 1000;
-    return b.runningSince + expected < m.takenAt + 2000;
+    return b.runningSince + expected < m.interruptedAt + 2000;
   }
 
-  private askForShares(part: Part, plan: Plan): void {
+  private askForShares(shard: Shard, plan: Plan): void {
     const need = new Map<TeamId, MutableResources>();
     for (const u of plan.unplaced) {
       if (u.reason !== 'limit') continue;
@@ -255,6 +266,6 @@
       addTo(sum, u.job.spec, countOf(u));
       need.set(u.job.spec.team, sum);
     }
-    for (const [team, amount] of need) this.quota.request(part, team, amount);
+    for (const [team, amount] of need) this.quota.request(shard, team, amount);
   }
 }
--- a/src/quota/remainder.ts
+++ b/src/quota/remainder.ts
@@ -6,7 +6,7 @@
  * complete the share of a task there. So pieces that are too small even together do not go back and forth.
  */
 import { fits, mapResources, RESOURCE_KINDS, type Resources } from '../model/resources.js';
-import type { PartId } from '../units.js';
+import type { ShardId } from '../units.js';
 
 export const fitsAny = (left: Resources, tasks: readonly Resources[]): boolean =>
   tasks.some((task) => fits(task, left));
@@ -33,5 +33,5 @@
 }
 
 /** May a remainder go from `giver` to `asker`, which misses so much for one task? */
-export const mayMove = (giver: PartId, asker: PartId, left: Resources, missing: Resources): boolean =>
+export const mayMove = (giver: ShardId, asker: ShardId, left: Resources, missing: Resources): boolean =>
   asker < giver || fits(missing, left);
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -2,7 +2,7 @@
 import * as v from 'valibot';
 import { add, mapResources, subtract, UNLIMITED, type Resources } from '../model/resources.js';
 import type { Team } from '../settings/settings.js';
-import type { PartId, StateKey, TeamId } from '../units.js';
+import type { ShardId, StateKey, TeamId } from '../units.js';
 
 /** Shares by part; they never add up to more than the team's limit. Of what is unlimited every part has no end. */
 export type Shares = readonly Resources[];
@@ -25,12 +25,12 @@
 
 /** Shares by kind of resource; the limit alone says what is unlimited. */
 function assembled(team: Team, parts: number, of: (kind: 'cpus' | 'gpus') => readonly number[]): Shares {
-  const limited = (kind: 'cpus' | 'gpus', part: number): number =>
-    team.limit[kind] === Infinity ? Infinity : (of(kind)[part] ?? 0);
-  return Array.from({ length: parts }, (_, part) => ({
+  const limited = (kind: 'cpus' | 'gpus', shard: number): number =>
+    team.limit[kind] === Infinity ? Infinity : (of(kind)[shard] ?? 0);
+  return Array.from({ length: parts }, (_, shard) => ({
     ...UNLIMITED,
-    cpus: limited('cpus', part),
-    gpus: limited('gpus', part),
+    cpus: limited('cpus', shard),
+    gpus: limited('gpus', shard),
   }));
 }
 
@@ -59,7 +59,7 @@
   return assembled(team, parts, (kind) => (kind === 'cpus' ? cpus : gpus));
 }
 
-export function moveShare(shares: Shares, from: PartId, to: PartId, amount: Resources): Shares {
+export function moveShare(shares: Shares, from: ShardId, to: ShardId, amount: Resources): Shares {
   return shares.map((share, i) => {
     if (i === from) return subtract(share, amount);
     return i === to ? add(share, amount) : share;
@@ -70,7 +70,12 @@
  * What a part gives of its share when a peer asks: never what it uses or its own tasks wait for, and nothing of an
  * unlimited resource, of which the peer has no less.
  */
-export function gift(share: Resources, used: Resources, ownNeed: Resources, asked: Resources): Resources {
+export function transferableQuota(
+  share: Resources,
+  used: Resources,
+  ownNeed: Resources,
+  asked: Resources,
+): Resources {
   return mapResources((kind) =>
     share[kind] === Infinity
       ? 0
