--- a/src/quota/desk.ts
+++ b/src/quota/transfer-service.ts
@@ -1,6 +1,7 @@
 /** Moves unused shares of teams' limits to the parts where the teams' tasks wait. */
 import type { Core } from '../core.js';
-import type { Ask } from '../flock/news.js';
+import { encodePeerMessage } from '../peers/codec.js';
+import type { QuotaTransferRequest } from '../peers/messages.js';
 import {
   add,
   addTo,
@@ -14,11 +15,11 @@
   type MutableResources,
   type Resources,
 } from '../model/resources.js';
-import { leastStart, usageOf, type Part, type PartJob } from '../parts/model.js';
-import { Rank } from '../state/budget.js';
-import type { PartId, Revision, SteadyMs, TeamId } from '../units.js';
+import { leastStart, usageOf, type Shard, type ShardJob } from '../shards/model.js';
+import { RequestPriority } from '../store/rate-limiter.js';
+import type { ShardId, Revision, SteadyMs, TeamId } from '../units.js';
 import { fitsAny, mayMove, missingForOne } from './remainder.js';
-import { decodeShares, encodeShares, gift, moveShare, quotaKey, type Shares } from './shares.js';
+import { decodeShares, encodeShares, transferableQuota, moveShare, quotaKey, type Shares } from './shares.js';
 
 const ASK_GAP = 250;
 /** Between two requests for remainders, and for how long nothing could be started with one before it is given. */
@@ -27,7 +28,7 @@
 /** Of what a team uses on a part, or of an even share: what may find room there before some could be asked back. */
 const SOON = 0.1;
 
-export class QuotaDesk {
+export class QuotaTransferService {
   /** What we gave in a write whose outcome is open: subtracted before it is sent. */
   private readonly pending = new Map<string, Resources>();
   private readonly asked = new Map<string, SteadyMs>();
@@ -52,9 +53,9 @@
   }
 
   /** What a part of ours may use: its share less what it is giving away. */
-  share(part: PartId, team: TeamId): Resources {
-    const share = this.shares(team)?.shares[part] ?? ZERO;
-    const given = this.pending.get(`${part}/${team}`);
+  share(shard: ShardId, team: TeamId): Resources {
+    const share = this.shares(team)?.shares[shard] ?? ZERO;
+    const given = this.pending.get(`${shard}/${team}`);
     return given ? subtract(share, given) : share;
   }
 
@@ -62,17 +63,17 @@
    * What the team's tasks that wait here could use soon. Where they wait for room, the share waits with them for
    * nothing, while a peer may have room and no share.
    */
-  private need(part: Part, team: TeamId): Resources {
-    const ordinary = this.ordinaryNeed(part, team);
-    const gathers = part.gathering.get(team);
+  private need(shard: Shard, team: TeamId): Resources {
+    const ordinary = this.ordinaryNeed(shard, team);
+    const gathers = shard.quotaReservations.get(team);
     if (!gathers) return ordinary;
     return mapResources((kind) => Math.max(ordinary[kind], gathers[kind]));
   }
 
-  private ordinaryNeed(part: Part, team: TeamId): Resources {
-    const waits = this.waiting(part, team);
-    if (!part.roomless.has(team)) return waits;
-    const used = part.sums.teams.get(team) ?? ZERO;
+  private ordinaryNeed(shard: Shard, team: TeamId): Resources {
+    const waits = this.waiting(shard, team);
+    if (!shard.teamsBlockedByCapacity.has(team)) return waits;
+    const used = shard.totals.teams.get(team) ?? ZERO;
     const limit = this.core.settings.teams.get(team)?.limit ?? ZERO;
     const even = 1 / this.core.settings.parts.length;
     return mapResources((kind) => {
@@ -81,49 +82,50 @@
     });
   }
 
-  private waiting(part: Part, team: TeamId): Resources {
+  private waiting(shard: Shard, team: TeamId): Resources {
     const sum: MutableResources = { ...ZERO };
-    for (const job of this.waitingJobs(part, team)) addTo(sum, job.spec, job.waiting.size + job.frozen.size);
+    for (const job of this.waitingJobs(shard, team))
+      addTo(sum, job.spec, job.waiting.size + job.unaccounted.size);
     return sum;
   }
 
-  private waitingJobs(part: Part, team: TeamId): PartJob[] {
-    const jobs = [...(part.accounted ? part.queue : part.jobs.values())];
-    return jobs.filter((job) => job.spec.team === team && job.waiting.size + job.frozen.size > 0);
+  private waitingJobs(shard: Shard, team: TeamId): ShardJob[] {
+    const jobs = [...(shard.reconciled ? shard.queue : shard.jobs.values())];
+    return jobs.filter((job) => job.spec.team === team && job.waiting.size + job.unaccounted.size > 0);
   }
 
-  private waitingTasks(part: Part, team: TeamId): Resources[] {
-    return this.waitingJobs(part, team).map(leastStart);
+  private waitingTasks(shard: Shard, team: TeamId): Resources[] {
+    return this.waitingJobs(shard, team).map(leastStart);
   }
 
   /** Of our share; of what is unlimited there is no end, whatever is used. */
-  private left(part: Part, team: TeamId): Resources {
-    const share = this.share(part.id, team);
-    const used = this.used(part, team);
+  private left(shard: Shard, team: TeamId): Resources {
+    const share = this.share(shard.id, team);
+    const used = this.used(shard, team);
     return mapResources((kind) => (share[kind] === Infinity ? Infinity : share[kind] - used[kind]));
   }
 
-  private used(part: Part, team: TeamId): Resources {
-    const usage = usageOf(part);
+  private used(shard: Shard, team: TeamId): Resources {
+    const usage = usageOf(shard);
     return add(usage.teams.get(team) ?? ZERO, usage.anybody);
   }
 
   /** Of two parts that gather for the same team the one with the lower number goes first. */
-  private needBeside(part: Part, ask: Ask): Resources {
-    if (ask.purpose !== 'gather') return this.need(part, ask.team);
-    const first = ask.from < part.id ? undefined : part.gathering.get(ask.team);
+  private needBeside(shard: Shard, ask: QuotaTransferRequest): Resources {
+    if (ask.purpose !== 'reservation') return this.need(shard, ask.team);
+    const first = ask.from < shard.id ? undefined : shard.quotaReservations.get(ask.team);
     return first ?? ZERO;
   }
 
-  private usable(part: Part, team: TeamId, asked: Resources, need = this.need(part, team)): Resources {
-    return gift(this.share(part.id, team), this.used(part, team), need, asked);
+  private usable(shard: Shard, team: TeamId, asked: Resources, need = this.need(shard, team)): Resources {
+    return transferableQuota(this.share(shard.id, team), this.used(shard, team), need, asked);
   }
 
   /** Unused shares by team, for the announcements. */
-  spare(part: Part): Map<TeamId, Resources> {
+  spare(shard: Shard): Map<TeamId, Resources> {
     const out = new Map<TeamId, Resources>();
     for (const team of this.core.settings.teams.keys()) {
-      const amount = this.usable(part, team, UNLIMITED);
+      const amount = this.usable(shard, team, UNLIMITED);
       const whole = mapResources((kind) => Math.floor(amount[kind]));
       if (!isZero(whole)) out.set(team, whole);
     }
@@ -131,9 +133,9 @@
   }
 
   /** Of what the team's tasks wait for here, the limited resources of which our share has too little left. */
-  private short(part: Part, team: TeamId, amount: Resources): Resources {
-    const share = this.share(part.id, team);
-    const left = subtract(share, this.used(part, team));
+  private short(shard: Shard, team: TeamId, amount: Resources): Resources {
+    const share = this.share(shard.id, team);
+    const left = subtract(share, this.used(shard, team));
     const limited = mapResources((kind) => (share[kind] === Infinity ? 0 : amount[kind]));
     const short = mapResources((kind) => (limited[kind] > left[kind] ? limited[kind] : 0));
     // Places that are kept for some of them count as well, and are in no sum yet.
@@ -141,113 +143,134 @@
   }
 
   /** Tasks of the team wait for its limit here: asks the part that announced most to spare of what is short. */
-  request(part: Part, team: TeamId, waiting: Resources): void {
+  request(shard: Shard, team: TeamId, waiting: Resources): void {
     const now = this.core.clock.now();
-    const key = `${part.id}/${team}`;
+    const key = `${shard.id}/${team}`;
     if (now - (this.asked.get(key) ?? -1e12) < ASK_GAP) return;
-    const gathers = part.gathering.get(team);
-    if (gathers) this.gather(part, team, gathers, now);
-    const amount = this.short(part, team, waiting);
+    const gathers = shard.quotaReservations.get(team);
+    if (gathers) this.gather(shard, team, gathers, now);
+    const amount = this.short(shard, team, waiting);
     if (isZero(amount)) return;
-    let best: { part: PartId; spare: number } | null = null;
+    let best: { part: ShardId; spare: number } | null = null;
     for (const { part: other } of this.core.settings.parts) {
-      if (other === part.id) continue;
+      if (other === shard.id) continue;
       const spare = times(this.spareOf(other, team, now), amount);
       if (spare > 0 && (!best || spare > best.spare)) best = { part: other, spare };
     }
     if (!best) {
-      if (!gathers) this.requestRemainders(part, team, now);
+      if (!gathers) this.requestRemainders(shard, team, now);
       return;
     }
     this.asked.set(key, now);
-    this.send({ kind: 'ask', from: part.id, to: best.part, team, ...amount, purpose: 'waiting' });
+    this.send({
+      kind: 'quotaTransferRequest',
+      from: shard.id,
+      to: best.part,
+      team,
+      ...amount,
+      purpose: 'waiting',
+    });
   }
 
-  private send(ask: Ask): void {
+  private send(ask: QuotaTransferRequest): void {
     if (this.core.parts.has(ask.to)) void this.answer(ask);
     else {
-      const owner = this.core.partRecord(ask.to)?.owner;
-      if (owner) this.core.mesh.send(owner, ask);
+      const owner = this.core.shardRecord(ask.to)?.owner;
+      if (owner) this.core.mesh.send(owner, encodePeerMessage(ask));
     }
   }
 
   /** What is missing for one task, asked of every other part: each may have a piece that is too small for any task. */
-  private gather(part: Part, team: TeamId, needed: Resources, now: SteadyMs): void {
-    const left = subtract(this.share(part.id, team), part.sums.teams.get(team) ?? ZERO);
+  private gather(shard: Shard, team: TeamId, needed: Resources, now: SteadyMs): void {
+    const left = subtract(this.share(shard.id, team), shard.totals.teams.get(team) ?? ZERO);
     const missing = mapResources((kind) => Math.max(0, needed[kind] - left[kind]));
     if (RESOURCE_KINDS.every((kind) => missing[kind] <= 0)) return;
-    this.asked.set(`${part.id}/${team}`, now);
+    this.asked.set(`${shard.id}/${team}`, now);
     for (const { part: other } of this.core.settings.parts)
-      if (other !== part.id)
-        this.send({ kind: 'ask', from: part.id, to: other, team, ...missing, purpose: 'gather' });
+      if (other !== shard.id)
+        this.send({
+          kind: 'quotaTransferRequest',
+          from: shard.id,
+          to: other,
+          team,
+          ...missing,
+          purpose: 'reservation',
+        });
   }
 
   /** Nobody has announced anything to spare: asks every other part for what it can start nothing with. */
-  private requestRemainders(part: Part, team: TeamId, now: SteadyMs): void {
-    const key = `${part.id}/${team}`;
+  private requestRemainders(shard: Shard, team: TeamId, now: SteadyMs): void {
+    const key = `${shard.id}/${team}`;
     if (now - (this.askedRemainders.get(key) ?? -Infinity) < REMAINDER_ASK_GAP) return;
     const limit = this.core.settings.teams.get(team)?.limit ?? ZERO;
-    const missing = missingForOne(this.left(part, team), this.waitingTasks(part, team), limit);
+    const missing = missingForOne(this.left(shard, team), this.waitingTasks(shard, team), limit);
     if (!missing) return;
     this.askedRemainders.set(key, now);
     for (const { part: other } of this.core.settings.parts)
-      if (other !== part.id)
-        this.send({ kind: 'ask', from: part.id, to: other, team, ...missing, purpose: 'remainder' });
+      if (other !== shard.id)
+        this.send({
+          kind: 'quotaTransferRequest',
+          from: shard.id,
+          to: other,
+          team,
+          ...missing,
+          purpose: 'remainder',
+        });
   }
 
   /** What is left of our share once it has been idle for some time: a task of ours may end and make it useful. */
-  private remainderFor(part: Part, ask: Ask): Resources {
-    const key = `${part.id}/${ask.team}`;
+  private remainderFor(shard: Shard, ask: QuotaTransferRequest): Resources {
+    const key = `${shard.id}/${ask.team}`;
     const now = this.core.clock.now();
-    const left = this.left(part, ask.team);
-    const keeps = part.gathering.has(ask.team) || !part.accounted;
-    if (keeps || fitsAny(left, this.waitingTasks(part, ask.team))) {
+    const left = this.left(shard, ask.team);
+    const keeps = shard.quotaReservations.has(ask.team) || !shard.reconciled;
+    if (keeps || fitsAny(left, this.waitingTasks(shard, ask.team))) {
       this.idleSince.delete(key);
       return ZERO;
     }
     const since = this.idleSince.get(key) ?? now;
     this.idleSince.set(key, since);
-    if (now - since < REMAINDER_IDLE || !mayMove(part.id, ask.from, left, ask)) return ZERO;
+    if (now - since < REMAINDER_IDLE || !mayMove(shard.id, ask.from, left, ask)) return ZERO;
     this.idleSince.delete(key);
-    return this.usable(part, ask.team, ask, ZERO);
+    return this.usable(shard, ask.team, ask, ZERO);
   }
 
-  private amountFor(part: Part, ask: Ask): Resources {
-    if (ask.purpose === 'remainder') return this.remainderFor(part, ask);
-    return this.usable(part, ask.team, ask, this.needBeside(part, ask));
+  private amountFor(shard: Shard, ask: QuotaTransferRequest): Resources {
+    if (ask.purpose === 'remainder') return this.remainderFor(shard, ask);
+    return this.usable(shard, ask.team, ask, this.needBeside(shard, ask));
   }
 
-  private spareOf(part: PartId, team: TeamId, now: SteadyMs): Resources {
-    const own = this.core.parts.get(part);
+  private spareOf(shard: ShardId, team: TeamId, now: SteadyMs): Resources {
+    const own = this.core.parts.get(shard);
     if (own) return this.usable(own, team, UNLIMITED);
-    const news = this.core.partNews.get(part);
+    const news = this.core.shardAnnouncements.get(shard);
     return news && news.expires > now ? (news.spare.get(team) ?? ZERO) : ZERO;
   }
 
   /** Gives what is unused, in one write on condition that we still own the part. */
-  async answer(ask: Ask): Promise<void> {
+  async answer(ask: QuotaTransferRequest): Promise<void> {
     const { core } = this;
-    const part = core.parts.get(ask.to);
+    const shard = core.parts.get(ask.to);
     const team = core.settings.teams.get(ask.team);
     const key = `${ask.to}/${ask.team}`;
     const known = this.shares(ask.team);
-    if (!part || !team || !known || this.pending.has(key) || ask.from === ask.to || !known.shares[ask.from])
+    if (!shard || !team || !known || this.pending.has(key) || ask.from === ask.to || !known.shares[ask.from])
       return;
-    const amount = this.amountFor(part, ask);
+    const amount = this.amountFor(shard, ask);
     if (RESOURCE_KINDS.every((kind) => amount[kind] <= 0)) return;
     this.pending.set(key, amount);
     const value = encodeShares(team, moveShare(known.shares, ask.to, ask.from, amount));
     const quota = quotaKey(ask.team);
     const result = await core.settle(
-      [{ key: quota, version: known.version }, core.ownerCondition(part)],
+      [{ key: quota, version: known.version }, core.ownerCondition(shard)],
       [{ op: 'put', key: quota, value }],
-      Rank.handover,
+      RequestPriority.handover,
     );
     await core.exclusive(() => {
       if (result.kind === 'done') core.view.learn(quota, value, result.revision);
     });
     // After a conflict the record has moved on; until the feed shows it, what was given stays subtracted.
-    if (result.kind === 'conflict') await this.awaitNewer(quota, known.version, part);
+    if (result.kind === 'conflict') await this.awaitNewer(quota, known.version, shard);
     this.pending.delete(key);
     core.log.debug(
       {
@@ -262,11 +285,11 @@
     core.wake();
   }
 
-  private async awaitNewer(key: ReturnType<typeof quotaKey>, version: Revision, part: Part): Promise<void> {
+  private async awaitNewer(key: ReturnType<typeof quotaKey>, version: Revision, shard: Shard): Promise<void> {
     for (let i = 0; i < 300; i += 1) {
-      const moved = this.core.view.version(key) !== version || this.core.parts.get(part.id) !== part;
-      if (moved || this.core.ownerCondition(part).version !== part.version) return;
-      const read = await this.core.state.get(key, Rank.handover);
+      const moved = this.core.view.version(key) !== version || this.core.parts.get(shard.id) !== shard;
+      if (moved || this.core.ownerCondition(shard).version !== shard.version) return;
+      const read = await this.core.state.get(key, RequestPriority.handover);
       if (read.kind === 'found')
         await this.core.exclusive(() => this.core.view.learn(key, read.entry.value, read.entry.version));
       if (read.kind === 'absent' || (read.kind === 'found' && read.entry.version === version)) return;
--- a/src/ranges.ts
+++ b/src/ranges.ts
@@ -45,8 +45,8 @@
   }
 
   has(n: number): boolean {
-    const part = this.parts[this.locate(n)];
-    return part !== undefined && part[0] <= n;
+    const shard = this.parts[this.locate(n)];
+    return shard !== undefined && shard[0] <= n;
   }
 
   add(n: number): void {
@@ -62,10 +62,10 @@
     let lo = from;
     let hi = to;
     for (; j < this.parts.length; j += 1) {
-      const part = this.parts[j] as [number, number];
-      if (part[0] > hi) break;
-      lo = Math.min(lo, part[0]);
-      hi = Math.max(hi, part[1]);
+      const shard = this.parts[j] as [number, number];
+      if (shard[0] > hi) break;
+      lo = Math.min(lo, shard[0]);
+      hi = Math.max(hi, shard[1]);
     }
     this.parts.splice(i, j - i, [lo, hi]);
   }
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -4,7 +4,7 @@
 import { parse as parseProperties } from 'dot-properties';
 import * as v from 'valibot';
 import { RESOURCE_KINDS, UNLIMITED, ZERO, type Resources } from '../model/resources.js';
-import type { Address, Millis, NodeId, PartId, Seconds, TeamId, ZoneId } from '../units.js';
+import type { Address, Millis, NodeId, ShardId, Seconds, TeamId, ZoneId } from '../units.js';
 
 /** A setting that ends the start: one line naming file, field and what was expected. */
 export class SettingsError extends Error {}
@@ -92,7 +92,7 @@
   readonly node: NodeId;
   readonly zone: ZoneId;
   readonly address: Address;
-  readonly part: PartId;
+  readonly part: ShardId;
 }
 
 export interface Team {
@@ -106,13 +106,13 @@
 export interface Settings {
   readonly node: NodeId;
   readonly zone: ZoneId;
-  readonly part: PartId;
+  readonly part: ShardId;
   readonly listen: Address;
   readonly meshListen: Address;
   /** The other controllers. */
   readonly peers: readonly Peer[];
   /** Every part with its home controller, in part order. */
-  readonly parts: readonly { part: PartId; node: NodeId; zone: ZoneId }[];
+  readonly parts: readonly { part: ShardId; node: NodeId; zone: ZoneId }[];
   readonly cloud: Address;
   readonly state: Address;
   readonly zones: readonly ZoneId[];
@@ -143,7 +143,7 @@
 function partsOf(raw: v.InferOutput<typeof schema>): Settings['parts'] {
   const all = [{ label: raw.label, domain: raw.domain }, ...raw.known];
   const sorted = [...all].sort((a, b) => (a.label < b.label ? -1 : 1));
-  return sorted.map((n, i) => ({ part: i as PartId, node: n.label as NodeId, zone: n.domain as ZoneId }));
+  return sorted.map((n, i) => ({ part: i as ShardId, node: n.label as NodeId, zone: n.domain as ZoneId }));
 }
 
 function fieldOf(issue: v.BaseIssue<unknown>): string {
@@ -232,7 +232,7 @@
   if (new Set(parts.map((p) => p.node)).size !== parts.length) {
     throw new SettingsError(`${file}: known: expected labels that differ from each other and from label`);
   }
-  const partOf = (node: string): PartId => (parts.find((p) => p.node === node) as { part: PartId }).part;
+  const partOf = (node: string): ShardId => (parts.find((p) => p.node === node) as { part: ShardId }).part;
   const w = raw.facts.workers;
   if (w.cancel_s <= w.lease_s) {
     throw new SettingsError(
--- a/src/parts/accounting.ts
+++ b/src/shards/accounting.ts
@@ -5,30 +5,30 @@
  */
 import { RangeSet } from '../ranges.js';
 import type { ZoneId } from '../units.js';
-import { pinOf, type PartJob } from './job.js';
-import type { Part } from './part.js';
+import { requiredZone, type ShardJob } from './job.js';
+import type { Shard } from './shard.js';
 
 /** Frees what is certainly on no machine; true: with this the whole part is accounted for. */
-export function accountFor(part: Part): boolean {
-  if (part.accounted || !part.unsettled.changed) return false;
-  part.unsettled.changed = false;
-  if (part.unsettled.none) part.accounted = true;
-  for (const job of part.jobs.values()) if (!job.frozen.isEmpty) freeOf(part, job);
-  return part.accounted;
+export function accountFor(shard: Shard): boolean {
+  if (shard.reconciled || !shard.unreconciled.changed) return false;
+  shard.unreconciled.changed = false;
+  if (shard.unreconciled.none) shard.reconciled = true;
+  for (const job of shard.jobs.values()) if (!job.unaccounted.isEmpty) freeOf(shard, job);
+  return shard.reconciled;
 }
 
-function freeOf(part: Part, job: PartJob): void {
+function freeOf(shard: Shard, job: ShardJob): void {
   const held = new Map<ZoneId | null, boolean>();
   const free: [number, number][] = [];
-  for (const index of job.frozen) {
-    const pin = pinOf(job, index);
+  for (const index of job.unaccounted) {
+    const pin = requiredZone(job, index);
     let mayBe = held.get(pin);
-    if (mayBe === undefined) held.set(pin, (mayBe = part.unsettled.mayHold(job, pin)));
+    if (mayBe === undefined) held.set(pin, (mayBe = shard.unreconciled.mayHold(job, pin)));
     if (!mayBe) free.push([index, index + 1]);
   }
   if (free.length === 0) return;
   const tasks = RangeSet.of(free);
   job.waiting.addAll(tasks);
-  job.frozen.removeAll(tasks);
-  part.queue.add(job);
+  job.unaccounted.removeAll(tasks);
+  shard.queue.add(job);
 }
--- a/src/parts/job.ts
+++ b/src/shards/job.ts
@@ -8,14 +8,14 @@
 import type { JobId, MachineId, Millis, Revision, SteadyMs, ZoneId } from '../units.js';
 
 /** A place kept for a task until those stopped for it are gone. */
-export interface Hold {
+export interface Reservation {
   readonly machine: MachineId;
   readonly until: SteadyMs;
   /** For a job that has waited too long: nothing is stopped for it, the machine empties by itself. */
   readonly reserved: boolean;
 }
 
-export interface PartJob {
+export interface ShardJob {
   readonly id: JobId;
   readonly spec: JobSpec;
   record: JobRecord;
@@ -23,12 +23,12 @@
   /** May be started. */
   readonly waiting: RangeSet;
   /** Entrusted to us before our claim and not seen since: may be on a machine. */
-  readonly frozen: RangeSet;
+  readonly unaccounted: RangeSet;
   /** Done, not yet in the record. */
   readonly finished: RangeSet;
   /** Being handed to another part: the write's outcome is open. */
   readonly moving: RangeSet;
-  readonly holds: Map<number, Hold>;
+  readonly reservations: Map<number, Reservation>;
   /** When it was accepted, by our clock; before this process began, perhaps. */
   readonly firstSeen: SteadyMs;
   /** Since when tasks of it have been waiting for room. */
@@ -44,24 +44,24 @@
   readonly gang: GangHistory | null;
 }
 
-export function newPartJob(
+export function newShardJob(
   record: JobRecord,
   version: Revision,
   now: SteadyMs,
   open: RangeSet,
   atClaim: boolean,
   age: Millis,
-): PartJob {
+): ShardJob {
   return {
     id: record.spec.id,
     spec: record.spec,
     record,
     version,
     waiting: atClaim ? RangeSet.empty() : open,
-    frozen: atClaim ? open : RangeSet.empty(),
+    unaccounted: atClaim ? open : RangeSet.empty(),
     finished: RangeSet.empty(),
     moving: RangeSet.empty(),
-    holds: new Map(),
+    reservations: new Map(),
     firstSeen: steady(now - age),
     waitingSince: null,
     notBefore: now,
@@ -75,10 +75,10 @@
 }
 
 /** What must be had at once for anything of the job to start: of a gang all tasks, else one. */
-export const leastStart = (job: PartJob): Resources =>
-  job.gang ? scale(job.spec, job.waiting.size + job.frozen.size) : job.spec;
+export const leastStart = (job: ShardJob): Resources =>
+  job.gang ? scale(job.spec, job.waiting.size + job.unaccounted.size) : job.spec;
 
-export const pinOf = (job: PartJob, index: number): ZoneId | null => zoneOf(job.record, index);
+export const requiredZone = (job: ShardJob, index: number): ZoneId | null => zoneOf(job.record, index);
 
 /** Consecutive waiting tasks [from, to) that must be in the same zone; `zone` null: no restriction by the record. */
 export interface WaitingRun {
@@ -88,7 +88,7 @@
 }
 
 /** The waiting tasks of a job as runs, in the order of their numbers. */
-export function waitingRuns(job: PartJob): WaitingRun[] {
+export function waitingRuns(job: ShardJob): WaitingRun[] {
   const out: WaitingRun[] = [];
   const { assignments } = job.record;
   let next = 0;
@@ -104,7 +104,7 @@
 }
 
 /** How many tasks of a job wait for each zone. */
-export function waitingByZone(job: PartJob): Map<ZoneId | null, number> {
+export function waitingByZone(job: ShardJob): Map<ZoneId | null, number> {
   const out = new Map<ZoneId | null, number>();
   for (const { from, to, zone } of waitingRuns(job)) out.set(zone, (out.get(zone) ?? 0) + to - from);
   return out;
--- a/src/parts/machine.ts
+++ b/src/shards/machine.ts
@@ -10,23 +10,23 @@
   JobId,
   MachineId,
   Sequence,
-  Session,
+  AgentEpoch,
   SteadyMs,
   TaskId,
   TaskIndex,
-  Token,
+  FencingToken,
   TypeId,
   ZoneId,
 } from '../units.js';
 
 /** A direct launch without an answer: it may be carried out as long as token and session match. */
-export interface Doubt {
-  readonly token: Token;
-  readonly session: Session;
+export interface UnacknowledgedLaunch {
+  readonly token: FencingToken;
+  readonly session: AgentEpoch;
   readonly since: SteadyMs;
 }
 
-export interface Binding {
+export interface Allocation {
   readonly id: TaskId;
   readonly job: JobId;
   readonly index: TaskIndex;
@@ -36,7 +36,7 @@
   readonly spec: JobSpec | null;
   /** `ordered`: the worker has not shown it yet. `gathering`: it waits for the other tasks of its gang. */
   phase: 'ordered' | 'fetching' | 'gathering' | 'running' | 'saving';
-  readonly boundAt: SteadyMs;
+  readonly allocatedAt: SteadyMs;
   runningSince: SteadyMs | null;
   /** When it was first seen to wait for its gang. */
   gatheringSince: SteadyMs | null;
@@ -45,7 +45,7 @@
   inFlight: boolean;
   /** A direct launch is due. */
   due: boolean;
-  doubt: Doubt | null;
+  unacknowledged: UnacknowledgedLaunch | null;
   /** Number of the report whose answer carried the launch last. */
   answered: Sequence | null;
 }
@@ -56,7 +56,7 @@
   readonly index: TaskIndex;
   readonly attempt: Attempt;
   readonly cause: ExitCause;
-  doubt: Doubt | null;
+  unacknowledged: UnacknowledgedLaunch | null;
 }
 
 export interface Machine {
@@ -65,11 +65,11 @@
   readonly type: TypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
-  session: Session;
+  session: AgentEpoch;
   sequence: Sequence;
-  token: Token;
+  token: FencingToken;
   /** A report of an earlier session than this describes tasks that are certainly gone. */
-  leastSession: Session;
+  leastSession: AgentEpoch;
   lastHeard: SteadyMs | null;
   /** Since when its reports come without a gap. */
   heardSince: SteadyMs | null;
@@ -79,14 +79,14 @@
   /** When we first heard of its present session, whose lease began before that. */
   sessionSeen: SteadyMs | null;
   /** Since the claim it has reported under our token, or its lease is certainly over. */
-  settled: boolean;
+  reconciled: boolean;
   /** When the cloud takes it, once it said so. */
-  takenAt: SteadyMs | null;
-  readonly bindings: Map<TaskId, Binding>;
+  interruptedAt: SteadyMs | null;
+  readonly allocations: Map<TaskId, Allocation>;
   /** What the bindings take together, kept up to date with them. */
   readonly used: MutableResources;
   /** What bindings below critical take of it, and how many bindings are of unknown size. */
-  readonly lesser: MutableResources;
+  readonly preemptible: MutableResources;
   unknownSize: number;
   /** How many bindings need each image: it is there, or on its way. */
   readonly wanted: Map<ImageId, number>;
@@ -102,11 +102,11 @@
   /** Direct requests in a row that it did not answer. */
   missedCalls: number;
   /** When we first answered a report of it that did not show our token yet. */
-  answeredUnsettled: SteadyMs | null;
+  answeredUnreconciled: SteadyMs | null;
   /** Receipt of the last report that we refused because our answers do not reach the machine. */
   refusedUnreachable: SteadyMs | null;
   /** No new tasks before this time: it refused, failed or could not be reached. */
-  avoidUntil: SteadyMs;
+  quarantinedUntil: SteadyMs;
   faults: { at: SteadyMs; job: JobId }[];
   /** It is to go to another pool and takes no more tasks. */
   draining: boolean;
@@ -130,20 +130,20 @@
     type,
     zone,
     spot,
-    session: 0 as Session,
+    session: 0 as AgentEpoch,
     sequence: 0 as Sequence,
-    token: 0 as Token,
-    leastSession: 0 as Session,
+    token: 0 as FencingToken,
+    leastSession: 0 as AgentEpoch,
     lastHeard: null,
     heardSince: null,
     lastReport: null,
     lastReportSequence: null,
     sessionSeen: null,
-    settled,
-    takenAt: null,
-    bindings: new Map(),
+    reconciled: settled,
+    interruptedAt: null,
+    allocations: new Map(),
     used: { ...ZERO },
-    lesser: { ...ZERO },
+    preemptible: { ...ZERO },
     unknownSize: 0,
     wanted: new Map(),
     exited: new Map(),
@@ -151,9 +151,9 @@
     directBusy: false,
     unreachedSince: null,
     missedCalls: 0,
-    answeredUnsettled: null,
+    answeredUnreconciled: null,
     refusedUnreachable: null,
-    avoidUntil: now,
+    quarantinedUntil: now,
     faults: [],
     draining: false,
     returning: false,
@@ -163,7 +163,7 @@
 }
 
 /** A machine whose tasks, or whose tasks' sizes, we do not know in full. */
-export const isUnclear = (m: Machine): boolean => !m.settled || m.unknownSize > 0;
+export const isUnclear = (m: Machine): boolean => !m.reconciled || m.unknownSize > 0;
 
 /** What is free on a machine; nothing while something of unknown size is on it. */
 export function roomOn(machine: Machine, type: MachineType | undefined): MutableResources {
--- a/src/parts/records.ts
+++ b/src/shards/records.ts
@@ -5,9 +5,9 @@
   Incarnation,
   MachineId,
   NodeId,
-  PartId,
+  ShardId,
   StateKey,
-  Token,
+  FencingToken,
   TypeId,
   ZoneId,
 } from '../units.js';
@@ -15,32 +15,32 @@
 
 /** Everything that controllers follow is below this prefix. */
 export const FOLLOWED = 'c/';
-export const PARTS = 'c/parts/';
+export const SHARDS = 'c/parts/';
 export const MACHINES = 'c/machines/';
 export const ALIVE = 'c/alive/';
 export const TOKEN_KEY = stateKey('c/token');
 export const TIME_KEY = stateKey('c/time');
 export const CATALOG_KEY = stateKey('c/catalog');
-export const partKey = (p: PartId): StateKey => stateKey(`${PARTS}${p}`);
+export const shardKey = (p: ShardId): StateKey => stateKey(`${SHARDS}${p}`);
 export const machineKey = (m: MachineId): StateKey => stateKey(`${MACHINES}${m}`);
 export const aliveKey = (n: NodeId): StateKey => stateKey(`${ALIVE}${n}`);
 
-export interface PartRecord {
+export interface ShardRecord {
   /** null: released, anybody may claim it. */
   readonly owner: NodeId | null;
   readonly incarnation: Incarnation | null;
-  readonly token: Token;
+  readonly token: FencingToken;
 }
 
 export interface MachineRecord {
-  readonly part: PartId;
+  readonly part: ShardId;
   readonly address: Address;
   readonly type: TypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
 }
 
-const part = v.object({
+const shard = v.object({
   owner: v.nullable(v.string()),
   incarnation: v.nullable(v.string()),
   token: v.number(),
@@ -60,9 +60,34 @@
   return result.success ? result.output : null;
 }
 
-export const decodePart = (value: unknown): PartRecord | null => decode(part, value) as PartRecord | null;
+/** The value of `shardKey`. */
+export const encodeShard = (record: ShardRecord): unknown => ({
+  owner: record.owner,
+  incarnation: record.incarnation,
+  token: record.token,
+});
+
+/** The value of `machineKey`. */
+export const encodeMachine = (record: MachineRecord): unknown => ({
+  part: record.part,
+  address: record.address,
+  type: record.type,
+  zone: record.zone,
+  spot: record.spot,
+});
+
+/** The value of `aliveKey`. */
+export const encodeAlive = (incarnation: Incarnation): unknown => ({ incarnation });
+
+/** The value of `TOKEN_KEY`. */
+export const encodeToken = (token: FencingToken): unknown => ({ token });
+
+/** null, as of the other records: the value cannot be read. */
+export const decodePart = (value: unknown): ShardRecord | null => decode(shard, value) as ShardRecord | null;
 export const decodeMachine = (value: unknown): MachineRecord | null =>
   decode(machine, value) as MachineRecord | null;
 export const decodeAlive = (value: unknown): Incarnation | null =>
   (decode(alive, value)?.incarnation as Incarnation | undefined) ?? null;
-export const decodeToken = (value: unknown): Token => (decode(counter, value)?.token ?? 0) as Token;
+/** 0: there is none yet, or it cannot be read. */
+export const decodeToken = (value: unknown): FencingToken =>
+  (decode(counter, value)?.token ?? 0) as FencingToken;
--- a/src/parts/part.ts
+++ b/src/shards/shard.ts
@@ -2,21 +2,21 @@
 import type { MachineType } from '../cloud/wire.js';
 import { type Resources } from '../model/resources.js';
 import type { RangeSet } from '../ranges.js';
-import type { PartJob } from './job.js';
-import type { Binding, Machine } from './machine.js';
-import { Sums } from './sums.js';
-import { Unsettled } from './unsettled.js';
+import type { ShardJob } from './job.js';
+import type { Allocation, Machine } from './machine.js';
+import { ShardTotals } from './totals.js';
+import { UnreconciledMachines } from './unreconciled-machines.js';
 import type {
   Attempt,
   ImageId,
   JobId,
   MachineId,
-  PartId,
+  ShardId,
   Revision,
   SteadyMs,
   TaskId,
   TeamId,
-  Token,
+  FencingToken,
   TypeId,
 } from '../units.js';
 
@@ -24,45 +24,45 @@
 const ATTEMPTS = 2 ** 20;
 const ATTEMPTS_LEFT = ATTEMPTS / 4;
 
-export class Part {
+export class Shard {
   /** Change only through `add` and `drop`. */
   readonly machines = new Map<MachineId, Machine>();
-  readonly jobs = new Map<JobId, PartJob>();
+  readonly jobs = new Map<JobId, ShardJob>();
   /** Where each started task is. Changed only by `bind`, `attach` and `unbind`, like all sums below. */
-  readonly bound = new Map<TaskId, Binding>();
-  readonly boundOf = new Map<JobId, Set<Binding>>();
+  readonly allocations = new Map<TaskId, Allocation>();
+  readonly allocationsByJob = new Map<JobId, Set<Allocation>>();
   /** Jobs that may have waiting tasks, and jobs with ends that are not in their record; cleaned when read. */
-  readonly queue = new Set<PartJob>();
-  readonly ended = new Set<PartJob>();
+  readonly queue = new Set<ShardJob>();
+  readonly ended = new Set<ShardJob>();
   /** Gangs entrusted to the pool; those that are over are dropped when it is read. */
-  readonly gangs = new Set<PartJob>();
+  readonly gangs = new Set<ShardJob>();
   /** Teams whose tasks found no room in the last round, and those that were at this part's share of their limit. */
-  roomless: ReadonlySet<TeamId> = new Set();
-  limited: ReadonlySet<TeamId> = new Set();
+  teamsBlockedByCapacity: ReadonlySet<TeamId> = new Set();
+  teamsBlockedByQuota: ReadonlySet<TeamId> = new Set();
   /** Teams for one task of which this part gathers a share that is large enough, and how much that is. */
-  gathering: ReadonlyMap<TeamId, Resources> = new Map();
+  quotaReservations: ReadonlyMap<TeamId, Resources> = new Map();
   /** By who may be stopped: a search that found nobody, for how much room, and until when it need not be repeated. */
-  readonly fruitless = new Map<string, { readonly need: Resources; readonly until: SteadyMs }>();
+  readonly failedSearches = new Map<string, { readonly need: Resources; readonly until: SteadyMs }>();
   /** Machines that may have something to be told directly. */
   readonly due = new Set<Machine>();
   /** Told to stop and not yet seen gone. */
-  readonly stopping = new Set<Binding>();
+  readonly stopping = new Set<Allocation>();
   /** Machines that the cloud has said it will take. */
-  readonly noticed = new Set<Machine>();
-  readonly sums = new Sums();
+  readonly interruptionNoticed = new Set<Machine>();
+  readonly totals = new ShardTotals();
   /** Every task of the claim has been seen, or cannot be on a machine. */
-  accounted = false;
-  readonly unsettled = new Unsettled();
+  reconciled = false;
+  readonly unreconciled = new UnreconciledMachines();
   private counter = 0;
-  private readonly firstToken: Token;
+  private readonly firstToken: FencingToken;
   /** Revision of our claim: whatever was entrusted to the part up to then, an owner before us may have acted on. */
   readonly claimedVersion: Revision;
   private readonly imageNews = new Set<Machine>();
   private turns = this.machines.values();
 
   constructor(
-    readonly id: PartId,
-    private currentToken: Token,
+    readonly id: ShardId,
+    private currentToken: FencingToken,
     public version: Revision,
     readonly claimedAt: SteadyMs,
     readonly types: ReadonlyMap<TypeId, MachineType>,
@@ -73,48 +73,48 @@
 
   add(machine: Machine): void {
     this.machines.set(machine.id, machine);
-    for (const image of machine.images.keys()) this.sums.holds(image, machine, true);
-    this.sums.count(machine, 1);
-    this.sums.level(machine, this.types);
-    if (!machine.settled) this.reopen(machine);
+    for (const image of machine.images.keys()) this.totals.holds(image, machine, true);
+    this.totals.count(machine, 1);
+    this.totals.level(machine, this.types);
+    if (!machine.reconciled) this.reopen(machine);
     this.due.add(machine);
   }
 
   private reopen(machine: Machine): void {
-    this.unsettled.add(machine, 1);
-    this.accounted = false;
+    this.unreconciled.add(machine, 1);
+    this.reconciled = false;
   }
 
   /** Learnt of after the claim, and older than it: an owner before us may have started these tasks. */
-  freeze(job: PartJob, tasks: RangeSet): void {
-    job.frozen.addAll(tasks);
-    this.accounted = false;
-    this.unsettled.changed = true;
+  freeze(job: ShardJob, tasks: RangeSet): void {
+    job.unaccounted.addAll(tasks);
+    this.reconciled = false;
+    this.unreconciled.changed = true;
   }
 
   /** Its bindings have been ended before. */
   drop(machine: Machine): void {
     this.machines.delete(machine.id);
-    for (const image of machine.images.keys()) this.sums.holds(image, machine, false);
-    this.sums.count(machine, -1);
-    this.sums.forget(machine);
-    if (!machine.settled) this.unsettled.add(machine, -1);
+    for (const image of machine.images.keys()) this.totals.holds(image, machine, false);
+    this.totals.count(machine, -1);
+    this.totals.forget(machine);
+    if (!machine.reconciled) this.unreconciled.add(machine, -1);
     this.due.delete(machine);
-    this.noticed.delete(machine);
+    this.interruptionNoticed.delete(machine);
   }
 
   /** It has reported under our token, or cannot hold anything from before. */
   settle(machine: Machine): void {
-    if (machine.settled) return;
-    this.sums.count(machine, -1);
-    machine.settled = true;
-    this.unsettled.add(machine, -1);
-    this.sums.count(machine, 1);
+    if (machine.reconciled) return;
+    this.totals.count(machine, -1);
+    machine.reconciled = true;
+    this.unreconciled.add(machine, -1);
+    this.totals.count(machine, 1);
   }
 
   /** The catalog has changed. */
   resize(): void {
-    for (const m of this.machines.values()) this.sums.level(m, this.types);
+    for (const m of this.machines.values()) this.totals.level(m, this.types);
   }
 
   /** Machines whose images are to be told now: the changed ones, then the next few, so that all are told again. */
@@ -139,7 +139,7 @@
     machine.images.set(image, gb);
     if (known) return;
     this.imageNews.add(machine);
-    this.sums.holds(image, machine, true);
+    this.totals.holds(image, machine, true);
     const cache = this.types.get(machine.type)?.cacheGb ?? Infinity;
     let total = 0;
     for (const size of machine.images.values()) total += size;
@@ -147,18 +147,18 @@
       if (total <= cache) return;
       if (machine.wanted.has(old)) continue;
       machine.images.delete(old);
-      this.sums.holds(old, machine, false);
+      this.totals.holds(old, machine, false);
       total -= size;
     }
   }
 
   /** Says to machines who may command them. */
-  get token(): Token {
+  get token(): FencingToken {
     return this.currentToken;
   }
 
   /** A higher token of ours: its attempts are larger than all of the one before. */
-  raiseTo(token: Token): void {
+  raiseTo(token: FencingToken): void {
     if (token <= this.currentToken) return;
     this.currentToken = token;
     this.counter = 0;
@@ -189,7 +189,7 @@
   readonly anybody: Resources;
 }
 
-export const usageOf = (part: Part): Usage => ({
-  teams: part.sums.teams,
-  anybody: part.sums.unclear(part.types),
+export const usageOf = (shard: Shard): Usage => ({
+  teams: shard.totals.teams,
+  anybody: shard.totals.unclear(shard.types),
 });
--- a/src/parts/sums.ts
+++ b/src/shards/totals.ts
@@ -52,7 +52,7 @@
   tasks: number;
 }
 
-export class Sums {
+export class ShardTotals {
   readonly teams = new Map<TeamId, TeamUse>();
   private readonly unclearByType = new Map<TypeId, number>();
   private readonly holders = new Map<ImageId, Set<Machine>>();
--- a/src/parts/unsettled.ts
+++ b/src/shards/unreconciled-machines.ts
@@ -1,7 +1,7 @@
 /** Machines of a part that have not spoken since its claim: each may hold what its job allows there. */
 import { allowed } from '../model/constraints.js';
 import type { TypeId, ZoneId } from '../units.js';
-import type { PartJob } from './job.js';
+import type { ShardJob } from './job.js';
 import type { Machine } from './machine.js';
 
 interface Kind {
@@ -12,7 +12,7 @@
 }
 
 /** Machines that have not spoken since the claim, counted by kind. */
-export class Unsettled {
+export class UnreconciledMachines {
   private readonly kinds = new Map<string, Kind>();
   /** Some kind has none left, or a task is frozen anew: there may be something to free. */
   changed = true;
@@ -32,7 +32,7 @@
     return this.kinds.size === 0;
   }
 
-  mayHold({ spec }: PartJob, pin: ZoneId | null): boolean {
+  mayHold({ spec }: ShardJob, pin: ZoneId | null): boolean {
     for (const k of this.kinds.values()) if (allowed(spec, k.type, k.zone, k.spot, pin)) return true;
     return false;
   }
--- a/src/state/view.ts
+++ b/src/store/cache.ts
@@ -4,13 +4,13 @@
  */
 import type { Revision, StateKey, SteadyMs } from '../units.js';
 import { NO_REVISION, steady } from '../units.js';
-import type { Entry, News } from './wire.js';
+import type { Entry, WatchEvent } from './wire.js';
 
 export type OnChange = (key: StateKey, value: unknown, version: Revision) => void;
 
 const groupOf = (key: StateKey): string => key.slice(0, key.indexOf('/', key.indexOf('/') + 1) + 1);
 
-export class View {
+export class StoreCache {
   private readonly entries = new Map<StateKey, Entry>();
   /** The same, by the first two words of the key: a list is read without looking at all others. */
   private readonly groups = new Map<string, Map<StateKey, Entry>>();
@@ -57,7 +57,7 @@
     this.onChange(key, value, version);
   }
 
-  follow(news: readonly News[], revision: Revision, asked: SteadyMs): void {
+  follow(news: readonly WatchEvent[], revision: Revision, asked: SteadyMs): void {
     // Two looks at the feed may cross: what an older one says up to our revision is known, also of keys dropped since.
     const reached = this.revision;
     for (const n of news) if (n.version > reached) this.learn(n.key, n.value, n.version);
--- a/src/state/client.ts
+++ b/src/store/client.ts
@@ -3,7 +3,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { Clock, LeaseId, Millis, Revision, StateKey } from '../units.js';
 import { millis, steady } from '../units.js';
-import { Budget, Rank } from './budget.js';
+import { RateLimiter, RequestPriority } from './rate-limiter.js';
 import {
   decodeConflict,
   decodeEntry,
@@ -19,10 +19,10 @@
   type Change,
   type Condition,
   type Entry,
-  type News,
+  type WatchEvent,
 } from './wire.js';
 
-export type TxnResult =
+export type SwapResult =
   | { readonly kind: 'done'; readonly revision: Revision }
   | { readonly kind: 'conflict'; readonly failed: readonly StateKey[] }
   /** Certainly not carried out: refused, over a limit, or never sent. */
@@ -59,9 +59,9 @@
 const REFUSALS_OF_LOWER_LIMITS = 3;
 const REFUSALS_WITHIN_MS = 3000;
 
-export class StateClient {
-  private readonly requests: Budget;
-  private readonly writes: Budget;
+export class KeyValueClient {
+  private readonly requests: RateLimiter;
+  private readonly writes: RateLimiter;
   private controllers: number;
   /** The limits to come hold by now. */
   private limitsLowered = false;
@@ -76,13 +76,18 @@
     private readonly random: () => number,
   ) {
     this.controllers = settings.parts.length;
-    this.requests = new Budget(clock, this.requestRate, LEAST_BURST);
-    this.writes = new Budget(clock, this.writeRate, LEAST_BURST);
+    this.requests = new RateLimiter(clock, this.requestRate, LEAST_BURST);
+    this.writes = new RateLimiter(clock, this.writeRate, LEAST_BURST);
   }
 
   /** How long a submission would wait for its turn. */
   get submitWait(): Millis {
-    return millis(Math.max(this.writes.waitFor(1, Rank.submit), this.requests.waitFor(1, Rank.submit)));
+    return millis(
+      Math.max(
+        this.writes.waitFor(1, RequestPriority.submit),
+        this.requests.waitFor(1, RequestPriority.submit),
+      ),
+    );
   }
 
   /** What this controller draws of the limits, for its peers. */
@@ -151,7 +156,7 @@
   }
 
   /** One request within the budget; a 429 is repeated a few times, everything else is the caller's. */
-  private async request(call: Call, rank: Rank, writes: number): Promise<Outcome> {
+  private async request(call: Call, rank: RequestPriority, writes: number): Promise<Outcome> {
     const until = this.clock.now() + PATIENCE;
     const left = (): Millis => millis(Math.max(0, until - this.clock.now()));
     for (let i = 0; ; i += 1) {
@@ -166,7 +171,11 @@
     }
   }
 
-  async txn(conditions: readonly Condition[], changes: readonly Change[], rank: Rank): Promise<TxnResult> {
+  async compareAndSwap(
+    conditions: readonly Condition[],
+    changes: readonly Change[],
+    rank: RequestPriority,
+  ): Promise<SwapResult> {
     const body = encodeTxn(conditions, changes);
     const outcome = await this.request(
       { method: 'POST', path: '/txn', body, timeout: TIMEOUT },
@@ -187,7 +196,7 @@
     return [400, 429, 503].includes(outcome.status) ? { kind: 'refused' } : { kind: 'unknown' };
   }
 
-  async get(key: StateKey, rank: Rank): Promise<ReadResult> {
+  async get(key: StateKey, rank: RequestPriority): Promise<ReadResult> {
     const outcome = await this.request({ method: 'GET', path: keyPath(key), timeout: TIMEOUT }, rank, 0);
     if (outcome.kind !== 'answer') return { kind: 'failed' };
     if (outcome.status === 404 && decodeRevision(outcome.body) !== null) return { kind: 'absent' };
@@ -202,7 +211,11 @@
     let after: string | null = null;
     for (;;) {
       const path = listPath(prefix, after, 1000);
-      const outcome = await this.request({ method: 'GET', path, timeout: TIMEOUT }, Rank.ownership, 0);
+      const outcome = await this.request(
+        { method: 'GET', path, timeout: TIMEOUT },
+        RequestPriority.ownership,
+        0,
+      );
       if (outcome.kind !== 'answer' || outcome.status !== 200) return null;
       const page = decodePage(outcome.body);
       if (!page) return null;
@@ -218,8 +231,8 @@
     prefix: string,
     after: Revision,
     block: Millis,
-  ): Promise<{ news: News[]; revision: Revision } | 'too-old' | null> {
-    if (!(await this.requests.take(1, Rank.ownership, PATIENCE))) return null;
+  ): Promise<{ news: WatchEvent[]; revision: Revision } | 'too-old' | null> {
+    if (!(await this.requests.take(1, RequestPriority.ownership, PATIENCE))) return null;
     const timeout = millis(block + 1500);
     const outcome = await this.watchHttp.call({
       method: 'GET',
@@ -234,13 +247,13 @@
 
   async grantLease(ttl: Millis): Promise<LeaseId | null> {
     const call: Call = { method: 'POST', path: '/leases', body: encodeTtl(ttl), timeout: TIMEOUT };
-    const outcome = await this.request(call, Rank.ownership, 0);
+    const outcome = await this.request(call, RequestPriority.ownership, 0);
     return outcome.kind === 'answer' && outcome.status === 200 ? decodeLease(outcome.body) : null;
   }
 
   async renewLease(lease: LeaseId): Promise<'renewed' | 'gone' | 'failed'> {
     const call: Call = { method: 'POST', path: `/leases/${lease}/renew`, body: {}, timeout: TIMEOUT };
-    const outcome = await this.request(call, Rank.ownership, 0);
+    const outcome = await this.request(call, RequestPriority.ownership, 0);
     if (outcome.kind !== 'answer') return 'failed';
     if (outcome.status === 200) return 'renewed';
     return outcome.status === 404 ? 'gone' : 'failed';
--- a/src/state/budget.ts
+++ b/src/store/rate-limiter.ts
@@ -3,12 +3,19 @@
 import { millis } from '../units.js';
 
 /** Lower goes first. */
-export const Rank = { ownership: 0, abort: 1, submit: 2, final: 3, handover: 4, progress: 5 } as const;
-export type Rank = (typeof Rank)[keyof typeof Rank];
+export const RequestPriority = {
+  ownership: 0,
+  abort: 1,
+  submit: 2,
+  final: 3,
+  handover: 4,
+  progress: 5,
+} as const;
+export type RequestPriority = (typeof RequestPriority)[keyof typeof RequestPriority];
 
 interface Waiter {
   readonly cost: number;
-  readonly rank: Rank;
+  readonly rank: RequestPriority;
   readonly go: (granted: boolean) => void;
   readonly deadline: SteadyMs;
 }
@@ -18,7 +25,7 @@
 /** Over which time its use is averaged. */
 const USE_MS = 2000;
 
-export class Budget {
+export class RateLimiter {
   private level: number;
   private last: SteadyMs;
   private spent = 0;
@@ -64,7 +71,7 @@
   }
 
   /** Resolves true once the cost may be spent, false when `patience` ran out first. */
-  take(cost: number, rank: Rank, patience: Millis): Promise<boolean> {
+  take(cost: number, rank: RequestPriority, patience: Millis): Promise<boolean> {
     this.refill();
     if (this.waiting.length === 0 && this.affordable(cost, rank)) {
       this.spend(cost);
@@ -82,7 +89,7 @@
   }
 
   /** How long something of this cost and rank would wait for its turn, by the queue before it. */
-  waitFor(cost: number, rank: Rank): Millis {
+  waitFor(cost: number, rank: RequestPriority): Millis {
     this.refill();
     let ahead = Math.min(cost + this.reserveFor(rank), this.burst) - this.level;
     for (const w of this.waiting) if (w.rank <= rank) ahead += w.cost;
@@ -102,12 +109,12 @@
   }
 
   /** Progress may not eat the reserve that ownership and users need at once. */
-  private affordable(cost: number, rank: Rank): boolean {
+  private affordable(cost: number, rank: RequestPriority): boolean {
     return this.level >= Math.min(cost + this.reserveFor(rank), this.burst);
   }
 
   /** What must be left, so that users and owners need not wait for the next drop. */
-  private reserveFor(rank: Rank): number {
+  private reserveFor(rank: RequestPriority): number {
     return this.burst * (RESERVES[rank] ?? 0);
   }
 
--- a/src/state/follower.ts
+++ b/src/store/watcher.ts
@@ -2,19 +2,19 @@
 import type { Log } from '../log.js';
 import type { Clock, Millis } from '../units.js';
 import { millis } from '../units.js';
-import type { StateClient } from './client.js';
-import type { View } from './view.js';
+import type { KeyValueClient } from './client.js';
+import type { StoreCache } from './cache.js';
 
 const MAX_BACKOFF = 1000;
 
-export class Follower {
+export class StoreWatcher {
   private backoff = 0;
   /** False while the state service does not answer us. */
   healthy = false;
 
   constructor(
-    private readonly client: StateClient,
-    private readonly view: View,
+    private readonly client: KeyValueClient,
+    private readonly view: StoreCache,
     private readonly prefix: string,
     private readonly block: Millis,
     /** Least time between two watches that bring news: bounds the requests a busy store costs. */
--- a/src/state/wire.ts
+++ b/src/store/wire.ts
@@ -18,7 +18,7 @@
   | { readonly op: 'put'; readonly key: StateKey; readonly value: unknown; readonly lease?: LeaseId }
   | { readonly op: 'drop'; readonly key: StateKey };
 
-export interface News {
+export interface WatchEvent {
   readonly key: StateKey;
   /** undefined: the key was dropped. */
   readonly value: unknown;
@@ -109,10 +109,10 @@
   return (read(lease, body)?.mooring as LeaseId | undefined) ?? null;
 }
 
-export function decodeNews(body: unknown): { news: News[]; revision: Revision } | null {
+export function decodeNews(body: unknown): { news: WatchEvent[]; revision: Revision } | null {
   const raw = read(news, body);
   if (!raw) return null;
-  const out: News[] = [];
+  const out: WatchEvent[] = [];
   for (const n of raw.news ?? []) {
     const key = n.put ?? n.drop;
     if (typeof key !== 'string') return null;
--- a/src/units.ts
+++ b/src/units.ts
@@ -20,7 +20,7 @@
 /** One start of a controller process. */
 export type Incarnation = Branded<string, 'Incarnation'>;
 /** Number of a part: the share of the machines of the controller at that place in name order. */
-export type PartId = Branded<number, 'PartId'>;
+export type ShardId = Branded<number, 'PartId'>;
 export type TeamId = Branded<string, 'TeamId'>;
 export type ZoneId = Branded<string, 'ZoneId'>;
 export type TypeId = Branded<string, 'TypeId'>;
@@ -28,11 +28,11 @@
 /** `host:port`. */
 export type Address = Branded<string, 'Address'>;
 /** Says who may command machines; the higher one wins. */
-export type Token = Branded<number, 'Token'>;
+export type FencingToken = Branded<number, 'Token'>;
 /** One start of one task. Never repeated, by nobody. */
 export type Attempt = Branded<number, 'Attempt'>;
 /** A worker's session and the number of a message in it. */
-export type Session = Branded<number, 'Session'>;
+export type AgentEpoch = Branded<number, 'Session'>;
 export type Sequence = Branded<number, 'Sequence'>;
 /** A revision of the state service. */
 export type Revision = Branded<number, 'Revision'>;
@@ -46,10 +46,10 @@
 export const toMillis = (s: Seconds): Millis => (s * 1000) as Millis;
 export const plus = (t: SteadyMs, d: Millis): SteadyMs => (t + d) as SteadyMs;
 export const since = (now: SteadyMs, then: SteadyMs): Millis => (now - then) as Millis;
-export const partId = (n: number): PartId => n as PartId;
+export const shardId = (n: number): ShardId => n as ShardId;
 export const taskIndex = (n: number): TaskIndex => n as TaskIndex;
 export const revision = (n: number): Revision => n as Revision;
-export const token = (n: number): Token => n as Token;
+export const fencingToken = (n: number): FencingToken => n as FencingToken;
 export const attempt = (n: number): Attempt => n as Attempt;
 export const stateKey = (s: string): StateKey => s as StateKey;
 export const NO_REVISION = 0 as Revision;
--- a/src/workers/clients.ts
+++ b/src/workers/clients.ts
@@ -1,8 +1,8 @@
 /** Connections to workers' own addresses: one client an address, closed when no machine has it any more. */
-import type { Caller } from '../state/client.js';
+import type { Caller } from '../store/client.js';
 import type { Address } from '../units.js';
 import { millis } from '../units.js';
-import { decodeReport, type Report } from './wire.js';
+import { decodeReport, type Heartbeat } from './wire.js';
 
 /**
  * Share of our sockets: calls to workers at once, and as many again that are kept open after a call. The rest is for
@@ -46,7 +46,7 @@
    * Does the machine answer at its own address? What reports and cannot be reached takes no orders; and a late copy
    * of a report from a machine that was deleted, perhaps before this process began, finds nobody there.
    */
-  async isReached(report: Report): Promise<boolean> {
+  async isReached(report: Heartbeat): Promise<boolean> {
     const outcome = await this.at(report.address).call(STATUS_CALL);
     if (outcome.kind !== 'answer' || outcome.status !== 200) return false;
     return decodeReport(outcome.body)?.machine === report.machine;
--- a/src/workers/direct-orders.ts
+++ b/src/workers/direct-orders.ts
@@ -1,14 +1,14 @@
 /** Sends orders straight to workers, where waiting for their next report would be too slow. */
 import type { Core } from '../core.js';
 import type { Outcome } from '../http/client.js';
-import type { Binding, Doubt, Machine, Part } from '../parts/model.js';
+import type { Allocation, UnacknowledgedLaunch, Machine, Shard } from '../shards/model.js';
 import type { SteadyMs } from '../units.js';
 import { millis, plus } from '../units.js';
 import { DIRECT_CALL_SHARE, type WorkerClients } from './clients.js';
 import { ordersDirect } from './orders.js';
 import type { PoolUpdates } from './pool-updates.js';
-import { applyReport } from './reports.js';
-import { decodeReport, encodeDirect, type Order } from './wire.js';
+import { reconcileHeartbeat } from './reconciliation.js';
+import { decodeReport, encodeDirect, type WorkerCommand } from './wire.js';
 
 const CALL_TIMEOUT = millis(2000);
 /** How often a machine that we could not reach is tried again. */
@@ -20,15 +20,15 @@
 
 /** What one call carries. */
 interface Delivery {
-  readonly orders: readonly Order[];
-  readonly launches: readonly Binding[];
+  readonly orders: readonly WorkerCommand[];
+  readonly launches: readonly Allocation[];
 }
 
 /** Orders without content still carry our token. */
 const TOKEN_ONLY: Delivery = { orders: [], launches: [] };
 
 /** Bounded calls to workers, one at a time for each machine. */
-export class DirectOrders {
+export class DirectCommands {
   private calls = 0;
 
   constructor(
@@ -38,35 +38,35 @@
   ) {}
 
   /** Sends what is due on every machine, one request a machine at a time. */
-  dispatch(part: Part): void {
+  dispatch(shard: Shard): void {
     const now = this.core.clock.now();
     if (!this.core.authority(now)) return;
-    for (const machine of part.due) {
+    for (const machine of shard.due) {
       // Bounded: after a takeover there are hundreds to talk to, and each costs a connection.
       if (this.calls >= this.maxCalls) return;
-      if (!this.sendDue(part, machine, now)) part.due.delete(machine);
+      if (!this.sendDue(shard, machine, now)) shard.due.delete(machine);
     }
   }
 
   /** Sends what is due on one machine; false: there is nothing to say, until something changes. */
-  private sendDue(part: Part, machine: Machine, now: SteadyMs): boolean {
+  private sendDue(shard: Shard, machine: Machine, now: SteadyMs): boolean {
     if (machine.returning) return false;
     if (machine.directBusy || machine.address === '') return true;
-    const behind = part.token > machine.token;
-    if (!machine.settled && behind) {
-      if (now >= machine.avoidUntil) void this.deliver(part, machine, TOKEN_ONLY);
+    const behind = shard.token > machine.token;
+    if (!machine.reconciled && behind) {
+      if (now >= machine.quarantinedUntil) void this.deliver(shard, machine, TOKEN_ONLY);
       return true;
     }
     if (machine.unreachedSince !== null) {
-      if (now < machine.avoidUntil) return true;
-      void this.deliver(part, machine, ordersDirect(part, machine, now));
+      if (now < machine.quarantinedUntil) return true;
+      void this.deliver(shard, machine, ordersDirect(shard, machine, now));
       return true;
     }
     if (machine.lastHeard === null) return false;
-    const due = ordersDirect(part, machine, now);
-    if (due.orders.length > 0) void this.deliver(part, machine, due);
+    const due = ordersDirect(shard, machine, now);
+    if (due.orders.length > 0) void this.deliver(shard, machine, due);
     else if (!behind || !hasUnresolvedLaunch(machine)) return false;
-    else if (now >= machine.avoidUntil) void this.deliver(part, machine, TOKEN_ONLY);
+    else if (now >= machine.quarantinedUntil) void this.deliver(shard, machine, TOKEN_ONLY);
     return true;
   }
 
@@ -74,35 +74,35 @@
     return Math.max(MIN_CALLS, Math.floor(this.core.settings.maxConnections * DIRECT_CALL_SHARE));
   }
 
-  private async deliver(part: Part, machine: Machine, { orders, launches }: Delivery): Promise<void> {
+  private async deliver(shard: Shard, machine: Machine, { orders, launches }: Delivery): Promise<void> {
     machine.directBusy = true;
     this.calls += 1;
-    const token = part.token;
+    const token = shard.token;
     const session = machine.session;
     const body = encodeDirect(token, session, orders);
     const outcome = await this.clients.at(machine.address).call({
       method: 'POST',
       path: '/orders',
       body,
-      timeout: machine.settled ? CALL_TIMEOUT : CLAIM_CALL_TIMEOUT,
+      timeout: machine.reconciled ? CALL_TIMEOUT : CLAIM_CALL_TIMEOUT,
       // The connection may take so long that we are not entitled any more when it is there.
       mayStillSend: () => this.core.authority(this.core.clock.now()),
     });
     await this.core.exclusive(() => {
       machine.directBusy = false;
       this.calls -= 1;
-      part.due.add(machine);
-      this.settle(part, machine, launches, outcome, { token, session });
-      this.updates.changed(part);
+      shard.due.add(machine);
+      this.settle(shard, machine, launches, outcome, { token, session });
+      this.updates.changed(shard);
     });
   }
 
   private settle(
-    part: Part,
+    shard: Shard,
     machine: Machine,
-    launches: readonly Binding[],
+    launches: readonly Allocation[],
     outcome: Outcome,
-    sent: Pick<Doubt, 'token' | 'session'>,
+    sent: Pick<UnacknowledgedLaunch, 'token' | 'session'>,
   ): void {
     const now = this.core.clock.now();
     for (const launch of launches) launch.inFlight = false;
@@ -111,11 +111,14 @@
     if (report && report.machine === machine.id) {
       machine.unreachedSince = null;
       machine.missedCalls = 0;
-      applyReport(part, machine, report, 'direct', this.updates.reportContext(now));
+      reconcileHeartbeat(shard, machine, report, 'direct', this.updates.reportContext(now));
       return;
     }
     machine.missedCalls += 1;
-    machine.avoidUntil = plus(now, millis(machine.settled ? RETRY_INTERVAL_MS : CLAIM_RETRY_INTERVAL_MS));
+    machine.quarantinedUntil = plus(
+      now,
+      millis(machine.reconciled ? RETRY_INTERVAL_MS : CLAIM_RETRY_INTERVAL_MS),
+    );
     machine.unreachedSince ??= now;
     const unsent = outcome.kind === 'unsent' || (outcome.kind === 'answer' && outcome.status === 400);
     this.core.log.debug(
@@ -123,15 +126,15 @@
       'direct order',
     );
     // What did not arrive is due again: the tasks of a gang must be told to stop within seconds of each other.
-    for (const allocation of machine.bindings.values())
+    for (const allocation of machine.allocations.values())
       if (allocation.stop?.direct === 'sent') allocation.stop.direct = 'due';
     // Sent and not answered: it may be carried out minutes from now, as long as token and session match.
-    if (!unsent) for (const launch of launches) launch.doubt = { ...sent, since: now };
+    if (!unsent) for (const launch of launches) launch.unacknowledged = { ...sent, since: now };
   }
 }
 
 function hasUnresolvedLaunch(machine: Machine): boolean {
-  for (const allocation of machine.bindings.values()) if (allocation.doubt) return true;
-  for (const exited of machine.exited.values()) if (exited.doubt) return true;
+  for (const allocation of machine.allocations.values()) if (allocation.unacknowledged) return true;
+  for (const exited of machine.exited.values()) if (exited.unacknowledged) return true;
   return false;
 }
--- a/src/workers/report-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,16 +1,16 @@
 /** Answers workers' reports: only the owner of a machine's pool, while it is entitled to, renews its lease. */
 import type { Core } from '../core.js';
 import type { Answer } from '../http/server.js';
-import type { Machine, Part } from '../parts/model.js';
-import type { Ownership } from '../parts/ownership.js';
-import { decodeMachine, machineKey } from '../parts/records.js';
-import type { PartId, SteadyMs } from '../units.js';
+import type { Machine, Shard } from '../shards/model.js';
+import type { ShardLeadership } from '../leadership/leadership.js';
+import { decodeMachine, machineKey } from '../shards/records.js';
+import type { ShardId, SteadyMs } from '../units.js';
 import { millis, steady } from '../units.js';
-import type { Naming } from './naming.js';
+import type { MachineRegistration } from './registration.js';
 import { ordersInAnswer } from './orders.js';
 import type { PoolUpdates } from './pool-updates.js';
-import { applyReport } from './reports.js';
-import { encodeRedirect, encodeReply, parseReport, type Report } from './wire.js';
+import { reconcileHeartbeat } from './reconciliation.js';
+import { encodeRedirect, encodeReply, parseReport, type Heartbeat } from './wire.js';
 
 /** A worker waits 4 s for its answer. */
 const MAX_ANSWER_DELAY_MS = 2500;
@@ -21,13 +21,13 @@
 const NOT_ENTITLED: Answer = { status: 503, body: { error: 'not entitled now' }, retryAfterS: 1 };
 
 /** Answers reports with 200 and orders, 421 and the owner, or 503. */
-export class ReportHandler {
+export class HeartbeatHandler {
   private raisedAt = steady(-1e12);
 
   constructor(
     private readonly core: Core,
-    private readonly ownership: Ownership,
-    private readonly naming: Naming,
+    private readonly ownership: ShardLeadership,
+    private readonly naming: MachineRegistration,
     private readonly updates: PoolUpdates,
   ) {}
 
@@ -43,59 +43,65 @@
     return this.core.exclusive(() => this.answer(report, named));
   }
 
-  private async partOf(report: Report): Promise<PartId | null> {
-    for (const part of this.core.parts.values()) if (part.machines.has(report.machine)) return part.id;
+  private async partOf(report: Heartbeat): Promise<ShardId | null> {
+    for (const shard of this.core.parts.values()) if (shard.machines.has(report.machine)) return shard.id;
     const entry = this.core.view.get(machineKey(report.machine));
     const record = entry ? decodeMachine(entry.value) : null;
     return record ? record.part : this.naming.adopt(report);
   }
 
-  private answer(report: Report, named: PartId): Answer {
-    const part = this.core.parts.get(named);
-    const machine = part?.machines.get(report.machine);
-    if (!part || !machine) return this.redirect(report, named);
+  private answer(report: Heartbeat, named: ShardId): Answer {
+    const shard = this.core.parts.get(named);
+    const machine = shard?.machines.get(report.machine);
+    if (!shard || !machine) return this.redirect(report, named);
     const now = this.core.clock.now();
     // Its worker has seen a higher token: somebody else commands it. A 200 would be dropped, and would keep the
     // worker here while its lease runs out.
-    if (report.token > part.token) {
-      this.outranked(part, now);
+    if (report.token > shard.token) {
+      this.outranked(shard, now);
       return { status: 421, body: encodeRedirect(null) };
     }
     if (!this.core.authority(now)) return NOT_ENTITLED;
-    if (this.isUnreachable(part, machine, report, now)) {
+    if (this.isUnreachable(shard, machine, report, now)) {
       machine.refusedUnreachable = now;
       return NOT_ENTITLED;
     }
-    if (!applyReport(part, machine, report, 'report', this.updates.reportContext(now))) return NOT_ENTITLED;
-    const orders = ordersInAnswer(part, machine);
-    if (!machine.settled) {
-      part.due.add(machine);
-      machine.answeredUnsettled ??= now;
+    if (!reconcileHeartbeat(shard, machine, report, 'report', this.updates.reportContext(now)))
+      return NOT_ENTITLED;
+    const orders = ordersInAnswer(shard, machine);
+    if (!machine.reconciled) {
+      shard.due.add(machine);
+      machine.answeredUnreconciled ??= now;
     }
-    this.updates.changed(part);
-    return { status: 200, body: encodeReply(part.token, orders) };
+    this.updates.changed(shard);
+    return { status: 200, body: encodeReply(shard.token, orders) };
   }
 
   /**
    * It reports and never shows the token that our answers carry: they do not reach it. Each further answer might
    * renew its lease, and the part would wait for it for ever; refused, its lease ends for certain.
    */
-  private isUnreachable(part: Part, machine: Machine, report: Report, now: SteadyMs): boolean {
-    if (report.token >= part.token || machine.settled || machine.answeredUnsettled === null || part.accounted)
+  private isUnreachable(shard: Shard, machine: Machine, report: Heartbeat, now: SteadyMs): boolean {
+    if (
+      report.token >= shard.token ||
+      machine.reconciled ||
+      machine.answeredUnreconciled === null ||
+      shard.reconciled
+    )
       return false;
-    return now - machine.answeredUnsettled > 3 * this.core.reportMs + 4000;
+    return now - machine.answeredUnreconciled > 3 * this.core.reportMs + 4000;
   }
 
   /** If the store still says that the part is ours, a new token goes above what the worker has seen. */
-  private outranked(part: Part, now: SteadyMs): void {
+  private outranked(shard: Shard, now: SteadyMs): void {
     if (now - this.raisedAt < RAISE_INTERVAL_MS) return;
     this.raisedAt = now;
-    void this.ownership.raise(part);
+    void this.ownership.raise(shard);
   }
 
-  private redirect(report: Report, named: PartId): Answer {
+  private redirect(report: Heartbeat, named: ShardId): Answer {
     this.ownership.noteStray(named, report.machine);
-    const owner = this.core.partRecord(named)?.owner ?? null;
+    const owner = this.core.shardRecord(named)?.owner ?? null;
     const reachable =
       owner !== null && owner !== this.core.settings.node && this.core.heard(owner, OWNER_HEARD);
     return { status: 421, body: encodeRedirect(reachable ? owner : null) };
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -1,13 +1,18 @@
 /** Which orders a worker should get now. Every order may be repeated, except a launch after its clear. */
 import type { SteadyMs, Seconds } from '../units.js';
-import type { Binding, Exited, Machine, Part } from '../parts/model.js';
-import type { Order } from './wire.js';
+import type { Allocation, Exited, Machine, Shard } from '../shards/model.js';
+import type { WorkerCommand } from './wire.js';
 
 /** Keeps an answer's one line well under 64 KiB. */
 const MAX_ORDERS = 400;
 
-const start = (b: Binding): Order => ({ op: 'start', job: b.job, index: b.index, attempt: b.attempt });
-const stop = (b: Binding): Order => ({
+const start = (b: Allocation): WorkerCommand => ({
+  op: 'start',
+  job: b.job,
+  index: b.index,
+  attempt: b.attempt,
+});
+const stop = (b: Allocation): WorkerCommand => ({
   op: 'stop',
   job: b.job,
   index: b.index,
@@ -19,26 +24,26 @@
  * An exited task may be removed from the worker once its end is in the job's record, and never while a launch
  * of the same attempt may still arrive: the worker would start it anew.
  */
-export function mayForget(part: Part, e: Exited): boolean {
-  if (e.doubt) return false;
-  const job = part.jobs.get(e.job);
+export function mayForget(shard: Shard, e: Exited): boolean {
+  if (e.unacknowledged) return false;
+  const job = shard.jobs.get(e.job);
   return e.cause !== 'done' || !job || !job.finished.has(e.index);
 }
 
-function forgets(part: Part, machine: Machine): Order[] {
-  const out: Order[] = [];
+function forgets(shard: Shard, machine: Machine): WorkerCommand[] {
+  const out: WorkerCommand[] = [];
   for (const e of machine.exited.values()) {
-    const inFlight = machine.bindings.get(e.id);
+    const inFlight = machine.allocations.get(e.id);
     if (inFlight && inFlight.attempt === e.attempt) continue;
-    if (mayForget(part, e)) out.push({ op: 'forget', job: e.job, index: e.index, attempt: e.attempt });
+    if (mayForget(shard, e)) out.push({ op: 'forget', job: e.job, index: e.index, attempt: e.attempt });
   }
   return out;
 }
 
 /** For the answer to a report: everything that the worker does not show yet. */
-export function ordersInAnswer(part: Part, machine: Machine): Order[] {
-  const out = forgets(part, machine);
-  for (const b of machine.bindings.values()) {
+export function ordersInAnswer(shard: Shard, machine: Machine): WorkerCommand[] {
+  const out = forgets(shard, machine);
+  for (const b of machine.allocations.values()) {
     if (out.length >= MAX_ORDERS) break;
     if (b.stop) out.push(stop(b));
     else if (b.phase === 'ordered' && !b.inFlight) {
@@ -52,13 +57,13 @@
 
 /** For a direct request: what is due and not yet sent. Marks it as on its way. */
 export function ordersDirect(
-  part: Part,
+  shard: Shard,
   machine: Machine,
   now: SteadyMs,
-): { orders: Order[]; launches: Binding[] } {
-  const stops: Order[] = [];
-  const launches: Binding[] = [];
-  for (const b of machine.bindings.values()) {
+): { orders: WorkerCommand[]; launches: Allocation[] } {
+  const stops: WorkerCommand[] = [];
+  const launches: Allocation[] = [];
+  for (const b of machine.allocations.values()) {
     if (stops.length + launches.length >= MAX_ORDERS) break;
     if (b.stop) {
       if (b.stop.direct === 'due') {
@@ -74,7 +79,7 @@
   if (stops.length + launches.length === 0) return { orders: [], launches };
   void now;
   return {
-    orders: [...stops, ...forgets(part, machine), ...launches.map(start)].slice(0, MAX_ORDERS * 2),
+    orders: [...stops, ...forgets(shard, machine), ...launches.map(start)].slice(0, MAX_ORDERS * 2),
     launches,
   };
 }
--- a/src/workers/reports.ts
+++ b/src/workers/reconciliation.ts
@@ -6,38 +6,38 @@
 import { plus, since, taskId, toMillis } from '../units.js';
 import {
   attach,
-  bind,
+  allocate,
   isOurs,
-  unbind,
-  type Binding,
+  release,
+  type Allocation,
   type Exited,
   type Machine,
-  type Part,
-  type PartJob,
-} from '../parts/model.js';
+  type Shard,
+  type ShardJob,
+} from '../shards/model.js';
 import type { JobSpec } from '../jobs/spec.js';
-import type { Report, ReportedTask } from './wire.js';
+import type { Heartbeat, TaskStatus } from './wire.js';
 
 /** `report`: the worker's own message. `direct`: its answer to an order of ours. */
 export type Channel = 'report' | 'direct';
 
-export interface ReportContext {
+export interface ReconciliationContext {
   readonly now: SteadyMs;
   /** Of jobs that are over but may still have tasks on machines. */
-  readonly pastSpec: (task: ReportedTask) => JobSpec | null;
-  readonly onDone: (b: Binding) => void;
+  readonly pastSpec: (task: TaskStatus) => JobSpec | null;
+  readonly onDone: (b: Allocation) => void;
   /** A worker that heard our answer reports again within this time. */
   readonly reportsWithin: Millis;
   readonly log: Log;
 }
 
 /** Applies a message in the order of (session, number); false: it is older than what we know. */
-export function applyReport(
-  part: Part,
+export function reconcileHeartbeat(
+  shard: Shard,
   machine: Machine,
-  report: Report,
+  report: Heartbeat,
   channel: Channel,
-  ctx: ReportContext,
+  ctx: ReconciliationContext,
 ): boolean {
   const older =
     report.session < machine.leastSession ||
@@ -48,10 +48,10 @@
   if (channel === 'report' && leftUnanswered(machine, report, ctx)) {
     // To be reached directly before anything new is placed there.
     machine.unreachedSince ??= ctx.now;
-    part.due.add(machine);
+    shard.due.add(machine);
   }
   if (report.session > machine.session) {
-    endSession(part, machine, ctx);
+    endSession(shard, machine, ctx);
     machine.sessionSeen = ctx.now;
   }
   machine.session = report.session;
@@ -59,9 +59,9 @@
   machine.token = report.token;
   machine.address = report.address;
   machine.lastHeard = ctx.now;
-  machine.takenAt = report.noticeS === null ? null : plus(ctx.now, toMillis(report.noticeS));
-  if (machine.takenAt === null) part.noticed.delete(machine);
-  else part.noticed.add(machine);
+  machine.interruptedAt = report.noticeS === null ? null : plus(ctx.now, toMillis(report.noticeS));
+  if (machine.interruptedAt === null) shard.interruptionNoticed.delete(machine);
+  else shard.interruptionNoticed.add(machine);
   if (channel === 'report') {
     if (machine.lastReport === null || since(ctx.now, machine.lastReport) > ctx.reportsWithin)
       machine.heardSince = ctx.now;
@@ -70,26 +70,26 @@
   }
   settleDoubts(machine, report);
   const seen = new Set<TaskId>();
-  machine.exited = applyExits(part, machine, report, seen, ctx);
-  for (const task of report.tasks) if (task.state !== 'exited') applyActive(part, machine, task, seen, ctx);
-  for (const b of [...machine.bindings.values()]) {
-    if (!seen.has(b.id)) applyAbsent(part, machine, b, channel, ctx);
+  machine.exited = applyExits(shard, machine, report, seen, ctx);
+  for (const task of report.tasks) if (task.state !== 'exited') applyActive(shard, machine, task, seen, ctx);
+  for (const b of [...machine.allocations.values()]) {
+    if (!seen.has(b.id)) applyAbsent(shard, machine, b, channel, ctx);
   }
-  if (report.token >= part.token) part.settle(machine);
+  if (report.token >= shard.token) shard.settle(machine);
   return true;
 }
 
 /** Hearing is not reaching: a new session, or a longer silence than between reports that we answered. */
-function leftUnanswered(machine: Machine, report: Report, ctx: ReportContext): boolean {
-  if (machine.lastReport === null || !machine.settled) return false;
+function leftUnanswered(machine: Machine, report: Heartbeat, ctx: ReconciliationContext): boolean {
+  if (machine.lastReport === null || !machine.reconciled) return false;
   return report.session > machine.session || since(ctx.now, machine.lastReport) > ctx.reportsWithin;
 }
 
 /** The worker's lease ran out: it killed and forgot every task, and takes no order of that session. */
-export function endSession(part: Part, machine: Machine, ctx: Pick<ReportContext, 'log'>): void {
-  for (const b of [...machine.bindings.values()]) {
+export function endSession(shard: Shard, machine: Machine, ctx: Pick<ReconciliationContext, 'log'>): void {
+  for (const b of [...machine.allocations.values()]) {
     ctx.log.debug({ task: b.id, machine: machine.id, attempt: b.attempt }, 'lost with its session');
-    unbind(part, machine, b);
+    release(shard, machine, b);
   }
   machine.exited = new Map();
 }
@@ -98,60 +98,68 @@
  * A direct launch may be executed late as long as token and session match; a newer session or a higher token
  * seen by the worker rules that out.
  */
-function settleDoubts(machine: Machine, report: Report): void {
-  const over = (d: Binding['doubt']): boolean =>
+function settleDoubts(machine: Machine, report: Heartbeat): void {
+  const over = (d: Allocation['unacknowledged']): boolean =>
     d !== null && (report.session > d.session || report.token > d.token);
-  for (const b of machine.bindings.values()) if (over(b.doubt)) b.doubt = null;
-  for (const e of machine.exited.values()) if (over(e.doubt)) e.doubt = null;
+  for (const b of machine.allocations.values()) if (over(b.unacknowledged)) b.unacknowledged = null;
+  for (const e of machine.exited.values()) if (over(e.unacknowledged)) e.unacknowledged = null;
 }
 
 function applyExits(
-  part: Part,
+  shard: Shard,
   machine: Machine,
-  report: Report,
+  report: Heartbeat,
   seen: Set<TaskId>,
-  ctx: ReportContext,
+  ctx: ReconciliationContext,
 ): Map<TaskId, Exited> {
   const exited = new Map<TaskId, Exited>();
   for (const task of report.tasks) {
     if (task.state !== 'exited' || task.cause === null) continue;
     const id = taskId(task.job, task.index);
     const before = machine.exited.get(id);
-    const binding = machine.bindings.get(id);
-    const ours = binding?.attempt === task.attempt ? binding : null;
-    const doubt = ours?.doubt ?? (before?.attempt === task.attempt ? before.doubt : null);
-    exited.set(id, { id, job: task.job, index: task.index, attempt: task.attempt, cause: task.cause, doubt });
+    const allocation = machine.allocations.get(id);
+    const ours = allocation?.attempt === task.attempt ? allocation : null;
+    const unacknowledged =
+      ours?.unacknowledged ?? (before?.attempt === task.attempt ? before.unacknowledged : null);
+    exited.set(id, {
+      id,
+      job: task.job,
+      index: task.index,
+      attempt: task.attempt,
+      cause: task.cause,
+      unacknowledged: unacknowledged,
+    });
     if (ours) {
       seen.add(id);
-      ended(part, machine, ours, task, ctx);
-    } else if (!before && task.cause === 'done') finished(part, task);
+      ended(shard, machine, ours, task, ctx);
+    } else if (!before && task.cause === 'done') finished(shard, task);
   }
   return exited;
 }
 
-function finished(part: Part, task: ReportedTask): void {
-  const job = part.jobs.get(task.job);
+function finished(shard: Shard, task: TaskStatus): void {
+  const job = shard.jobs.get(task.job);
   if (!job || job.spec.shape === 'service' || job.record.done.has(task.index)) return;
-  if (!isOurs(part, task.job, task.index)) return;
-  if (job.gang) return finishGang(part, job);
-  if (part.bound.has(taskId(task.job, task.index))) return;
+  if (!isOurs(shard, task.job, task.index)) return;
+  if (job.gang) return finishGang(shard, job);
+  if (shard.allocations.has(taskId(task.job, task.index))) return;
   job.finished.add(task.index);
-  part.ended.add(job);
+  shard.ended.add(job);
   job.waiting.remove(task.index);
-  job.frozen.remove(task.index);
+  job.unaccounted.remove(task.index);
 }
 
 /** The tasks of a gang complete together: one that is done says that all are. */
-function finishGang(part: Part, job: PartJob): void {
+function finishGang(shard: Shard, job: ShardJob): void {
   job.finished.addRange(0, job.spec.tasks);
   job.finished.removeAll(job.record.done);
-  part.ended.add(job);
+  shard.ended.add(job);
   job.waiting.removeRange(0, job.spec.tasks);
-  job.frozen.removeRange(0, job.spec.tasks);
+  job.unaccounted.removeRange(0, job.spec.tasks);
 }
 
 /** A task that still waits says that the attempt has not started; one that runs, that it has. */
-function learnGangState(gang: GangHistory, attempt: Attempt, state: ReportedTask['state']): void {
+function learnGangState(gang: GangHistory, attempt: Attempt, state: TaskStatus['state']): void {
   if (hasBegun(state)) gang.started = attempt;
   else gang.mayHaveStarted = false;
 }
@@ -160,7 +168,7 @@
 const NEVER_JOINED: readonly ExitCause[] = ['no-room', 'busy', 'unknown', 'alone'];
 
 /** What the end of a gang's task says about its attempt. */
-function learnGangExit({ gang }: PartJob, machine: Machine, { attempt, cause }: ReportedTask): void {
+function learnGangExit({ gang }: ShardJob, machine: Machine, { attempt, cause }: TaskStatus): void {
   if (!gang) return;
   gang.leftMachines.add(machine.id);
   if (cause === 'peers') gang.started = attempt;
@@ -168,24 +176,35 @@
   if (cause !== null && NEVER_JOINED.includes(cause)) gang.mayHaveStarted = false;
 }
 
-function ended(part: Part, machine: Machine, b: Binding, task: ReportedTask, ctx: ReportContext): void {
-  unbind(part, machine, b);
-  const job = part.jobs.get(b.job);
+function ended(
+  shard: Shard,
+  machine: Machine,
+  b: Allocation,
+  task: TaskStatus,
+  ctx: ReconciliationContext,
+): void {
+  release(shard, machine, b);
+  const job = shard.jobs.get(b.job);
   ctx.log.debug({ task: b.id, machine: machine.id, attempt: b.attempt, cause: task.cause }, 'exited');
   if (job) learnGangExit(job, machine, task);
   if (task.cause === 'done') {
     machine.faults = [];
     if (job) job.successes += 1;
     ctx.onDone(b);
-    finished(part, task);
+    finished(shard, task);
   } else if (task.cause === 'error') blame(machine, b, job, ctx);
   else if (task.cause === 'no-room' || task.cause === 'busy')
-    machine.avoidUntil = plus(ctx.now, toMillis(2 as never));
+    machine.quarantinedUntil = plus(ctx.now, toMillis(2 as never));
   else if (task.cause === 'unknown' && job) job.notBefore = plus(ctx.now, toMillis(1 as never));
 }
 
 /** Many jobs failing on one machine: the machine. One job failing on many machines: the job. */
-function blame(machine: Machine, b: Binding, job: ReturnType<Part['jobs']['get']>, ctx: ReportContext): void {
+function blame(
+  machine: Machine,
+  b: Allocation,
+  job: ReturnType<Shard['jobs']['get']>,
+  ctx: ReconciliationContext,
+): void {
   if (job) {
     job.errors += 1;
     job.errorMachines.add(machine.id);
@@ -201,33 +220,33 @@
   machine.faults = machine.faults.slice(-20);
   const jobs = new Set(machine.faults.map((f) => f.job)).size;
   const avoidS = machine.faults.length >= 2 || jobs >= 2 ? 45 : 5;
-  machine.avoidUntil = plus(ctx.now, toMillis(avoidS as never));
+  machine.quarantinedUntil = plus(ctx.now, toMillis(avoidS as never));
   ctx.log.info({ machine: machine.id, faults: machine.faults.length, jobs, avoidS }, 'tasks fail on machine');
 }
 
 function applyActive(
-  part: Part,
+  shard: Shard,
   machine: Machine,
-  task: ReportedTask,
+  task: TaskStatus,
   seen: Set<TaskId>,
-  ctx: ReportContext,
+  ctx: ReconciliationContext,
 ): void {
   if (task.state === 'exited') return;
   const id = taskId(task.job, task.index);
   seen.add(id);
-  const known = machine.bindings.get(id);
+  const known = machine.allocations.get(id);
   if (known && known.attempt === task.attempt) {
-    progress(part, machine, known, task.state, ctx);
+    progress(shard, machine, known, task.state, ctx);
     return;
   }
-  const elsewhere = part.bound.get(id);
-  const job = part.jobs.get(task.job);
-  const wanted = !elsewhere && !known && job !== undefined && isOurs(part, task.job, task.index);
+  const elsewhere = shard.allocations.get(id);
+  const job = shard.jobs.get(task.job);
+  const wanted = !elsewhere && !known && job !== undefined && isOurs(shard, task.job, task.index);
   const open = wanted && !job.record.done.has(task.index) && !job.finished.has(task.index);
   // Seen on a machine without our having started it: adopted if it is ours to run, else stopped and counted
   // until it is gone.
   const spec = job?.spec ?? ctx.pastSpec(task);
-  const found: Binding = {
+  const found: Allocation = {
     id,
     job: task.job,
     index: task.index,
@@ -235,63 +254,74 @@
     machine: machine.id,
     spec,
     phase: task.state,
-    boundAt: ctx.now,
+    allocatedAt: ctx.now,
     runningSince: hasBegun(task.state) ? ctx.now : null,
     gatheringSince: task.state === 'gathering' ? ctx.now : null,
     stop: open ? null : { grace: 0, direct: 'due' },
     inFlight: false,
     due: false,
-    doubt: known ? doubtOf(known, machine, part, ctx.now) : null,
+    unacknowledged: known ? doubtOf(known, machine, shard, ctx.now) : null,
     answered: null,
   };
-  if (open) bind(part, machine, found);
+  if (open) allocate(shard, machine, found);
   else {
-    attach(part, machine, found);
-    if (!elsewhere || elsewhere === known) part.bound.set(id, found);
+    attach(shard, machine, found);
+    if (!elsewhere || elsewhere === known) shard.allocations.set(id, found);
     job?.waiting.remove(task.index);
     ctx.log.info({ task: id, machine: machine.id, attempt: task.attempt }, 'not ours to run, stopping');
   }
-  if (task.state !== 'fetching' && spec) part.sawImage(machine, spec.image, spec.imageGb);
+  if (task.state !== 'fetching' && spec) shard.sawImage(machine, spec.image, spec.imageGb);
 }
 
 /**
  * Another attempt is on the machine than the one we sent there. Ours may still arrive, and would start once this
  * one has ended: until a newer session or a higher token rules that out, the task stays bound to this machine.
  */
-function doubtOf(known: Binding, machine: Machine, part: Part, now: SteadyMs): Binding['doubt'] {
-  if (known.doubt) return known.doubt;
+function doubtOf(
+  known: Allocation,
+  machine: Machine,
+  shard: Shard,
+  now: SteadyMs,
+): Allocation['unacknowledged'] {
+  if (known.unacknowledged) return known.unacknowledged;
   if (!known.inFlight && known.answered === null) return null;
-  return { token: part.token, session: machine.session, since: now };
+  return { token: shard.token, session: machine.session, since: now };
 }
 
-const hasBegun = (state: ReportedTask['state']): boolean => state === 'running' || state === 'saving';
+const hasBegun = (state: TaskStatus['state']): boolean => state === 'running' || state === 'saving';
 
 function progress(
-  part: Part,
+  shard: Shard,
   machine: Machine,
-  b: Binding,
-  state: Exclude<ReportedTask['state'], 'exited'>,
-  ctx: ReportContext,
+  b: Allocation,
+  state: Exclude<TaskStatus['state'], 'exited'>,
+  ctx: ReconciliationContext,
 ): void {
   if (b.phase !== state) ctx.log.debug({ task: b.id, machine: machine.id, state }, 'task moves on');
   b.phase = state;
   b.due = false;
-  const gang = part.jobs.get(b.job)?.gang;
+  const gang = shard.jobs.get(b.job)?.gang;
   if (gang) learnGangState(gang, b.attempt, state);
   if (state === 'fetching') return;
   if (state === 'gathering') b.gatheringSince ??= ctx.now;
   else b.runningSince ??= ctx.now;
-  if (b.spec) part.sawImage(machine, b.spec.image, b.spec.imageGb);
+  if (b.spec) shard.sawImage(machine, b.spec.image, b.spec.imageGb);
 }
 
 /** Not in the worker's list. Only certain when nothing that could still start it is on its way. */
-function applyAbsent(part: Part, machine: Machine, b: Binding, channel: Channel, ctx: ReportContext): void {
-  if (b.inFlight || b.doubt) return;
+function applyAbsent(
+  shard: Shard,
+  machine: Machine,
+  b: Allocation,
+  channel: Channel,
+  ctx: ReconciliationContext,
+): void {
+  if (b.inFlight || b.unacknowledged) return;
   if (b.answered !== null) {
     // Launched in the answer to a report: settled only by the worker's next report, which it sends after it
     // has executed or dropped that answer.
     if (channel !== 'report' || machine.sequence <= b.answered) return;
   } else if (b.phase === 'ordered' && b.due) return;
   ctx.log.debug({ task: b.id, machine: machine.id, attempt: b.attempt }, 'not on its machine');
-  unbind(part, machine, b);
+  release(shard, machine, b);
 }
--- a/src/workers/naming.ts
+++ b/src/workers/registration.ts
@@ -1,11 +1,11 @@
 /** Names machines that nobody has named yet for a part: many in one conditional transaction. */
 import type { Core } from '../core.js';
 import { dominantShare, largestOf, ZERO } from '../model/resources.js';
-import { machineKey, type MachineRecord } from '../parts/records.js';
-import { Rank } from '../state/budget.js';
-import type { MachineId, PartId, SteadyMs } from '../units.js';
+import { encodeMachine, machineKey, type MachineRecord } from '../shards/records.js';
+import { RequestPriority } from '../store/rate-limiter.js';
+import type { MachineId, ShardId, SteadyMs } from '../units.js';
 import { millis, NO_REVISION } from '../units.js';
-import type { Report } from './wire.js';
+import type { Heartbeat } from './wire.js';
 
 /** Machines that report within this time share a transaction. */
 const GATHER = millis(30);
@@ -20,7 +20,7 @@
 interface Wanted {
   readonly id: MachineId;
   readonly record: MachineRecord;
-  readonly resolve: (part: PartId | null) => void;
+  readonly resolve: (shard: ShardId | null) => void;
 }
 
 /** Without a report for this long a machine is forgotten: it may be gone, or registered by a peer. */
@@ -28,10 +28,10 @@
 /** Names are whatever reports say: so many are kept at the most. */
 const MAX_CANDIDATES = 20_000;
 
-export class Naming {
+export class MachineRegistration {
   private readonly busy = new Set<MachineId>();
   /** Reports of machines whose turn has not come, in the order in which they came first. */
-  private readonly candidates = new Map<MachineId, Report>();
+  private readonly candidates = new Map<MachineId, Heartbeat>();
   /** When a machine that nobody has registered reported last; not those that did not answer a call. */
   private readonly heard = new Map<MachineId, SteadyMs>();
   private wanted: Wanted[] = [];
@@ -39,15 +39,15 @@
 
   constructor(
     private readonly core: Core,
-    private readonly answers: (report: Report) => Promise<boolean>,
+    private readonly answers: (report: Heartbeat) => Promise<boolean>,
   ) {}
 
   /** The part that the machine is named for, or null when it is not: it will report again. */
-  async adopt(report: Report): Promise<PartId | null> {
+  async adopt(report: Heartbeat): Promise<ShardId | null> {
     const { core } = this;
     const id = report.machine;
     // A report that a cut held back, from a machine that has been returned since: nobody is there any more.
-    if (core.gone.has(id)) return null;
+    if (core.retiredMachines.has(id)) return null;
     this.noteHeard(id);
     if (this.busy.has(id)) return null;
     // Each is called at its address, which takes a socket: at a start 1,900 were called at once. Those whose turn
@@ -81,7 +81,7 @@
     return alive[numberOf(id) % alive.length]?.node === core.settings.node;
   }
 
-  private remember(report: Report): void {
+  private remember(report: Heartbeat): void {
     const { machine } = report;
     if (!this.isOurs(machine)) return;
     if (this.candidates.has(machine) || this.candidates.size >= MAX_CANDIDATES) return;
@@ -93,12 +93,13 @@
     for (const [id, report] of this.candidates) {
       if (this.busy.size >= this.most) return;
       this.candidates.delete(id);
-      const open = this.core.view.version(machineKey(id)) === NO_REVISION && !this.core.gone.has(id);
+      const open =
+        this.core.view.version(machineKey(id)) === NO_REVISION && !this.core.retiredMachines.has(id);
       if (open && this.isCandidate(id) && !this.busy.has(id)) void this.register(report);
     }
   }
 
-  private async register(report: Report): Promise<PartId | null> {
+  private async register(report: Heartbeat): Promise<ShardId | null> {
     const { core } = this;
     const id = report.machine;
     this.candidates.delete(id);
@@ -109,9 +110,9 @@
         return null;
       }
       const { address, type, zone, spot } = report;
-      const part = core.rentedFor.get(id) ?? choosePart(core, report);
-      return await new Promise<PartId | null>((resolve) => {
-        this.wanted.push({ id, record: { part, address, type, zone, spot }, resolve });
+      const shard = core.rentedFor.get(id) ?? choosePart(core, report);
+      return await new Promise<ShardId | null>((resolve) => {
+        this.wanted.push({ id, record: { part: shard, address, type, zone, spot }, resolve });
         if (!this.gathering) void this.gather();
       });
     } finally {
@@ -141,10 +142,10 @@
     const open = batch.filter((w) => core.view.version(machineKey(w.id)) === NO_REVISION);
     for (const w of batch) if (!open.includes(w)) w.resolve(w.record.part);
     if (open.length === 0) return;
-    const result = await core.state.txn(
+    const result = await core.state.compareAndSwap(
       open.map((w) => ({ key: machineKey(w.id), version: NO_REVISION })),
-      open.map((w) => ({ op: 'put', key: machineKey(w.id), value: w.record }) as const),
-      Rank.final,
+      open.map((w) => ({ op: 'put', key: machineKey(w.id), value: encodeMachine(w.record) }) as const),
+      RequestPriority.final,
     );
     if (result.kind === 'conflict') {
       const failed = new Set(result.failed);
@@ -156,7 +157,7 @@
     if (result.kind === 'done') {
       core.log.info({ machines: open.map((w) => w.id) }, 'machines named');
       await core.exclusive(() => {
-        for (const w of open) core.view.learn(machineKey(w.id), w.record, result.revision);
+        for (const w of open) core.view.learn(machineKey(w.id), encodeMachine(w.record), result.revision);
       });
     }
     for (const w of open) w.resolve(result.kind === 'done' ? w.record.part : null);
@@ -170,13 +171,14 @@
  * Parts follow zones: among those whose controller sits in the machine's zone, by turns in name order, which
  * every controller counts alike while many machines are named at once, unless that part is clearly ahead.
  */
-export function choosePart(core: Core, report: Pick<Report, 'zone' | 'machine'>): PartId {
+export function choosePart(core: Core, report: Pick<Heartbeat, 'zone' | 'machine'>): ShardId {
   const near = core.settings.parts.filter((p) => p.zone === report.zone);
   const pool = near.length > 0 ? near : core.settings.parts;
   // In the largest machines there are, by CPUs or GPUs, of whichever the part has more: small machines often have
   // as much memory as large ones, which says little about the work that they can take.
   const largest = core.types.size > 0 ? { ...largestOf(core.types.values()), memoryGb: 0 } : ONE_CPU;
-  const sizeOf = (part: PartId): number => dominantShare(core.named.capacity(part, core.types), largest);
+  const sizeOf = (shard: ShardId): number =>
+    dominantShare(core.registeredMachines.capacity(shard, core.types), largest);
   const sizes = new Map(pool.map((p) => [p.part, sizeOf(p.part)] as const));
   const turn = pool[numberOf(report.machine) % pool.length]?.part ?? core.settings.part;
   const least = [...sizes].sort((a, b) => a[1] - b[1] || a[0] - b[0])[0];
--- a/src/workers/service.ts
+++ b/src/workers/service.ts
@@ -1,19 +1,19 @@
 /** The workers of the pools owned here: their reports, the orders sent to them, and their machines' coming and going. */
 import type { Core } from '../core.js';
 import type { Answer } from '../http/server.js';
-import type { Machine, Part } from '../parts/model.js';
-import { newMachine } from '../parts/model.js';
-import type { Ownership } from '../parts/ownership.js';
-import { decodeMachine, MACHINES, type MachineRecord } from '../parts/records.js';
-import type { RunTimes } from '../placement/runtimes.js';
-import type { Address, MachineId, PartId, Revision } from '../units.js';
+import type { Machine, Shard } from '../shards/model.js';
+import { newMachine } from '../shards/model.js';
+import type { ShardLeadership } from '../leadership/leadership.js';
+import { decodeMachine, MACHINES, type MachineRecord } from '../shards/records.js';
+import type { RuntimeEstimator } from '../placement/runtimes.js';
+import type { Address, MachineId, ShardId, Revision } from '../units.js';
 import { WorkerClients, type WorkerLink } from './clients.js';
-import { DirectOrders } from './direct-orders.js';
+import { DirectCommands } from './direct-orders.js';
 import { LeaseExpiry } from './lease-expiry.js';
-import { Naming } from './naming.js';
+import { MachineRegistration } from './registration.js';
 import { PoolUpdates } from './pool-updates.js';
-import { ReportHandler } from './report-handler.js';
-import { endSession } from './reports.js';
+import { HeartbeatHandler } from './heartbeat-handler.js';
+import { endSession } from './reconciliation.js';
 
 /** Retired machines that are remembered, the latest ones: at least so many, and as many as are registered. */
 const MIN_RETIRED = 5000;
@@ -24,22 +24,22 @@
 export class WorkerService {
   private readonly clients: WorkerClients;
   private readonly updates: PoolUpdates;
-  private readonly reports: ReportHandler;
-  private readonly directOrders: DirectOrders;
+  private readonly reports: HeartbeatHandler;
+  private readonly directOrders: DirectCommands;
   private readonly leases: LeaseExpiry;
-  private readonly naming: Naming;
+  private readonly naming: MachineRegistration;
 
   constructor(
     private readonly core: Core,
-    ownership: Ownership,
-    runTimes: RunTimes,
+    ownership: ShardLeadership,
+    runTimes: RuntimeEstimator,
     dial: (address: Address) => WorkerLink,
   ) {
     this.clients = new WorkerClients(dial);
     this.updates = new PoolUpdates(core, runTimes);
-    this.naming = new Naming(core, (report) => this.clients.isReached(report));
-    this.reports = new ReportHandler(core, ownership, this.naming, this.updates);
-    this.directOrders = new DirectOrders(core, this.clients, this.updates);
+    this.naming = new MachineRegistration(core, (report) => this.clients.isReached(report));
+    this.reports = new HeartbeatHandler(core, ownership, this.naming, this.updates);
+    this.directOrders = new DirectCommands(core, this.clients, this.updates);
     this.leases = new LeaseExpiry(core, ownership, this.updates);
   }
 
@@ -51,27 +51,27 @@
   /** The view shows a machine of a part that we own, or its removal. */
   onMachine(id: MachineId, record: MachineRecord | null, version: Revision): void {
     const now = this.core.clock.now();
-    for (const part of this.core.parts.values()) {
-      const present = part.machines.get(id);
-      if (record?.part === part.id) {
+    for (const shard of this.core.parts.values()) {
+      const present = shard.machines.get(id);
+      if (record?.part === shard.id) {
         if (present) continue;
         // Named after our claim: commanded by nobody before, so nothing of ours is on it.
-        const settled = version > part.claimedVersion;
-        part.add(newMachine(id, record.address, record.type, record.zone, record.spot, now, settled));
-      } else if (present) this.remove(part, present);
+        const settled = version > shard.claimedVersion;
+        shard.add(newMachine(id, record.address, record.type, record.zone, record.spot, now, settled));
+      } else if (present) this.remove(shard, present);
     }
     if (record) return;
     this.core.imageHints.delete(id);
-    this.core.gone.add(id);
-    if (this.core.gone.size > Math.max(MIN_RETIRED, this.core.named.size))
-      this.core.gone.delete(this.core.gone.keys().next().value as MachineId);
+    this.core.retiredMachines.add(id);
+    if (this.core.retiredMachines.size > Math.max(MIN_RETIRED, this.core.registeredMachines.size))
+      this.core.retiredMachines.delete(this.core.retiredMachines.keys().next().value as MachineId);
   }
 
   /** The machine is certainly gone, and all that was on it. */
-  remove(part: Part, machine: Machine): void {
-    endSession(part, machine, this.core);
-    part.drop(machine);
-    this.updates.changed(part);
+  remove(shard: Shard, machine: Machine): void {
+    endSession(shard, machine, this.core);
+    shard.drop(machine);
+    this.updates.changed(shard);
   }
 
   /** Does a machine report that is not registered yet, because others are before it? */
@@ -80,21 +80,21 @@
   }
 
   /** Sends what is due on every machine of a part. */
-  dispatch(part: Part): void {
-    this.directOrders.dispatch(part);
+  dispatch(shard: Shard): void {
+    this.directOrders.dispatch(shard);
   }
 
   /** To be called for every part at intervals. */
-  expireLeases(part: Part): void {
-    this.leases.expire(part);
+  expireLeases(shard: Shard): void {
+    this.leases.expire(shard);
   }
 
   /** Do workers of a part answer us at all? Asked before we take a part back. */
-  async workersAnswer(part: PartId): Promise<boolean> {
+  async workersAnswer(shard: ShardId): Promise<boolean> {
     const addresses: Address[] = [];
     for (const entry of this.core.view.under(MACHINES)) {
       const machine = decodeMachine(entry.value);
-      if (machine && machine.part === part && machine.address !== '') addresses.push(machine.address);
+      if (machine && machine.part === shard && machine.address !== '') addresses.push(machine.address);
     }
     if (addresses.length === 0) return true;
     const asked = addresses.slice(0, WORKERS_ASKED);
@@ -104,8 +104,8 @@
   /** Closes connections to workers whose machines are not ours any more. */
   closeUnusedClients(): void {
     const wanted = new Set<Address>();
-    for (const part of this.core.parts.values())
-      for (const machine of part.machines.values()) wanted.add(machine.address);
+    for (const shard of this.core.parts.values())
+      for (const machine of shard.machines.values()) wanted.add(machine.address);
     this.clients.closeExcept(wanted);
   }
 }
--- a/src/workers/wire.ts
+++ b/src/workers/wire.ts
@@ -9,15 +9,15 @@
   NodeId,
   Seconds,
   Sequence,
-  Session,
+  AgentEpoch,
   TaskIndex,
-  Token,
+  FencingToken,
   TypeId,
   ZoneId,
 } from '../units.js';
 import { splitTaskId, taskId } from '../units.js';
 
-export interface ReportedTask {
+export interface TaskStatus {
   readonly job: JobId;
   readonly index: TaskIndex;
   readonly attempt: Attempt;
@@ -25,20 +25,20 @@
   readonly cause: ExitCause | null;
 }
 
-export interface Report {
+export interface Heartbeat {
   readonly machine: MachineId;
   readonly address: Address;
   readonly type: TypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
-  readonly session: Session;
+  readonly session: AgentEpoch;
   readonly sequence: Sequence;
-  readonly token: Token;
+  readonly token: FencingToken;
   readonly noticeS: Seconds | null;
-  readonly tasks: readonly ReportedTask[];
+  readonly tasks: readonly TaskStatus[];
 }
 
-export type Order =
+export type WorkerCommand =
   | { readonly op: 'start'; readonly job: JobId; readonly index: TaskIndex; readonly attempt: Attempt }
   | {
       readonly op: 'stop';
@@ -51,7 +51,7 @@
 
 const whole = v.pipe(v.number(), v.integer(), v.minValue(0));
 // A state we do not know is taken for running: it holds room, and may be stopped.
-const STATES: Record<string, ReportedTask['state']> = {
+const STATES: Record<string, TaskStatus['state']> = {
   pulling: 'fetching',
   gathering: 'gathering',
   running: 'running',
@@ -94,11 +94,11 @@
   ),
 });
 
-export function decodeReport(body: unknown): Report | null {
+export function decodeReport(body: unknown): Heartbeat | null {
   const result = v.safeParse(report, body);
   if (!result.success) return null;
   const r = result.output;
-  const tasks: ReportedTask[] = [];
+  const tasks: TaskStatus[] = [];
   for (const t of r.legs ?? []) {
     const name = splitTaskId(t.leg);
     if (!name) return null;
@@ -113,15 +113,15 @@
     type: r.hull as TypeId,
     zone: r.harbor as ZoneId,
     spot: r.driftboats,
-    session: r.watch as Session,
+    session: r.watch as AgentEpoch,
     sequence: r.logNo as Sequence,
-    token: r.helm as Token,
+    token: r.helm as FencingToken,
     noticeS: r.recallS as Seconds | null,
     tasks,
   };
 }
 
-export function parseReport(body: Buffer): Report | null {
+export function parseReport(body: Buffer): Heartbeat | null {
   try {
     return decodeReport(JSON.parse(body.toString('utf8')));
   } catch {
@@ -129,7 +129,7 @@
   }
 }
 
-function encodeOrder(o: Order): unknown {
+function encodeOrder(o: WorkerCommand): unknown {
   const task = { leg: taskId(o.job, o.index), sailing: o.attempt };
   if (o.op === 'start') return { order: 'launch', ...task };
   if (o.op === 'stop') return { order: 'kill', ...task, ebbS: o.grace };
@@ -137,13 +137,17 @@
 }
 
 /** The answer to a report. */
-export const encodeReply = (token: Token, orders: readonly Order[]): unknown => ({
+export const encodeReply = (token: FencingToken, orders: readonly WorkerCommand[]): unknown => ({
   helm: token,
   orders: orders.map(encodeOrder),
 });
 
 /** Orders sent straight to a worker. */
-export const encodeDirect = (token: Token, session: Session, orders: readonly Order[]): unknown => ({
+export const encodeDirect = (
+  token: FencingToken,
+  session: AgentEpoch,
+  orders: readonly WorkerCommand[],
+): unknown => ({
   helm: token,
   watch: session,
   orders: orders.map(encodeOrder),
--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { bind, newMachine, Part, syncJob, type Binding } from '../src/parts/model.js';
+import { allocate, newMachine, Shard, syncJob, type Allocation } from '../src/shards/model.js';
 import { chooseMove } from '../src/placement/consolidation.js';
 import type { MachineType } from '../src/cloud/wire.js';
 import { Priority } from '../src/jobs/spec.js';
 import { RangeSet } from '../src/ranges.js';
-import type { Attempt, ImageId, MachineId, PartId, SteadyMs, TaskIndex, TypeId } from '../src/units.js';
+import type { Attempt, ImageId, MachineId, ShardId, SteadyMs, TaskIndex, TypeId } from '../src/units.js';
 import { taskId } from '../src/units.js';
 import { plainSpec } from './standins/spec.js';
 
@@ -18,9 +18,9 @@
 ]);
 
 /** Machines by name with how many replicas and batch tasks each has. */
-function partWith(load: Record<string, { replicas: number; batch?: number }>, since = NOW - 90_000): Part {
-  const part = new Part(0 as PartId, 1 as never, 1 as never, 0 as SteadyMs, types);
-  part.accounted = true;
+function partWith(load: Record<string, { replicas: number; batch?: number }>, since = NOW - 90_000): Shard {
+  const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 0 as SteadyMs, types);
+  shard.reconciled = true;
   const service = plainSpec({
     id: 'req-s',
     shape: 'service',
@@ -31,15 +31,15 @@
   const batch = plainSpec({ id: 'req-b', cpus: 1, memoryGb: 1 });
   const next = { 'req-s': 0, 'req-b': 0 };
   for (const spec of [service, batch]) {
-    const assignments = [{ from: 0, to: 50, part: part.id, zone: null }];
+    const assignments = [{ from: 0, to: 50, part: shard.id, zone: null }];
     const record = {
       spec: { ...spec, tasks: 50 },
-      home: part.id,
+      home: shard.id,
       born: 0,
       assignments,
       done: RangeSet.empty(),
     };
-    syncJob(part, record as never, 1 as never, 0 as SteadyMs, false);
+    syncJob(shard, record as never, 1 as never, 0 as SteadyMs, false);
   }
   for (const [name, { replicas, batch: others }] of Object.entries(load)) {
     const m = newMachine(
@@ -52,12 +52,12 @@
       true,
     );
     m.lastHeard = NOW;
-    part.add(m);
-    part.sawImage(m, 'img' as ImageId, 1);
+    shard.add(m);
+    shard.sawImage(m, 'img' as ImageId, 1);
     for (let i = 0; i < replicas + (others ?? 0); i += 1) {
       const spec = i < replicas ? service : batch;
       const index = next[spec.id as 'req-s' | 'req-b']++ as TaskIndex;
-      const binding: Binding = {
+      const binding: Allocation = {
         id: taskId(spec.id, index),
         job: spec.id,
         index,
@@ -65,24 +65,24 @@
         machine: m.id,
         spec: { ...spec, image: 'img' as ImageId },
         phase: 'running',
-        boundAt: since as SteadyMs,
+        allocatedAt: since as SteadyMs,
         runningSince: since as SteadyMs,
         gatheringSince: null,
         stop: null,
         inFlight: false,
         due: false,
-        doubt: null,
+        unacknowledged: null,
         answered: null,
       };
-      bind(part, m, binding);
+      allocate(shard, m, binding);
     }
   }
-  return part;
+  return shard;
 }
 
 const ctx = { now: NOW, types, reportMs: 1500 };
-const said = (part: Part): string => {
-  const move = chooseMove(part, ctx);
+const said = (shard: Shard): string => {
+  const move = chooseMove(shard, ctx);
   return move ? `${move.binding.machine} -> ${move.to.id}` : 'stays';
 };
 
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -4,21 +4,21 @@
 import type { MachineType } from '../src/cloud/wire.js';
 import type { Core } from '../src/core.js';
 import { planRentals, type Demand, type RentContext } from '../src/fleet/plan.js';
-import { chooseHandOver } from '../src/flock/overflow.js';
-import { reserve, seededRandom, willingList, type Offer } from '../src/flock/willing.js';
+import { chooseHandOver } from '../src/overflow/hand-over.js';
+import { reserve, seededRandom, rankPeers, type FreeCapacity } from '../src/overflow/peer-ranking.js';
 import { decodeTime, SharedTime } from '../src/jobs/age.js';
 import type { JobRecord } from '../src/jobs/record.js';
 import type { JobSpec } from '../src/jobs/spec.js';
 import { ZERO, type Resources } from '../src/model/resources.js';
-import { Part, syncJob, type PartJob } from '../src/parts/model.js';
-import { decideClaim, type ClaimFacts } from '../src/parts/ownership.js';
-import { QuotaDesk } from '../src/quota/desk.js';
+import { Shard, syncJob, type ShardJob } from '../src/shards/model.js';
+import { decideFailover, type ClaimFacts } from '../src/leadership/leadership.js';
+import { QuotaTransferService } from '../src/quota/transfer-service.js';
 import { guaranteedOf } from '../src/quota/guarantee.js';
-import { decodeShares, encodeShares, evenShares, gift, moveShare } from '../src/quota/shares.js';
+import { decodeShares, encodeShares, evenShares, transferableQuota, moveShare } from '../src/quota/shares.js';
 import { RangeSet } from '../src/ranges.js';
-import { Budget, Rank } from '../src/state/budget.js';
-import { View } from '../src/state/view.js';
-import { millis, type PartId, type SharedMs, type SteadyMs } from '../src/units.js';
+import { RateLimiter, RequestPriority } from '../src/store/rate-limiter.js';
+import { StoreCache } from '../src/store/cache.js';
+import { millis, type ShardId, type SharedMs, type SteadyMs } from '../src/units.js';
 import { SimClock, settle } from './standins/clock.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
 
@@ -36,13 +36,13 @@
     homeAlive: true,
     ownedBefore: true,
     steadySince: 10_000,
-    strays: 0,
+    redirectedHeartbeats: 0,
     releasedByMe: false,
     workersAnswer: false,
     lasted: 0,
   } as unknown as ClaimFacts;
   const decide = (o: Partial<Record<keyof ClaimFacts, unknown>>): string =>
-    decideClaim({ ...base, ...o } as ClaimFacts);
+    decideFailover({ ...base, ...o } as ClaimFacts);
   assert.equal(decide({}), 'wait', 'its owner is alive');
   assert.equal(decide({ ownerAlive: false, homeAlive: false }), 'claim', 'its owner is gone');
   assert.equal(
@@ -79,20 +79,20 @@
 });
 
 test('the willing list: nearest zone first, then most room; expired offers and promised room do not count', () => {
-  const offer = (part: number, zone: string, cpus: number, expires = 50): Offer =>
+  const offer = (shard: number, zone: string, cpus: number, expires = 50): FreeCapacity =>
     ({
-      part,
+      part: shard,
       zone,
       expires,
       machines: [{ type: 't', zone, spot: false, cpus, gpus: 0, memoryGb: 64, count: 1 }],
-    }) as unknown as Offer;
+    }) as unknown as FreeCapacity;
   const offers = [offer(0, 'west', 32), offer(1, 'east', 4), offer(2, 'east', 8), offer(3, 'east', 64, 5)];
   const list = (): string =>
-    willingList(offers, 'east' as never, spec(), null, 10 as SteadyMs, seededRandom(1))
+    rankPeers(offers, 'east' as never, spec(), null, 10 as SteadyMs, seededRandom(1))
       .map((o) => `${o.offer.part}:${o.capacity}`)
       .join(' ');
   assert.equal(list(), '2:4 1:2 0:16');
-  reserve(offers[2] as Offer, spec(), null, 3);
+  reserve(offers[2] as FreeCapacity, spec(), null, 3);
   assert.equal(list(), '1:2 2:1 0:16');
 });
 
@@ -114,7 +114,7 @@
     decodeShares(encodeShares(team, moved), plainTeam({ cpus: 10, cpusMax: 100 }), 3),
     evenShares(plainTeam({ cpus: 10, cpusMax: 100 }), 3),
   );
-  assert.deepEqual(gift(cpus(38), cpus(20), cpus(10), cpus(50)), cpus(8));
+  assert.deepEqual(transferableQuota(cpus(38), cpus(20), cpus(10), cpus(50)), cpus(8));
 });
 
 test('guaranteed: what fits with the earlier unfinished jobs of the team', () => {
@@ -177,15 +177,15 @@
 
 test('the budget serves ownership before progress, and gives up when patience ends', async () => {
   const clock = new SimClock();
-  const budget = new Budget(clock, 2, 2);
+  const budget = new RateLimiter(clock, 2, 2);
   const order: string[] = [];
-  const take = (name: string, rank: Rank, patience = 1000): void =>
+  const take = (name: string, rank: RequestPriority, patience = 1000): void =>
     void budget.take(1, rank, millis(patience)).then((ok) => order.push(ok ? name : `${name} refused`));
-  take('first', Rank.submit);
-  take('second', Rank.submit);
-  take('progress', Rank.progress, 3000);
-  take('short', Rank.submit, 50);
-  take('owner', Rank.ownership);
+  take('first', RequestPriority.submit);
+  take('second', RequestPriority.submit);
+  take('progress', RequestPriority.progress, 3000);
+  take('short', RequestPriority.submit, 50);
+  take('owner', RequestPriority.ownership);
   await settle();
   assert.deepEqual(order, ['first', 'second', 'short refused'], 'its turn cannot come: told at once');
   await clock.advance(3000);
@@ -195,7 +195,7 @@
 
 test('the view takes facts in any order and never goes back', () => {
   const seen: string[] = [];
-  const view = new View((key, value, version) => seen.push(`${key}=${String(value)}@${version}`));
+  const view = new StoreCache((key, value, version) => seen.push(`${key}=${String(value)}@${version}`));
   view.learn('a' as never, 1, 5 as never);
   view.learn('a' as never, 0, 4 as never);
   view.learn('a' as never, undefined, 7 as never);
@@ -207,7 +207,7 @@
 
 test('two looks at the feed may cross: the older one brings no key back', () => {
   const seen: string[] = [];
-  const view = new View((key, value, version) => seen.push(`${key}=${String(value)}@${version}`));
+  const view = new StoreCache((key, value, version) => seen.push(`${key}=${String(value)}@${version}`));
   const put = { key: 'a' as never, value: 1, version: 5 as never };
   const drop = { key: 'a' as never, value: undefined, version: 6 as never };
   view.follow([put, drop], 6 as never, 2 as SteadyMs);
@@ -225,13 +225,13 @@
   assert.equal(time.now(3000 as SteadyMs), 92_000, 'an older count changes nothing');
   time.reached(decodeTime({ ms: 'soon' }), 3000 as SteadyMs);
   assert.equal(time.age(32_000 as SharedMs, 4000 as SteadyMs), 61_000);
-  const part = new Part(0 as PartId, 1 as never, 1 as never, 4000 as SteadyMs, new Map());
-  const assignments = [{ from: 0, to: 3, part: part.id, zone: null }];
+  const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 4000 as SteadyMs, new Map());
+  const assignments = [{ from: 0, to: 3, part: shard.id, zone: null }];
   const record = { spec: plainSpec({ tasks: 3 }), assignments, done: RangeSet.empty() } as never;
-  syncJob(part, record, 1 as never, 4000 as SteadyMs, true, time.age(32_000 as SharedMs, 4000 as SteadyMs));
+  syncJob(shard, record, 1 as never, 4000 as SteadyMs, true, time.age(32_000 as SharedMs, 4000 as SteadyMs));
   // What is overdue stays overdue, and what has waited goes first, whoever owns the part now.
   assert.deepEqual(
-    [...part.jobs.values()].map((j) => j.firstSeen),
+    [...shard.jobs.values()].map((j) => j.firstSeen),
     [-57_000],
   );
 });
@@ -239,43 +239,46 @@
 test('a share of a limit does not wait where its tasks wait for room', () => {
   const red = plainTeam({ cpus: 12, cpusMax: 24 });
   const settings = { teams: new Map([[red.name, red]]), parts: [{ part: 0 }, { part: 1 }, { part: 2 }] };
-  const desk = new QuotaDesk({ settings, view: new View(() => undefined) } as unknown as Core);
-  const part = new Part(0 as PartId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
-  part.accounted = true;
-  const assignments = [{ from: 0, to: 10, part: part.id, zone: null }];
+  const desk = new QuotaTransferService({
+    settings,
+    view: new StoreCache(() => undefined),
+  } as unknown as Core);
+  const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
+  shard.reconciled = true;
+  const assignments = [{ from: 0, to: 10, part: shard.id, zone: null }];
   const record = { spec: plainSpec({ tasks: 10 }), assignments, done: RangeSet.empty() } as never;
-  syncJob(part, record, 1 as never, 0 as SteadyMs, false);
-  const spare = (): number => desk.spare(part).get(red.name)?.cpus ?? 0;
+  syncJob(shard, record, 1 as never, 0 as SteadyMs, false);
+  const spare = (): number => desk.spare(shard).get(red.name)?.cpus ?? 0;
   assert.equal(spare(), 0, 'its own tasks may start at once');
-  part.roomless = new Set([red.name]);
+  shard.teamsBlockedByCapacity = new Set([red.name]);
   assert.equal(spare(), 7, 'of 8; a little stays for what comes free');
 });
 
 test('a record with no room for another range keeps no other job from being handed over', () => {
   const now = 10_000 as SteadyMs;
-  const part = new Part(0 as PartId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
+  const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
   const machines = [{ type: 't', zone: 'east', spot: false, cpus: 64, gpus: 0, memoryGb: 64, count: 4 }];
-  const offer = { part: 1, zone: 'east', expires: 99_000, machines } as unknown as Offer;
+  const offer = { part: 1, zone: 'east', expires: 99_000, machines } as unknown as FreeCapacity;
   const settings = { parts: [], zone: 'east', valueBytes: 1000 };
-  const core = { settings, offers: new Map([[offer.part, offer]]), random: seededRandom(1) };
+  const core = { settings, freeCapacity: new Map([[offer.part, offer]]), random: seededRandom(1) };
   const unplaced = ['req-scattered', 'req-plain'].map((id, i) => {
     // Every other task of the first is entrusted to somebody else already.
     const pieces =
       i === 0
         ? Array.from({ length: 200 }, (_, k) => [k, k + 1, 2 * (k % 2)] as const)
         : [[0, 200, 0] as const];
-    const assignments = pieces.map(([from, to, owner]) => ({ from, to, part: owner as PartId, zone: null }));
+    const assignments = pieces.map(([from, to, owner]) => ({ from, to, part: owner as ShardId, zone: null }));
     const record = {
       spec: plainSpec({ id, tasks: 200 }),
       home: 0,
       assignments,
       done: RangeSet.empty(),
     } as never;
-    syncJob(part, record, (i + 1) as never, 0 as SteadyMs, false);
-    const job = part.jobs.get(id as never) as PartJob;
+    syncJob(shard, record, (i + 1) as never, 0 as SteadyMs, false);
+    const job = shard.jobs.get(id as never) as ShardJob;
     return { job, reason: 'room' as const, indices: [...job.waiting] };
   });
-  const choice = chooseHandOver(core as unknown as Core, part, unplaced, now);
+  const choice = chooseHandOver(core as unknown as Core, shard, unplaced, now);
   assert.equal(choice?.job.id, 'req-plain');
   assert.equal(choice.tasks.size, 128);
 });
--- a/test/dominant.test.ts
+++ b/test/dominant.test.ts
@@ -4,21 +4,23 @@
 import type { MachineType } from '../src/cloud/wire.js';
 import type { Core } from '../src/core.js';
 import { planRentals, type RentContext } from '../src/fleet/plan.js';
-import { assignJob, type AssignContext } from '../src/flock/assign.js';
-import { composeNews, readyImages, receive, type Ask } from '../src/flock/news.js';
-import { seededRandom } from '../src/flock/willing.js';
+import { assignJob, type AssignContext } from '../src/overflow/assignment.js';
+import { composeAnnouncement, readyImages, receive } from '../src/overflow/announcement.js';
+import { seededRandom } from '../src/overflow/peer-ranking.js';
+import { encodePeerMessage } from '../src/peers/codec.js';
+import type { QuotaTransferRequest } from '../src/peers/messages.js';
 import type { JobSpec } from '../src/jobs/spec.js';
 import { ZERO, type Resources } from '../src/model/resources.js';
-import { figuresOf } from '../src/parts/figures.js';
-import { bind, newMachine, Part, syncJob, type Binding } from '../src/parts/model.js';
+import { statisticsOf } from '../src/shards/statistics.js';
+import { allocate, newMachine, Shard, syncJob, type Allocation } from '../src/shards/model.js';
 import { chooseMove } from '../src/placement/consolidation.js';
-import { QuotaDesk } from '../src/quota/desk.js';
+import { QuotaTransferService } from '../src/quota/transfer-service.js';
 import { quotaKey } from '../src/quota/shares.js';
 import { RangeSet } from '../src/ranges.js';
-import { View } from '../src/state/view.js';
-import type { PartId, SteadyMs, TeamId, TypeId } from '../src/units.js';
-import { NamedMachines } from '../src/parts/named.js';
-import { choosePart } from '../src/workers/naming.js';
+import { StoreCache } from '../src/store/cache.js';
+import type { ShardId, SteadyMs, TeamId, TypeId } from '../src/units.js';
+import { RegisteredMachines } from '../src/shards/registered-machines.js';
+import { choosePart } from '../src/workers/registration.js';
 import { Rounds, type RoundsOptions } from './standins/rounds.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
 import { checkTrace } from './standins/trace.js';
@@ -142,38 +144,38 @@
 });
 
 /** A part with machines by name, and on each so many replicas of one GPU, or replicas as given. */
-function partWith(load: Record<string, number | Partial<JobSpec>[]>, o: Partial<JobSpec> = {}): Part {
-  const part = new Part(0 as PartId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
-  part.accounted = true;
+function partWith(load: Record<string, number | Partial<JobSpec>[]>, o: Partial<JobSpec> = {}): Shard {
+  const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
+  shard.reconciled = true;
   const spec = plainSpec({ id: 'req-s', ...SERVICE, tasks: 50, image: 'img', ...o });
-  const assignments = [{ from: 0, to: 50, part: part.id, zone: null }];
-  const record = { spec, home: part.id, born: 0, assignments, done: RangeSet.empty() };
-  syncJob(part, record as never, 1 as never, 0 as SteadyMs, false);
+  const assignments = [{ from: 0, to: 50, part: shard.id, zone: null }];
+  const record = { spec, home: shard.id, born: 0, assignments, done: RangeSet.empty() };
+  syncJob(shard, record as never, 1 as never, 0 as SteadyMs, false);
   let index = 0;
   for (const [name, replicas] of Object.entries(load)) {
     const m = newMachine(name as never, 'a:1' as never, 'gpu' as never, 'east' as never, false, NOW, true);
     m.lastHeard = NOW;
-    part.add(m);
-    part.sawImage(m, 'img' as never, 1);
+    shard.add(m);
+    shard.sawImage(m, 'img' as never, 1);
     const list: Partial<JobSpec>[] =
       typeof replicas === 'number' ? Array.from({ length: replicas }, () => ({})) : replicas;
     for (const changes of list) {
       const since = NOW - 90_000;
-      bind(part, m, {
+      allocate(shard, m, {
         id: `req-s/${index}`,
         job: spec.id,
         index,
         machine: m.id,
         spec: { ...spec, ...changes },
         phase: 'running',
-        boundAt: since,
+        allocatedAt: since,
         runningSince: since,
         stop: null,
-      } as unknown as Binding);
+      } as unknown as Allocation);
       index += 1;
     }
   }
-  return part;
+  return shard;
 }
 
 test('moving together: only while half of the GPUs are free, and to where GPUs are free', () => {
@@ -208,29 +210,36 @@
 const NEWS = { settings: { node: 'n1', parts: [{ part: 0 }, { part: 1 }] }, types: TYPES, reportMs: 1500 };
 
 test('announcements: what is used, spare and ready is told in GPUs and memory as well', () => {
-  const part = partWith({ a: 3, b: 0 });
+  const shard = partWith({ a: 3, b: 0 });
   const core = {
     ...NEWS,
     clock: { now: () => NOW },
     tuning: { announceExpiry: 1000 },
-    parts: new Map([[part.id, part]]),
-    offers: new Map(),
+    parts: new Map([[shard.id, shard]]),
+    freeCapacity: new Map(),
     ready: new Map(),
     rentedHere: new Map(),
     state: { use: { requests: 1, writes: 1 } },
     stateHealthy: () => true,
     incarnation: 'n1-1',
   } as unknown as Core;
-  core.ready.set(part.id, readyImages(core, part));
+  core.ready.set(shard.id, readyImages(core, shard));
   const spare = new Map([['red' as TeamId, { cpus: 0, gpus: 7, memoryGb: 0 }]]);
-  const news = composeNews(core, () => spare, new Map());
-  const peer = { ...core, parts: new Map(), peers: new Map(), partNews: new Map(), ready: new Map() };
-  Object.assign(peer, { rentedFor: new Map(), imageHints: new Map(), offers: new Map() });
+  const news = encodePeerMessage(composeAnnouncement(core, () => spare, new Map()));
+  assert.ok(news.kind === 'news');
+  const peer = {
+    ...core,
+    parts: new Map(),
+    peers: new Map(),
+    shardAnnouncements: new Map(),
+    ready: new Map(),
+  };
+  Object.assign(peer, { rentedFor: new Map(), imageHints: new Map(), freeCapacity: new Map() });
   receive(peer as unknown as Core, JSON.parse(JSON.stringify(news)));
-  const told = (peer as unknown as Core).partNews.get(part.id);
+  const told = (peer as unknown as Core).shardAnnouncements.get(shard.id);
   assert.deepEqual(told?.used.get('red' as TeamId), { cpus: 15, gpus: 3, memoryGb: 114 });
   assert.deepEqual(told.spare.get('red' as TeamId), { cpus: 0, gpus: 7, memoryGb: 0 });
-  assert.deepEqual((peer as unknown as Core).ready.get(part.id)?.get('img' as never), {
+  assert.deepEqual((peer as unknown as Core).ready.get(shard.id)?.get('img' as never), {
     cpus: 113,
     gpus: 13,
     memoryGb: 910,
@@ -239,7 +248,7 @@
   const old = news.parts.map((p) => ({ ...p, besides: undefined }));
   receive(peer as unknown as Core, JSON.parse(JSON.stringify({ ...news, parts: old })));
   assert.deepEqual(told.used.get('red' as TeamId)?.gpus, 3, 'what was told before is kept apart');
-  const again = (peer as unknown as Core).partNews.get(part.id);
+  const again = (peer as unknown as Core).shardAnnouncements.get(shard.id);
   assert.deepEqual(again?.used.get('red' as TeamId), { cpus: 15, gpus: 0, memoryGb: 0 });
 });
 
@@ -249,10 +258,10 @@
     now: NOW,
     home: 0,
     homeZone: 'east',
-    parts: [0, 1, 2].map((part) => ({ part, zone: 'east' })),
+    parts: [0, 1, 2].map((shard) => ({ part: shard, zone: 'east' })),
     zones: ['east'],
     types: [GPU_TYPE],
-    offers: new Map(),
+    freeCapacity: new Map(),
     ready: new Map([
       [0, ready({ cpus: 200, gpus: 1, memoryGb: 900 })],
       [1, ready({ cpus: 60, gpus: 8, memoryGb: 500 })],
@@ -271,22 +280,22 @@
 /** A desk of three parts, the first of them ours and its tasks waiting; what it asks of whom. */
 function asks(team: Parameters<typeof plainTeam>[0], spare: Resources[], waiting: Resources): string {
   const red = plainTeam(team);
-  const sent: Ask[] = [];
-  const part = new Part(0 as PartId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
-  part.accounted = true;
+  const sent: QuotaTransferRequest[] = [];
+  const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
+  shard.reconciled = true;
   const core = {
     settings: { teams: new Map([[red.name, red]]), parts: [{ part: 0 }, { part: 1 }, { part: 2 }] },
-    view: new View(() => undefined),
+    view: new StoreCache(() => undefined),
     clock: { now: () => NOW },
-    parts: new Map([[part.id, part]]),
-    partNews: new Map(
+    parts: new Map([[shard.id, shard]]),
+    shardAnnouncements: new Map(
       spare.map((amount, i) => [i + 1, { expires: NOW + 1, spare: new Map([[red.name, amount]]) }]),
     ),
-    partRecord: (p: number) => ({ owner: `n${p}` }),
-    mesh: { send: (_: string, ask: Ask) => sent.push(ask) },
+    shardRecord: (p: number) => ({ owner: `n${p}` }),
+    mesh: { send: (_: string, ask: QuotaTransferRequest) => sent.push(ask) },
   } as unknown as Core;
   core.view.learn(quotaKey(red.name), undefined, 1 as never);
-  new QuotaDesk(core).request(part, red.name, waiting);
+  new QuotaTransferService(core).request(shard, red.name, waiting);
   return sent.map((a) => `${a.cpus} CPUs, ${a.gpus} GPUs of ${a.to}`).join('; ');
 }
 
@@ -351,14 +360,14 @@
     ['half', { cpus: 32, gpus: 0, memoryGb: 64 }],
   ]);
   const partFor = (machines: (readonly [part: number, type: string])[]): number => {
-    const named = new NamedMachines();
-    machines.forEach(([part, type], i) => named.learn(`m-${i}` as never, { part, type } as never));
-    const parts = [0, 1].map((part) => ({ part, zone: 'east' }));
-    const core = { settings: { parts }, named, types } as unknown as Core;
+    const named = new RegisteredMachines();
+    machines.forEach(([shard, type], i) => named.learn(`m-${i}` as never, { part: shard, type } as never));
+    const parts = [0, 1].map((shard) => ({ part: shard, zone: 'east' }));
+    const core = { settings: { parts }, registeredMachines: named, types } as unknown as Core;
     return choosePart(core, { zone: 'east' as never, machine: 'm-7' as never });
   };
-  const of = (part: number, type: string, count: number) =>
-    Array.from({ length: count }, () => [part, type] as const);
+  const of = (shard: number, type: string, count: number) =>
+    Array.from({ length: count }, () => [shard, type] as const);
   assert.equal(partFor([...of(0, 'gpu', 3), ...of(1, 'cpu', 3)]), 1, '24 GPUs and 192 CPUs are alike');
   assert.equal(partFor([...of(0, 'cpu', 3), ...of(1, 'gpu', 5)]), 0, '40 GPUs are clearly ahead');
   assert.equal(partFor([...of(0, 'cpu', 1), ...of(1, 'cpu', 3)]), 0, 'by CPUs alone');
@@ -366,9 +375,9 @@
 });
 
 test('figures: what is used, free and waiting is told of every resource', () => {
-  const part = partWith({ a: 3, b: 0 });
+  const shard = partWith({ a: 3, b: 0 });
   const share = (): Resources => ({ cpus: Infinity, gpus: 5, memoryGb: Infinity });
-  const figures = figuresOf(part, NOW, 1500, share);
+  const figures = statisticsOf(shard, NOW, 1500, share);
   assert.deepEqual(figures.capacity, { cpus: 128, gpus: 16, memoryGb: 1024 });
   assert.deepEqual(figures.free, { cpus: 113, gpus: 13, memoryGb: 910 });
   assert.deepEqual(figures.bound.running, { cpus: 15, gpus: 3, memoryGb: 114 });
--- a/test/gang-reports.test.ts
+++ b/test/gang-reports.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { silentLog } from '../src/log.js';
-import type { Machine, Part } from '../src/parts/model.js';
-import { applyReport, type ReportContext } from '../src/workers/reports.js';
+import type { Machine, Shard } from '../src/shards/model.js';
+import { reconcileHeartbeat, type ReconciliationContext } from '../src/workers/reconciliation.js';
 import { decodeReport } from '../src/workers/wire.js';
 import { Rounds } from './standins/rounds.js';
 
@@ -20,17 +20,17 @@
   pastSpec: () => null,
   onDone: () => undefined,
   reportsWithin: 5000,
-} as unknown as ReportContext;
+} as unknown as ReconciliationContext;
 
 let sequence = 0;
 
 /** Its reports below belong to the session in which the tasks were started. */
-function inSession(part: Part): Part {
-  for (const machine of part.machines.values()) machine.session = 1 as never;
-  return part;
+function inSession(shard: Shard): Shard {
+  for (const machine of shard.machines.values()) machine.session = 1 as never;
+  return shard;
 }
 
-function report(part: Part, machine: string, legs: readonly Leg[]): Machine {
+function report(shard: Shard, machine: string, legs: readonly Leg[]): Machine {
   sequence += 1;
   const decoded = decodeReport({
     berth: machine,
@@ -44,63 +44,65 @@
     legs,
   });
   assert.ok(decoded);
-  const known = part.machines.get(machine as never) as Machine;
-  assert.equal(applyReport(part, known, decoded, 'report', context), true);
+  const known = shard.machines.get(machine as never) as Machine;
+  assert.equal(reconcileHeartbeat(shard, known, decoded, 'report', context), true);
   return known;
 }
 
 /** A gang of two on two machines of two CPUs each. */
-function gang(): { part: Part; attempt: number } {
+function gang(): { part: Shard; attempt: number } {
   const rounds = new Rounds(2, { capacity: { cpus: 2, gpus: 0, memoryGb: 8 } });
   rounds.job('req-g', { shape: 'gang', tasks: 2, cpus: 2 });
   assert.equal(rounds.round().split('start').length - 1, 2);
-  const part = inSession(rounds.part);
-  return { part, attempt: [...part.bound.values()][0]?.attempt ?? 0 };
+  const shard = inSession(rounds.part);
+  return { part: shard, attempt: [...shard.allocations.values()][0]?.attempt ?? 0 };
 }
 
-const waiting = (part: Part): number => part.jobs.get('req-g' as never)?.waiting.size ?? -1;
-const finished = (part: Part): number => part.jobs.get('req-g' as never)?.finished.size ?? -1;
+const waiting = (shard: Shard): number => shard.jobs.get('req-g' as never)?.waiting.size ?? -1;
+const finished = (shard: Shard): number => shard.jobs.get('req-g' as never)?.finished.size ?? -1;
 
 test('a task that belongs to no gang and is said to wait for its gang stays where it is', () => {
   const rounds = new Rounds(1);
   rounds.job('req-a', { tasks: 1, cpus: 2 });
   rounds.round();
-  const part = inSession(rounds.part);
-  const attempt = [...part.bound.values()][0]?.attempt ?? 0;
-  const machine = report(part, 'm-0', [{ leg: 'req-a/0', sailing: attempt, status: 'gathering' }]);
+  const shard = inSession(rounds.part);
+  const attempt = [...shard.allocations.values()][0]?.attempt ?? 0;
+  const machine = report(shard, 'm-0', [{ leg: 'req-a/0', sailing: attempt, status: 'gathering' }]);
   assert.equal(machine.used.cpus, 2);
-  assert.equal(part.jobs.get('req-a' as never)?.waiting.size, 0);
+  assert.equal(shard.jobs.get('req-a' as never)?.waiting.size, 0);
 });
 
 test('an unknown state holds its room; an unknown cause ends the task, and does not complete it', () => {
-  const { part, attempt } = gang();
-  const first = [...part.bound.values()].find((b) => b.index === 0);
-  const machine = report(part, first?.machine ?? '', [
+  const { part: shard, attempt } = gang();
+  const first = [...shard.allocations.values()].find((b) => b.index === 0);
+  const machine = report(shard, first?.machine ?? '', [
     { leg: 'req-g/0', sailing: attempt, status: 'dancing' },
   ]);
   assert.equal(machine.used.cpus, 2);
-  assert.equal(waiting(part), 0);
-  report(part, machine.id, [{ leg: 'req-g/0', sailing: attempt, status: 'exited', cause: 'whim' }]);
-  assert.equal(finished(part), 0);
-  assert.equal(waiting(part), 1);
+  assert.equal(waiting(shard), 0);
+  report(shard, machine.id, [{ leg: 'req-g/0', sailing: attempt, status: 'exited', cause: 'whim' }]);
+  assert.equal(finished(shard), 0);
+  assert.equal(waiting(shard), 1);
 });
 
 test('an attempt that disagrees, or is larger than any that was issued, keeps its room and is stopped', () => {
-  const { part, attempt } = gang();
-  const first = [...part.bound.values()].find((b) => b.index === 0);
-  const machine = report(part, first?.machine ?? '', [
+  const { part: shard, attempt } = gang();
+  const first = [...shard.allocations.values()].find((b) => b.index === 0);
+  const machine = report(shard, first?.machine ?? '', [
     { leg: 'req-g/0', sailing: attempt + 1_000_000, status: 'running' },
   ]);
   assert.equal(machine.used.cpus, 2);
-  assert.equal(waiting(part), 0, 'the task is not started elsewhere');
-  assert.ok([...machine.bindings.values()].every((b) => b.stop !== null));
+  assert.equal(waiting(shard), 0, 'the task is not started elsewhere');
+  assert.ok([...machine.allocations.values()].every((b) => b.stop !== null));
 });
 
 test('one task that is done completes the gang; the others are neither waiting nor lost', () => {
-  const { part, attempt } = gang();
-  const first = [...part.bound.values()].find((b) => b.index === 0);
-  report(part, first?.machine ?? '', [{ leg: 'req-g/0', sailing: attempt, status: 'exited', cause: 'done' }]);
-  assert.equal(finished(part), 2);
-  assert.equal(waiting(part), 0);
-  assert.equal(part.bound.size, 1, 'the other is still on its machine');
+  const { part: shard, attempt } = gang();
+  const first = [...shard.allocations.values()].find((b) => b.index === 0);
+  report(shard, first?.machine ?? '', [
+    { leg: 'req-g/0', sailing: attempt, status: 'exited', cause: 'done' },
+  ]);
+  assert.equal(finished(shard), 2);
+  assert.equal(waiting(shard), 0);
+  assert.equal(shard.allocations.size, 1, 'the other is still on its machine');
 });
--- a/test/gang-waiting.test.ts
+++ b/test/gang-waiting.test.ts
@@ -4,8 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chooseTransfer } from '../src/flock/machine-transfer.js';
-import type { MachineRequest } from '../src/flock/machine-request.js';
+import { chooseTransfer } from '../src/overflow/machine-transfer.js';
+import type { MachineRequest } from '../src/peers/messages.js';
 import { checkScenario, type ScenarioInput } from '../src/simulation/scenario.js';
 import { Simulation } from '../src/simulation/simulation.js';
 import { Rounds } from './standins/rounds.js';
@@ -98,7 +98,7 @@
 });
 
 const REQUEST: MachineRequest = {
-  kind: 'machines',
+  kind: 'machineRequest',
   from: 1 as never,
   to: 0 as never,
   cpus: 2,
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -3,30 +3,30 @@
 import { test } from 'node:test';
 import { CloudClient } from '../src/cloud/client.js';
 import type { Call, Outcome } from '../src/http/client.js';
-import { Part } from '../src/parts/model.js';
+import { Shard } from '../src/shards/model.js';
 import { parseSettings } from '../src/settings/settings.js';
-import type { Token } from '../src/units.js';
+import type { FencingToken } from '../src/units.js';
 import { SimClock } from './standins/clock.js';
 import { settingsText } from './standins/world.js';
 
 const ATTEMPTS_OF_A_TOKEN = 2 ** 20;
 
 test('attempts of one token end before those of the next begin, and a new token is asked for in time', () => {
-  const part = new Part(0 as never, 7 as never, 1 as never, 0 as never, new Map());
+  const shard = new Shard(0 as never, 7 as never, 1 as never, 0 as never, new Map());
   let last = 0;
-  for (let i = 0; i < ATTEMPTS_OF_A_TOKEN * 0.7; i += 1) last = part.nextAttempt();
-  assert.equal(part.needsNewToken, false);
-  for (let i = 0; i < ATTEMPTS_OF_A_TOKEN * 0.1; i += 1) last = part.nextAttempt();
-  assert.equal(part.needsNewToken, true);
+  for (let i = 0; i < ATTEMPTS_OF_A_TOKEN * 0.7; i += 1) last = shard.nextAttempt();
+  assert.equal(shard.needsNewToken, false);
+  for (let i = 0; i < ATTEMPTS_OF_A_TOKEN * 0.1; i += 1) last = shard.nextAttempt();
+  assert.equal(shard.needsNewToken, true);
   assert.throws(() => {
-    for (;;) last = part.nextAttempt();
+    for (;;) last = shard.nextAttempt();
   }, /used all attempts/);
   assert.ok(last < 8 * ATTEMPTS_OF_A_TOKEN, 'none belongs to another token');
-  part.raiseTo(9 as Token);
-  assert.equal(part.needsNewToken, false);
-  const next = part.nextAttempt();
+  shard.raiseTo(9 as FencingToken);
+  assert.equal(shard.needsNewToken, false);
+  const next = shard.nextAttempt();
   assert.ok(next > last);
-  assert.ok(part.issued(next));
+  assert.ok(shard.issued(next));
 });
 
 /** Names of a page of the cloud's list. */
--- a/test/machine-meetings.test.ts
+++ b/test/machine-meetings.test.ts
@@ -34,8 +34,8 @@
 }
 
 /** The owner of a part as the state service says, by its number; null: nobody. */
-function ownerOf(w: World, part: number): number | null {
-  const row = w.state.rows.get(`c/parts/${part}`)?.data as { owner: string | null } | undefined;
+function ownerOf(w: World, shard: number): number | null {
+  const row = w.state.rows.get(`c/parts/${shard}`)?.data as { owner: string | null } | undefined;
   return row?.owner ? Number(row.owner.slice(1)) : null;
 }
 
@@ -219,9 +219,9 @@
     if (stateAway) w.state.slow = (body) => (JSON.stringify(body).includes('c/live/req-1') ? 4000 : 0);
     await until(w, 'the first end', () => ends(w, 'req-1/0') > 0);
     await w.step(Math.max(50, delay));
-    for (let part = 0; part < 3 && owner === null; part += 1) {
+    for (let shard = 0; shard < 3 && owner === null; shard += 1) {
       const record = w.state.rows.get('c/live/req-1')?.data as { parts: number[][] } | undefined;
-      if (record?.parts.some((a) => (a[0] as number) <= 0 && a[2] === part)) owner = ownerOf(w, part);
+      if (record?.parts.some((a) => (a[0] as number) <= 0 && a[2] === shard)) owner = ownerOf(w, shard);
     }
     w.killNode(owner ?? 0);
     const died = w.clock.now();
--- a/test/overdue.test.ts
+++ b/test/overdue.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { UNLIMITED } from '../src/model/resources.js';
-import type { Hold } from '../src/parts/model.js';
+import type { Reservation } from '../src/shards/model.js';
 import { OVERDUE_AFTER } from '../src/placement/round.js';
 import { Rounds } from './standins/rounds.js';
 
@@ -13,8 +13,8 @@
   for (let at = 0; at < ms; at += ROUND) assert.equal(rounds.round(), 'nothing');
 }
 
-const holdOf = (rounds: Rounds, job: string): Hold | undefined =>
-  rounds.part.jobs.get(job as never)?.holds.get(0);
+const holdOf = (rounds: Rounds, job: string): Reservation | undefined =>
+  rounds.part.jobs.get(job as never)?.reservations.get(0);
 
 test('for a task that needs most of the GPUs the machine with most GPUs free is reserved', () => {
   const rounds = new Rounds(2, { capacity: CAPACITY });
@@ -24,7 +24,7 @@
   pass(rounds, 58_000);
   assert.equal(holdOf(rounds, 'req-large'), undefined);
   pass(rounds, 10_000);
-  const { machine, reserved } = holdOf(rounds, 'req-large') as Hold;
+  const { machine, reserved } = holdOf(rounds, 'req-large') as Reservation;
   assert.deepEqual([machine, reserved], ['m-1', true]);
 });
 
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -1,24 +1,26 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decodeRecord, encodeRecord, reassign, withDone } from '../src/jobs/record.js';
+import { decodeRecord, encodeRecord } from '../src/jobs/codec.js';
+import { withDone } from '../src/jobs/stored-size.js';
+import { reassign } from '../src/jobs/record.js';
 import type { JobSpec } from '../src/jobs/spec.js';
 import { RangeSet } from '../src/ranges.js';
-import type { PartId } from '../src/units.js';
+import type { ShardId } from '../src/units.js';
 import { checkTrace } from './standins/trace.js';
 import { World } from './standins/world.js';
 
 const spec = { id: 'req-1', tasks: 100, shape: 'array' } as JobSpec;
 const record = {
   spec,
-  home: 0 as PartId,
+  home: 0 as ShardId,
   born: 3 as never,
   accepted: 7 as never,
-  assignments: [{ from: 0, to: 100, part: 0 as PartId, zone: null }],
+  assignments: [{ from: 0, to: 100, part: 0 as ShardId, zone: null }],
   done: RangeSet.empty(),
 };
 
 test('a record of an earlier version, without the order of arrival, is still read', () => {
-  const { born, at, ...old } = encodeRecord(record) as Record<string, unknown>;
+  const { born, at, ...old } = encodeRecord(record);
   assert.deepEqual([born, at], [3, 7]);
   assert.equal(decodeRecord(old)?.born, 0);
   assert.equal(decodeRecord(old)?.accepted, null);
@@ -44,7 +46,7 @@
 });
 
 test('handing tasks over splits an assignment and joins neighbours again', () => {
-  const moved = reassign(record, RangeSet.of([[10, 20]]), 1 as PartId, (z) => z);
+  const moved = reassign(record, RangeSet.of([[10, 20]]), 1 as ShardId, (z) => z);
   assert.deepEqual(
     moved.assignments.map((a) => [a.from, a.to, a.part]),
     [
@@ -53,7 +55,7 @@
       [20, 100, 0],
     ],
   );
-  const back = reassign(moved, RangeSet.of([[10, 20]]), 0 as PartId, (z) => z);
+  const back = reassign(moved, RangeSet.of([[10, 20]]), 0 as ShardId, (z) => z);
   assert.deepEqual(back.assignments, record.assignments);
 });
 
--- a/test/remainder.test.ts
+++ b/test/remainder.test.ts
@@ -2,10 +2,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { UNLIMITED, type Resources } from '../src/model/resources.js';
-import { Part, syncJob } from '../src/parts/model.js';
+import { Shard, syncJob } from '../src/shards/model.js';
 import { missingForOne } from '../src/quota/remainder.js';
 import { RangeSet } from '../src/ranges.js';
-import type { PartId, SteadyMs, TeamId } from '../src/units.js';
+import type { ShardId, SteadyMs, TeamId } from '../src/units.js';
 import { settle } from './standins/clock.js';
 import { deskOf } from './standins/desk.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
@@ -24,7 +24,7 @@
 
 /** Parts of one controller, all with tasks that wait for their team's limit. */
 class Situated {
-  private readonly parts: Part[];
+  private readonly parts: Shard[];
   private readonly kind: 'cpus' | 'gpus';
   private readonly desk: ReturnType<typeof deskOf>;
   private now = 1_000_000;
@@ -34,11 +34,11 @@
   constructor({ share, used, size, kind = 'cpus' }: Situation) {
     this.kind = kind;
     this.parts = share.map((_, id) => {
-      const part = new Part(id as PartId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
-      part.accounted = true;
-      part.sums.use(this.task(used[id] ?? 0), 1);
-      this.wait(part, size[id] ?? 0);
-      return part;
+      const shard = new Shard(id as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
+      shard.reconciled = true;
+      shard.totals.use(this.task(used[id] ?? 0), 1);
+      this.wait(shard, size[id] ?? 0);
+      return shard;
     });
     const limit = share.reduce((sum, n) => sum + n, 0);
     const team = plainTeam({ [`${kind}Max`]: limit });
@@ -50,11 +50,11 @@
     return plainSpec({ cpus: 1, [this.kind]: size });
   }
 
-  private wait(part: Part, size: number): void {
-    const spec = { ...this.task(size), id: `req-${part.id}-${size}`, tasks: 10 };
-    const assignments = [{ from: 0, to: 10, part: part.id, zone: null }];
+  private wait(shard: Shard, size: number): void {
+    const spec = { ...this.task(size), id: `req-${shard.id}-${size}`, tasks: 10 };
+    const assignments = [{ from: 0, to: 10, part: shard.id, zone: null }];
     const record = { spec, assignments, done: RangeSet.empty() } as never;
-    syncJob(part, record, 2 as never, this.now as SteadyMs, false);
+    syncJob(shard, record, 2 as never, this.now as SteadyMs, false);
   }
 
   /** Each of these parts asks in turn, again and again for so long. */
@@ -63,7 +63,7 @@
       for (const id of who) {
         const before = this.shares().join();
         const waiting = { cpus: 100, gpus: 100, memoryGb: 10 };
-        this.desk.request(this.parts[id] as Part, RED, waiting);
+        this.desk.request(this.parts[id] as Shard, RED, waiting);
         await settle();
         if (this.shares().join() !== before) this.moves += 1;
       }
@@ -72,7 +72,7 @@
   }
 
   shares(): number[] {
-    return this.parts.map((part) => this.desk.share(part.id, RED)[this.kind]);
+    return this.parts.map((shard) => this.desk.share(shard.id, RED)[this.kind]);
   }
 }
 
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -5,13 +5,21 @@
 import type { JobRecord } from '../src/jobs/record.js';
 import type { JobSpec } from '../src/jobs/spec.js';
 import { silentLog } from '../src/log.js';
-import { bind, newMachine, Part, syncJob, usageOf, type Binding, type Machine } from '../src/parts/model.js';
-import { accountFor } from '../src/parts/accounting.js';
+import {
+  allocate,
+  newMachine,
+  Shard,
+  syncJob,
+  usageOf,
+  type Allocation,
+  type Machine,
+} from '../src/shards/model.js';
+import { accountFor } from '../src/shards/accounting.js';
 import { allowed } from '../src/model/constraints.js';
 import { RangeSet } from '../src/ranges.js';
 import { ordersInAnswer } from '../src/workers/orders.js';
-import { applyReport } from '../src/workers/reports.js';
-import type { Report, ReportedTask } from '../src/workers/wire.js';
+import { reconcileHeartbeat } from '../src/workers/reconciliation.js';
+import type { Heartbeat, TaskStatus } from '../src/workers/wire.js';
 
 const spec = {
   id: 'req-1',
@@ -37,7 +45,7 @@
 } as unknown as JobRecord;
 
 class Bench {
-  readonly part = new Part(
+  readonly part = new Shard(
     0 as never,
     7 as never,
     1 as never,
@@ -64,7 +72,7 @@
     if (!atClaim) this.hear('report', '');
   }
 
-  start(o: Partial<Binding> = {}): Binding {
+  start(o: Partial<Allocation> = {}): Allocation {
     const b = {
       id: 'req-1/0',
       job: 'req-1',
@@ -73,16 +81,16 @@
       machine: 'm-0',
       spec,
       phase: 'ordered',
-      boundAt: 0,
+      allocatedAt: 0,
       runningSince: null,
       stop: null,
       inFlight: false,
       due: false,
-      doubt: null,
+      unacknowledged: null,
       answered: null,
       ...o,
-    } as unknown as Binding;
-    bind(this.part, this.machine, b);
+    } as unknown as Allocation;
+    allocate(this.part, this.machine, b);
     return b;
   }
 
@@ -90,7 +98,7 @@
   hear(
     channel: 'report' | 'direct',
     tasks: string,
-    o: Partial<Record<keyof Report, number>> = {},
+    o: Partial<Record<keyof Heartbeat, number>> = {},
     machine = this.machine,
   ): string {
     this.sequence += 1;
@@ -105,7 +113,7 @@
           attempt: Number(attempt),
           state,
           cause: cause ?? null,
-        } as unknown as ReportedTask;
+        } as unknown as TaskStatus;
       });
     const report = {
       machine: machine.id,
@@ -119,7 +127,7 @@
       noticeS: null,
       tasks: legs,
       ...o,
-    } as unknown as Report;
+    } as unknown as Heartbeat;
     const ctx = {
       now: 1000 as never,
       pastSpec: () => null,
@@ -127,13 +135,13 @@
       reportsWithin: 1e9 as never,
       log: silentLog(),
     };
-    const taken = applyReport(this.part, machine, report, channel, ctx);
+    const taken = reconcileHeartbeat(this.part, machine, report, channel, ctx);
     return `${taken ? 'taken' : 'older'}; ${this.state()}`;
   }
 
   state(): string {
     const job = this.part.jobs.get('req-1' as never);
-    const bound = [...this.part.bound.values()].map((b) => `${b.index}@${b.attempt}`).join(',');
+    const bound = [...this.part.allocations.values()].map((b) => `${b.index}@${b.attempt}`).join(',');
     return `bound ${bound || '-'} waiting ${[...(job?.waiting ?? [])].join(',') || '-'}`;
   }
 
@@ -162,9 +170,9 @@
 });
 
 test('a direct launch in doubt stays bound, and its exit is not cleared, until a higher token is seen', () => {
-  const doubt = { token: 7, session: 1, since: 0 } as unknown as Binding['doubt'];
+  const doubt = { token: 7, session: 1, since: 0 } as unknown as Allocation['unacknowledged'];
   const w = new Bench();
-  w.start({ doubt });
+  w.start({ unacknowledged: doubt });
   assert.equal(w.hear('report', ''), 'taken; bound 0@5 waiting 1');
   assert.equal(w.hear('report', '0:5:exited:stopped'), 'taken; bound - waiting 0,1');
   assert.equal(w.orders(), '', 'a clear now, and the late launch would start it anew');
--- a/test/resources.test.ts
+++ b/test/resources.test.ts
@@ -6,7 +6,7 @@
 import type { JobSpec } from '../src/jobs/spec.js';
 import { UNLIMITED, ZERO } from '../src/model/resources.js';
 import { guaranteedOf } from '../src/quota/guarantee.js';
-import { decodeShares, encodeShares, evenShares, gift } from '../src/quota/shares.js';
+import { decodeShares, encodeShares, evenShares, transferableQuota } from '../src/quota/shares.js';
 import { RangeSet } from '../src/ranges.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
 import { checkTrace } from './standins/trace.js';
@@ -109,7 +109,10 @@
   const share = { ...UNLIMITED, gpus: 7 };
   const asked = { cpus: 100, gpus: 100, memoryGb: 100 };
   const used = { ...UNLIMITED, gpus: 2 };
-  assert.deepEqual(gift(share, used, { cpus: 4, gpus: 1, memoryGb: 8 }, asked), { ...ZERO, gpus: 4 });
+  assert.deepEqual(transferableQuota(share, used, { cpus: 4, gpus: 1, memoryGb: 8 }, asked), {
+    ...ZERO,
+    gpus: 4,
+  });
 });
 
 test('a guarantee of 0 is none: the resource is not counted, and nothing is guaranteed by it', () => {
--- a/test/returns.test.ts
+++ b/test/returns.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { absentFrom, look, reasonToReturn, type ReturnContext } from '../src/fleet/returns.js';
-import { newMachine, Part, type Machine } from '../src/parts/model.js';
+import { newMachine, Shard, type Machine } from '../src/shards/model.js';
 
 const NOW = 1_000_000;
 const TYPES = new Map([['t', { cpus: 4, gpus: 0, memoryGb: 16, cacheGb: 4 }]]);
@@ -16,9 +16,9 @@
   readonly silentMs: number;
 }
 
-function partOf(g: Given, settled = true): Part {
-  const part = new Part(0 as never, 7 as never, 1 as never, 0 as never, TYPES as never);
-  part.accounted = settled;
+function partOf(g: Given, settled = true): Shard {
+  const shard = new Shard(0 as never, 7 as never, 1 as never, 0 as never, TYPES as never);
+  shard.reconciled = settled;
   const add = (n: number, spot: boolean, silent: boolean): void => {
     const id = `m-${spot ? 's' : 'o'}${String(n).padStart(3, '0')}`;
     const m: Machine = newMachine(
@@ -32,14 +32,14 @@
     );
     if (settled || !silent) m.lastHeard = (NOW - (silent ? g.silentMs : 100)) as never;
     else m.missedCalls = 5;
-    part.add(m);
+    shard.add(m);
   };
   for (let i = 0; i < g.ordinary; i += 1) add(i, false, i < g.silentOrdinary);
   for (let i = 0; i < g.spot; i += 1) add(i, true, i < g.silentSpot);
-  return part;
+  return shard;
 }
 
-function returned(part: Part, o: Partial<ReturnContext> = {}): string {
+function returned(shard: Shard, o: Partial<ReturnContext> = {}): string {
   const ctx: ReturnContext = {
     now: NOW as never,
     reportMs: 2500,
@@ -50,10 +50,10 @@
     unlisted: () => false,
     ...o,
   };
-  const sight = look(part, ctx);
+  const sight = look(shard, ctx);
   const count = new Map<string, number>();
-  for (const m of part.machines.values()) {
-    const why = reasonToReturn(part, m, sight, ctx);
+  for (const m of shard.machines.values()) {
+    const why = reasonToReturn(shard, m, sight, ctx);
     if (why) count.set(why, (count.get(why) ?? 0) + 1);
   }
   return [...count].map(([why, n]) => `${n} ${why}`).join(', ') || 'none';
@@ -83,17 +83,17 @@
     m.lastHeard = NOW as never;
   }
   assert.equal(returned(cut), 'none');
-  for (const m of cut.machines.values()) if (!m.settled) m.missedCalls = 3;
+  for (const m of cut.machines.values()) if (!m.reconciled) m.missedCalls = 3;
   assert.equal(returned(cut), `3 ${missing}`);
   const all = { ordinary: 2, spot: 2, silentOrdinary: 2, silentSpot: 2, silentMs: 0 };
   assert.equal(returned(partOf(all, false)), 'none', 'nobody is heard: it is we who are cut off');
 });
 
 test('an idle machine is not returned while the state service is away: its deletion would be carried out late', () => {
-  const part = partOf({ ordinary: 3, spot: 0, silentOrdinary: 0, silentSpot: 0, silentMs: 0 });
-  for (const m of part.machines.values()) m.idleSince = (NOW - 60_000) as never;
-  assert.equal(returned(part, { wanted: false, stateOk: false }), 'none');
-  assert.equal(returned(part, { wanted: false }), '2 idle', 'one stays');
+  const shard = partOf({ ordinary: 3, spot: 0, silentOrdinary: 0, silentSpot: 0, silentMs: 0 });
+  for (const m of shard.machines.values()) m.idleSince = (NOW - 60_000) as never;
+  assert.equal(returned(shard, { wanted: false, stateOk: false }), 'none');
+  assert.equal(returned(shard, { wanted: false }), '2 idle', 'one stays');
 });
 
 test('a machine is unlisted when the list shows one that came after it, longer ago than a list can be old', () => {
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -4,10 +4,10 @@
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import type { Core } from '../src/core.js';
-import { Overflow } from '../src/flock/overflow.js';
+import { Overflow } from '../src/overflow/hand-over.js';
 import type { JobRecord } from '../src/jobs/record.js';
 import { silentLog } from '../src/log.js';
-import { Part, syncJob, type PartJob } from '../src/parts/model.js';
+import { Shard, syncJob, type ShardJob } from '../src/shards/model.js';
 import { planRound } from '../src/placement/plan.js';
 import type { PlanContext } from '../src/placement/round.js';
 import { RangeSet } from '../src/ranges.js';
@@ -31,7 +31,7 @@
 } from '../src/simulation/scenario.js';
 import { shrink } from '../src/simulation/shrink.js';
 import { Simulation, type SimulationResult } from '../src/simulation/simulation.js';
-import type { PartId, SteadyMs } from '../src/units.js';
+import type { ShardId, SteadyMs } from '../src/units.js';
 import { plainSpec } from './standins/spec.js';
 import { PLAIN_JOB } from './standins/user-job.js';
 
@@ -637,18 +637,18 @@
 });
 
 test('tasks whose hand-over is refused are placed again, also when a round came while they were moving', async () => {
-  const part = new Part(0 as PartId, 1 as never, 0 as never, 0 as SteadyMs, new Map());
-  part.accounted = true;
+  const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, new Map());
+  shard.reconciled = true;
   const spec = plainSpec({ id: 'req-1', tasks: 2 });
-  const assignments = [{ from: 0, to: 2, part: part.id, zone: null }];
+  const assignments = [{ from: 0, to: 2, part: shard.id, zone: null }];
   const record = { spec, home: 0, assignments, done: RangeSet.empty() } as unknown as JobRecord;
-  syncJob(part, record, 1 as never, 0 as SteadyMs, false);
-  const job = part.jobs.get(spec.id) as PartJob;
+  syncJob(shard, record, 1 as never, 0 as SteadyMs, false);
+  const job = shard.jobs.get(spec.id) as ShardJob;
   const machines = [{ type: 't', zone: 'fjord', spot: false, cpus: 64, gpus: 0, memoryGb: 64, count: 1 }];
   let answer: (result: { kind: 'refused' }) => void = () => undefined;
   const core = {
     settings: { parts: [], zone: 'fjord', valueBytes: 1000 },
-    offers: new Map([[1, { part: 1, zone: 'fjord', expires: 99_000, machines }]]),
+    freeCapacity: new Map([[1, { part: 1, zone: 'fjord', expires: 99_000, machines }]]),
     random: () => 0,
     clock: { now: () => 10_000 },
     log: silentLog(),
@@ -658,13 +658,13 @@
     wake: () => undefined,
   };
   const overflow = new Overflow(core as unknown as Core);
-  overflow.consider(part, [{ job, reason: 'room', indices: 'all' }]);
+  overflow.consider(shard, [{ job, reason: 'room', indices: 'all' }]);
   assert.equal(job.moving.size, 2);
-  planRound(part, { now: 10_000 } as unknown as PlanContext);
+  planRound(shard, { now: 10_000 } as unknown as PlanContext);
   answer({ kind: 'refused' });
   await new Promise((resolve) => setImmediate(resolve));
   assert.equal(job.waiting.size, 2);
-  assert.ok(part.queue.has(job), 'the next round sees it');
+  assert.ok(shard.queue.has(job), 'the next round sees it');
 });
 
 /** What arrives, and how each request ends, when a cut of this kind comes between two of them. */
--- a/test/stale-reads.test.ts
+++ b/test/stale-reads.test.ts
@@ -1,11 +1,11 @@
 /** Reads of the state service that are answered late: what they say has been overtaken by what the feed showed since. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { View } from '../src/state/view.js';
+import { StoreCache } from '../src/store/cache.js';
 import type { Revision, StateKey } from '../src/units.js';
 import { steady } from '../src/units.js';
 import { parseSettings } from '../src/settings/settings.js';
-import { StateClient } from '../src/state/client.js';
+import { KeyValueClient } from '../src/store/client.js';
 import { SimClock } from './standins/clock.js';
 import { settingsText, World } from './standins/world.js';
 
@@ -14,7 +14,7 @@
 
 test('a read that is older than what the feed has shown brings no dropped key back', () => {
   const seen: unknown[] = [];
-  const view = new View((_, value) => seen.push(value));
+  const view = new StoreCache((_, value) => seen.push(value));
   view.load([{ key: KEY, value: 'first', version: at(5) }], at(5), steady(0));
   view.follow([{ key: KEY, value: undefined, version: at(7) }], at(7), steady(1));
   view.learn(KEY, 'first', at(5));
@@ -33,12 +33,12 @@
     call: () => Promise.resolve({ kind: 'answer', status: 200, body: pages.shift() } as const),
   };
   const settings = parseSettings(settingsText(0), 'n0.toml');
-  const client = new StateClient(store, store, new SimClock(), settings, () => 0.5);
+  const client = new KeyValueClient(store, store, new SimClock(), settings, () => 0.5);
   const listed = await client.list('c/');
   assert.equal(listed?.revision, 10);
   assert.equal(listed.entries.length, 2);
   // req-1 was dropped at 12, while the second page was read.
-  const view = new View(() => undefined);
+  const view = new StoreCache(() => undefined);
   view.load(listed.entries, listed.revision, steady(0));
   view.follow([{ key: KEY, value: undefined, version: at(12) }], at(12), steady(1));
   assert.equal(view.get(KEY), undefined);
--- a/test/standins/builds.ts
+++ b/test/standins/builds.ts
@@ -1,6 +1,8 @@
 /** The versions of the service that a world can run: the working sources, and the one in production. */
 import { Controller } from '../../src/controller.js';
 import { silentLog } from '../../src/log.js';
+import type { JobRecord } from '../../src/jobs/record.js';
+import type { RangeSet } from '../../src/ranges.js';
 import { parseSettings, parseTuning } from '../../src/settings/settings.js';
 
 /** What a world needs of a version to start a controller of it. */
@@ -33,3 +35,60 @@
 /** A module of the version in production, as the working sources' module of that name is typed. */
 export const productionModule = async <T>(file: string): Promise<T> =>
   (await import(new URL(file, PRODUCTION).href)) as T;
+
+/** A job's record in memory, by the names of the version in production. */
+export interface ProductionRecord {
+  readonly spec: Readonly<Record<string, unknown>>;
+  readonly home: number;
+  readonly born: number;
+  readonly accepted: number | null;
+  readonly assignments: readonly {
+    readonly from: number;
+    readonly to: number;
+    readonly part: number;
+    readonly zone: string | null;
+  }[];
+  readonly done: RangeSet;
+}
+
+/** `jobs/record.ts` of the version in production. */
+export interface ProductionRecords {
+  encodeRecord(record: ProductionRecord): unknown;
+  decodeRecord(value: unknown): ProductionRecord | null;
+  encodeFinal(state: string): unknown;
+  decodeFinal(value: unknown): string | null;
+}
+
+/** A record of the working sources as the version in production holds it in memory. */
+export function toProductionRecord(record: JobRecord): ProductionRecord {
+  const { spec } = record;
+  return {
+    spec: {
+      id: spec.id,
+      lane: spec.lane,
+      team: spec.team,
+      shape: spec.shape,
+      priority: spec.priority,
+      tasks: spec.tasks,
+      cpus: spec.cpus,
+      gpus: spec.gpus,
+      memoryGb: spec.memoryGb,
+      types: spec.types,
+      zone: spec.zone,
+      oneZone: spec.oneZone,
+      spread: spec.spread,
+      spot: spec.spot,
+      image: spec.image,
+      imageGb: spec.imageGb,
+      estimateS: spec.estimateS,
+      checkpointS: spec.checkpointS,
+      saveS: spec.saveS,
+      deadlineS: spec.deadlineS,
+    },
+    home: record.home,
+    born: record.born,
+    accepted: record.accepted,
+    assignments: record.assignments.map(({ from, to, part, zone }) => ({ from, to, part, zone })),
+    done: record.done,
+  };
+}
--- a/test/standins/desk.ts
+++ b/test/standins/desk.ts
@@ -1,33 +1,33 @@
 /** The desk for shares of one team's limit, of a controller that owns some of the parts; each write succeeds at once. */
 import type { Core } from '../../src/core.js';
 import type { Resources } from '../../src/model/resources.js';
-import type { Part } from '../../src/parts/model.js';
-import { QuotaDesk } from '../../src/quota/desk.js';
+import type { Shard } from '../../src/shards/model.js';
+import { QuotaTransferService } from '../../src/quota/transfer-service.js';
 import { encodeShares, quotaKey } from '../../src/quota/shares.js';
 import type { Team } from '../../src/settings/settings.js';
-import { View } from '../../src/state/view.js';
+import { StoreCache } from '../../src/store/cache.js';
 
 export function deskOf(
   team: Team,
-  parts: readonly Part[],
+  parts: readonly Shard[],
   partCount: number,
   now: () => number,
   /** Left out: even shares. */
   shares?: readonly Resources[],
-): QuotaDesk {
-  const view = new View(() => undefined);
+): QuotaTransferService {
+  const view = new StoreCache(() => undefined);
   const key = quotaKey(team.name);
   if (shares) view.learn(key, encodeShares(team, shares), 1 as never);
-  return new QuotaDesk({
+  return new QuotaTransferService({
     settings: {
       teams: new Map([[team.name, team]]),
-      parts: Array.from({ length: partCount }, (_, part) => ({ part })),
+      parts: Array.from({ length: partCount }, (_, shard) => ({ part: shard })),
     },
     view,
-    parts: new Map(parts.map((part) => [part.id, part])),
-    partNews: new Map(),
+    parts: new Map(parts.map((shard) => [shard.id, shard])),
+    shardAnnouncements: new Map(),
     clock: { now },
-    partRecord: () => null,
+    shardRecord: () => null,
     ownerCondition: () => ({}),
     settle: () => Promise.resolve({ kind: 'done', revision: (view.version(key) + 1) as never }),
     exclusive: (work: () => unknown) => Promise.resolve(work()),
--- a/test/standins/rounds.ts
+++ b/test/standins/rounds.ts
@@ -4,14 +4,14 @@
 import type { JobSpec } from '../../src/jobs/spec.js';
 import { UNLIMITED, ZERO, type Resources } from '../../src/model/resources.js';
 import {
-  bind,
+  allocate,
   newMachine,
-  Part,
+  Shard,
   syncJob,
-  unbind,
-  type Binding,
+  release,
+  type Allocation,
   type Machine,
-} from '../../src/parts/model.js';
+} from '../../src/shards/model.js';
 import { planRound } from '../../src/placement/plan.js';
 import type { PlanContext } from '../../src/placement/round.js';
 import { Guarantees } from '../../src/quota/guarantee.js';
@@ -32,7 +32,7 @@
 }
 
 export class Rounds {
-  readonly part: Part;
+  readonly part: Shard;
   /** What either team uses on other parts. */
   elsewhere: Resources = ZERO;
   private now = 1_000_000;
@@ -50,8 +50,8 @@
     this.teams = new Map(['red', 'blue'].map((name) => [name as TeamId, plainTeam({ ...team, name })]));
     this.share = options.share ?? { ...UNLIMITED, cpus: 100 };
     this.guarantees = new Guarantees(this.teams);
-    this.part = new Part(0 as never, 7 as never, 1 as never, 0 as never, this.types);
-    this.part.accounted = true;
+    this.part = new Shard(0 as never, 7 as never, 1 as never, 0 as never, this.types);
+    this.part.reconciled = true;
     for (let i = 0; i < machines; i += 1) {
       const m = newMachine(
         `m-${i}` as never,
@@ -86,10 +86,10 @@
     const m = this.part.machines.get(machine as never);
     const spec = this.live.get(id)?.spec;
     if (!m || !spec) throw new Error(`no machine ${machine}`);
-    bind(this.part, m, this.running(spec, 0, m));
+    allocate(this.part, m, this.running(spec, 0, m));
   }
 
-  private running(spec: JobSpec, index: number, machine: Machine): Binding {
+  private running(spec: JobSpec, index: number, machine: Machine): Allocation {
     return {
       id: `${spec.id}/${index}`,
       job: spec.id,
@@ -98,14 +98,14 @@
       machine: machine.id,
       spec,
       phase: 'running',
-      boundAt: this.now,
+      allocatedAt: this.now,
       runningSince: this.now,
       stop: null,
       inFlight: false,
       due: false,
-      doubt: null,
+      unacknowledged: null,
       answered: null,
-    } as unknown as Binding;
+    } as unknown as Allocation;
   }
 
   holds(machine: string, image: string): void {
@@ -115,11 +115,11 @@
 
   /** Tasks that have run this long are done. */
   finish(afterMs: number): void {
-    for (const b of [...this.part.bound.values()]) {
+    for (const b of [...this.part.allocations.values()]) {
       const machine = this.part.machines.get(b.machine);
-      if (this.now - b.boundAt < afterMs || !machine) continue;
+      if (this.now - b.allocatedAt < afterMs || !machine) continue;
       this.part.jobs.get(b.job)?.finished.add(b.index);
-      unbind(this.part, machine, b);
+      release(this.part, machine, b);
     }
   }
 
@@ -148,15 +148,15 @@
     const said: string[] = [];
     for (const s of plan.starts) {
       said.push(`start ${s.job.id}/${s.index} on ${s.machine.id}`);
-      bind(this.part, s.machine, this.running(s.job.spec, s.index, s.machine));
+      allocate(this.part, s.machine, this.running(s.job.spec, s.index, s.machine));
     }
     for (const { binding } of plan.stops) {
       said.push(`stop ${binding.id}`);
       const machine = this.part.machines.get(binding.machine);
-      if (machine) unbind(this.part, machine, binding);
+      if (machine) release(this.part, machine, binding);
     }
     for (const h of plan.holds)
-      h.job.holds.set(h.index, {
+      h.job.reservations.set(h.index, {
         machine: h.machine,
         until: (this.now + 6000) as never,
         reserved: h.reserved,
--- a/test/sums.test.ts
+++ b/test/sums.test.ts
@@ -1,9 +1,18 @@
 /** Running sums against a full recount, over a long random life of one part. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { seededRandom } from '../src/flock/willing.js';
+import { seededRandom } from '../src/overflow/peer-ranking.js';
 import { fits, type Resources } from '../src/model/resources.js';
-import { attach, bind, newMachine, Part, roomOn, unbind, usageOf, type Binding } from '../src/parts/model.js';
+import {
+  attach,
+  allocate,
+  newMachine,
+  Shard,
+  roomOn,
+  release,
+  usageOf,
+  type Allocation,
+} from '../src/shards/model.js';
 import { plainSpec } from './standins/spec.js';
 
 const TYPES = new Map([
@@ -28,19 +37,19 @@
 /** Never -0, which a sum of fractions may leave. */
 const round = (n: number): number => Math.round(n * 1e6) / 1e6 + 0;
 
-function recount(part: Part): unknown {
+function recount(shard: Shard): unknown {
   const teams: Record<string, number[]> = {};
   const unclear = [0, 0, 0];
   const free: Record<string, number[]> = {};
   const lesser: Record<string, number[]> = {};
   const holders: string[] = [];
-  for (const m of part.machines.values()) {
+  for (const m of shard.machines.values()) {
     const type = TYPES.get(m.type) as Resources;
-    const list = [...m.bindings.values()];
+    const list = [...m.allocations.values()];
     KINDS.forEach((kind, i) => {
-      const sumOf = (bindings: Binding[]): number =>
+      const sumOf = (bindings: Allocation[]): number =>
         bindings.reduce((sum, b) => sum + (b.spec?.[kind] ?? 0), 0);
-      if (!m.settled || list.some((b) => !b.spec)) unclear[i] = (unclear[i] ?? 0) + type[kind];
+      if (!m.reconciled || list.some((b) => !b.spec)) unclear[i] = (unclear[i] ?? 0) + type[kind];
       for (const b of list) {
         if (!b.spec) continue;
         const team = (teams[b.spec.team] ??= [0, 0, 0]);
@@ -51,37 +60,37 @@
     });
     for (const image of m.images.keys()) holders.push(`${image}@${m.id}`);
   }
-  return { teams, unclear, free, lesser, holders: holders.sort(), bound: part.bound.size };
+  return { teams, unclear, free, lesser, holders: holders.sort(), bound: shard.allocations.size };
 }
 
-function kept(part: Part): unknown {
+function kept(shard: Shard): unknown {
   const amounts = (of: Resources): number[] => KINDS.map((kind) => round(of[kind]));
   const teams: Record<string, number[]> = {};
-  for (const [team, u] of usageOf(part).teams) if (amounts(u).some((n) => n !== 0)) teams[team] = amounts(u);
+  for (const [team, u] of usageOf(shard).teams) if (amounts(u).some((n) => n !== 0)) teams[team] = amounts(u);
   const free: Record<string, number[]> = {};
   const lesser: Record<string, number[]> = {};
-  for (const m of part.machines.values()) {
+  for (const m of shard.machines.values()) {
     free[m.id] = amounts(roomOn(m, TYPES.get(m.type) as never));
-    lesser[m.id] = amounts(m.lesser);
+    lesser[m.id] = amounts(m.preemptible);
   }
-  const holders = [...part.sums.images()].flatMap(([i, ms]) => [...ms].map((m) => `${i}@${m.id}`)).sort();
+  const holders = [...shard.totals.images()].flatMap(([i, ms]) => [...ms].map((m) => `${i}@${m.id}`)).sort();
   let bound = 0;
-  for (const set of part.boundOf.values()) bound += set.size;
-  return { teams, unclear: amounts(usageOf(part).anybody), free, lesser, holders, bound };
+  for (const set of shard.allocationsByJob.values()) bound += set.size;
+  return { teams, unclear: amounts(usageOf(shard).anybody), free, lesser, holders, bound };
 }
 
 test('sums kept with every change are what a full recount finds', () => {
   const random = seededRandom(7);
-  const part = new Part(0 as never, 7 as never, 1 as never, 0 as never, TYPES as never);
+  const shard = new Shard(0 as never, 7 as never, 1 as never, 0 as never, TYPES as never);
   let names = 0;
   const pick = <T>(list: T[]): T | undefined => list[random(list.length)];
   for (let step = 0; step < 4000; step += 1) {
-    const m = pick([...part.machines.values()]);
+    const m = pick([...shard.machines.values()]);
     const action = random(10);
     if (action === 0 || !m) {
       const type = random(2) === 0 ? 'small' : 'large';
       const id = `m-${names++}` as never;
-      part.add(
+      shard.add(
         newMachine(
           id,
           '10.0.0.1:1' as never,
@@ -92,10 +101,10 @@
           random(2) === 0,
         ),
       );
-    } else if (action === 1 && part.machines.size > 12) {
-      for (const b of [...m.bindings.values()]) unbind(part, m, b);
-      part.drop(m);
-    } else if (action === 2) part.settle(m);
+    } else if (action === 1 && shard.machines.size > 12) {
+      for (const b of [...m.allocations.values()]) release(shard, m, b);
+      shard.drop(m);
+    } else if (action === 2) shard.settle(m);
     else if (action < 7) {
       const spec = pick(SPECS) ?? null;
       const index = names++;
@@ -108,18 +117,18 @@
         machine: m.id,
         spec,
         stop: null,
-      } as unknown as Binding;
-      bind(part, m, b);
-      if (random(8) === 0) attach(part, m, b);
-      if (spec && random(2) === 0) part.sawImage(m, spec.image, spec.imageGb);
+      } as unknown as Allocation;
+      allocate(shard, m, b);
+      if (random(8) === 0) attach(shard, m, b);
+      if (spec && random(2) === 0) shard.sawImage(m, spec.image, spec.imageGb);
     } else {
-      const b = pick([...m.bindings.values()]);
-      if (b) unbind(part, m, b);
+      const b = pick([...m.allocations.values()]);
+      if (b) release(shard, m, b);
     }
-    if (step % 7 === 0) assert.deepEqual(kept(part), recount(part), `after ${step} steps`);
+    if (step % 7 === 0) assert.deepEqual(kept(shard), recount(shard), `after ${step} steps`);
     for (const need of NEEDS) {
-      const found = new Set(part.sums.withFree(need, TYPES as never));
-      for (const w of part.machines.values())
+      const found = new Set(shard.totals.withFree(need, TYPES as never));
+      for (const w of shard.machines.values())
         if (fits(need, roomOn(w, TYPES.get(w.type) as never)))
           assert.ok(found.has(w), 'no machine is left out');
       const kind = need.gpus > 0 ? 'gpus' : need.memoryGb > 8 ? 'memoryGb' : 'cpus';
--- a/test/takeover-meetings.test.ts
+++ b/test/takeover-meetings.test.ts
@@ -6,8 +6,8 @@
 import { test } from 'node:test';
 import type { Call, Outcome } from '../src/http/client.js';
 import type { JobRecord } from '../src/jobs/record.js';
-import { accountFor } from '../src/parts/accounting.js';
-import { Part, syncJob } from '../src/parts/model.js';
+import { accountFor } from '../src/shards/accounting.js';
+import { Shard, syncJob } from '../src/shards/model.js';
 import { RangeSet } from '../src/ranges.js';
 import { plainSpec } from './standins/spec.js';
 import type { StateStandin } from './standins/state.js';
@@ -106,8 +106,8 @@
   }
 
   /** The controller that owns a part, by the state service. */
-  ownerOf(part: number): number {
-    const owner = (this.state.rows.get(`c/parts/${part}`)?.data as { owner: string | null }).owner;
+  ownerOf(shard: number): number {
+    const owner = (this.state.rows.get(`c/parts/${shard}`)?.data as { owner: string | null }).owner;
     return Number(owner?.slice(1) ?? -1);
   }
 
@@ -136,20 +136,20 @@
   }
 
   /** Runs `act` once, at the first claim of the part by another controller than its home. */
-  atTakeover(part: number, act: (successor: number) => void): void {
-    this.atClaim(part, (node) => node !== part, act);
+  atTakeover(shard: number, act: (successor: number) => void): void {
+    this.atClaim(shard, (node) => node !== shard, act);
   }
 
   /** Runs `act` once, at the first claim of the part by such a controller. */
-  atClaim(part: number, by: (node: number) => boolean, act: (node: number) => void): void {
+  atClaim(shard: number, by: (node: number) => boolean, act: (node: number) => void): void {
     const before = this.onCommit;
     let over = false;
     this.onCommit = (body) => {
       before(body);
       const claim = claimIn(body);
-      if (over || claim?.part !== String(part) || !by(claim.node)) return;
+      if (over || claim?.part !== String(shard) || !by(claim.node)) return;
       over = true;
-      this.trace(`n${claim.node} has claimed part ${part}`);
+      this.trace(`n${claim.node} has claimed part ${shard}`);
       act(claim.node);
     };
   }
@@ -196,8 +196,8 @@
   return w;
 }
 
-const machinesOfPart = (w: MeetingWorld, part: number, job: string): string[] =>
-  w.holdersOf(job).filter((m) => partOf(w, m) === part);
+const machinesOfPart = (w: MeetingWorld, shard: number, job: string): string[] =>
+  w.holdersOf(job).filter((m) => partOf(w, m) === shard);
 
 type Trouble = 'hang' | 'cut';
 
@@ -448,7 +448,7 @@
 
 test('2. tasks handed to a part before its claim, and heard of after it, may be running; later ones are not', () => {
   const claim = 10;
-  const part = new Part(0 as never, 7 as never, claim as never, 0 as never, new Map());
+  const shard = new Shard(0 as never, 7 as never, claim as never, 0 as never, new Map());
   const record = (mine: number): JobRecord => ({
     spec: plainSpec({ tasks: 6 }),
     home: 1 as never,
@@ -460,15 +460,15 @@
     ],
     done: RangeSet.empty(),
   });
-  syncJob(part, record(2), 5 as never, 0 as never, true);
-  accountFor(part);
-  const job = part.jobs.get('req-1' as never);
+  syncJob(shard, record(2), 5 as never, 0 as never, true);
+  accountFor(shard);
+  const job = shard.jobs.get('req-1' as never);
   assert.deepEqual(job?.waiting.ranges(), [[0, 2]], 'the part has no machine on which they could be');
-  syncJob(part, record(4), 9 as never, 0 as never, false);
-  assert.deepEqual(job?.frozen.ranges(), [[2, 4]]);
-  syncJob(part, record(6), 11 as never, 0 as never, false);
-  assert.deepEqual(job?.frozen.ranges(), [[2, 4]]);
-  accountFor(part);
+  syncJob(shard, record(4), 9 as never, 0 as never, false);
+  assert.deepEqual(job?.unaccounted.ranges(), [[2, 4]]);
+  syncJob(shard, record(6), 11 as never, 0 as never, false);
+  assert.deepEqual(job?.unaccounted.ranges(), [[2, 4]]);
+  accountFor(shard);
   assert.deepEqual(job?.waiting.ranges(), [[0, 6]], 'accounted for anew');
 });
 
@@ -610,7 +610,7 @@
   await w.until('it runs', () => w.runningOf('req-long') === 1);
   await w.step(3000);
   const [first] = w.holdersOf('req-long') as [string];
-  const part = partOf(w, first);
+  const shard = partOf(w, first);
   // It moves on: copies from the first machine say that it is still there.
   w.cutOff([first]);
   await w.until(
@@ -620,12 +620,12 @@
   w.heal([first]);
   await w.step(4000);
   const [second] = w.holdersOf('req-long') as [string];
-  assert.equal(partOf(w, second), part);
+  assert.equal(partOf(w, second), shard);
   const deliver = (): void => {
     if (copies.left) copyToAll(w, first, 'req-long', copies.left);
     if (copies.holder) copyToAll(w, second, 'req-long', copies.holder);
   };
-  w.atTakeover(part, () => {
+  w.atTakeover(shard, () => {
     // The successor learns of its claim within 100 ms, and its first order is answered some 20 ms later.
     for (let after = 0; after < 150; after += 10) w.clock.after(firstAfter + after, deliver);
     for (const after of [1000, 5000, 11_000, 12_500]) w.clock.after(firstAfter + after, deliver);
@@ -633,8 +633,8 @@
   // It can't be asked, nor be deleted, which would settle what it holds.
   w.cutOff([second]);
   w.cloudOutage = true;
-  w.killNode(part);
-  await w.until('the part has a new leader', () => w.ownerOf(part) !== part);
+  w.killNode(shard);
+  await w.until('the part has a new leader', () => w.ownerOf(shard) !== shard);
   await w.step(4000);
   w.heal([second]);
   await w.step(50_000);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,16 +1,24 @@
 /** The version in production and the working sources side by side, each on the other's records, leases and messages. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type * as Records from '../src/jobs/record.js';
-import type * as Machines from '../src/parts/records.js';
-import * as records from '../src/jobs/record.js';
-import * as machines from '../src/parts/records.js';
+import type * as Machines from '../src/shards/records.js';
+import * as records from '../src/jobs/codec.js';
+import type { JobRecord } from '../src/jobs/record.js';
+import { recordBytes, withDone } from '../src/jobs/stored-size.js';
+import * as machines from '../src/shards/records.js';
 import type * as Mesh from '../src/mesh/mesh.js';
 import * as mesh from '../src/mesh/mesh.js';
 import type * as Shares from '../src/quota/shares.js';
 import * as shares from '../src/quota/shares.js';
 import { RangeSet } from '../src/ranges.js';
-import { productionBuild, productionModule, WORKING, type Build } from './standins/builds.js';
+import {
+  productionBuild,
+  productionModule,
+  toProductionRecord,
+  WORKING,
+  type Build,
+  type ProductionRecords,
+} from './standins/builds.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
 import { SMALL, World, type Shape } from './standins/world.js';
 
@@ -129,7 +137,7 @@
 });
 
 /** A job of the largest array whose finished tasks are scattered. */
-function scattered(ranges: number): Records.JobRecord {
+function scattered(ranges: number): JobRecord {
   const done = RangeSet.of(Array.from({ length: ranges }, (_, i) => [7 * i, 7 * i + 1] as const));
   return {
     spec: plainSpec({ id: 'req-large', tasks: 100_000 }),
@@ -145,17 +153,20 @@
 }
 
 test('records of each version are read by the other, and written alike', async () => {
-  const old = await productionModule<typeof Records>('jobs/record.js');
+  const old = await productionModule<ProductionRecords>('jobs/record.js');
   for (const record of [scattered(0), scattered(1), scattered(300)]) {
-    const written = old.encodeRecord(record);
+    const written = old.encodeRecord(toProductionRecord(record));
     assert.deepEqual(records.encodeRecord(record), written);
     assert.deepEqual(records.decodeRecord(written)?.done.ranges(), record.done.ranges());
-    assert.deepEqual(old.decodeRecord(records.encodeRecord(record))?.assignments, record.assignments);
+    const decoded = old.decodeRecord(records.encodeRecord(record));
+    assert.ok(decoded);
+    const { done, ...rest } = toProductionRecord(record);
+    assert.deepEqual({ ...decoded, done: decoded.done.ranges() }, { ...rest, done: done.ranges() });
   }
   assert.deepEqual(records.encodeFinal('done'), old.encodeFinal('done'));
   const oldMachines = await productionModule<typeof Machines>('parts/records.js');
-  const part = { owner: 'n1', incarnation: 'x', token: 9 };
-  assert.deepEqual(machines.decodePart(part), oldMachines.decodePart(part));
+  const shard = { owner: 'n1', incarnation: 'x', token: 9 };
+  assert.deepEqual(machines.decodePart(shard), oldMachines.decodePart(shard));
   const machine = { part: 1, address: '10.0.0.1:1', type: 't', zone: 'z', spot: true };
   assert.deepEqual(machines.decodeMachine(machine), oldMachines.decodeMachine(machine));
   const oldShares = await productionModule<typeof Shares>('quota/shares.js');
@@ -176,11 +187,11 @@
 test('a record that is larger than the limit to come is left as it is until it fits, and then rewritten', () => {
   const limit = 2048;
   const large = scattered(400);
-  assert.ok(records.recordBytes(large) > limit);
+  assert.ok(recordBytes(large) > limit);
   const more = RangeSet.of([[50_000, 50_001]]);
-  assert.ok(records.recordBytes(records.withDone(large, more, limit)) > limit, 'one more task does not help');
+  assert.ok(recordBytes(withDone(large, more, limit)) > limit, 'one more task does not help');
   const nearly = RangeSet.of([[0, 99_999]]);
-  const grown = records.withDone(large, nearly, limit);
+  const grown = withDone(large, nearly, limit);
   assert.deepEqual(grown.done.ranges(), [[0, 99_999]]);
-  assert.ok(records.recordBytes(grown) <= limit);
+  assert.ok(recordBytes(grown) <= limit);
 });
--- a/test/user-meetings.test.ts
+++ b/test/user-meetings.test.ts
@@ -6,10 +6,10 @@
 import { connect, type AddressInfo, type Socket } from 'node:net';
 import { test } from 'node:test';
 
-import { seededRandom, type Random } from '../src/flock/willing.js';
+import { seededRandom, type Random } from '../src/overflow/peer-ranking.js';
 import { serve } from '../src/http/server.js';
 import { silentLog } from '../src/log.js';
-import { View } from '../src/state/view.js';
+import { StoreCache } from '../src/store/cache.js';
 import type { Address, Revision, StateKey, SteadyMs } from '../src/units.js';
 import { millis } from '../src/units.js';
 import type { TxnBody } from './standins/state.js';
@@ -116,7 +116,7 @@
 const at = (ms: number): SteadyMs => ms as SteadyMs;
 
 test('a write or a read that is answered late brings nothing back that the watch has shown to be gone', () => {
-  const view = new View(() => undefined);
+  const view = new StoreCache(() => undefined);
   const job = key('c/live/req-1');
   view.load([{ key: job, value: 'accepted', version: revision(3) }], revision(3), at(0));
   // The watch shows a write of ours, and that the job is over; the write is answered only then.
