--- a/test/waiting.test.ts
+++ b/test/waiting.test.ts
@@ -3,17 +3,21 @@
 import { test } from 'node:test';
 import type { MachineType } from '../src/cloud/wire.js';
 import type { Core } from '../src/core.js';
-import { assignJob, type AssignContext } from '../src/flock/assign.js';
-import { offerOf } from '../src/flock/news.js';
-import { chooseHandOver } from '../src/flock/overflow.js';
-import { chooseRepin, REPIN_AFTER, type Repin } from '../src/flock/repin.js';
-import { capacityFor, seededRandom, type Offer } from '../src/flock/willing.js';
+import { assignJob, type AssignContext } from '../src/overflow/assignment.js';
+import { freeCapacityOf } from '../src/overflow/announcement.js';
+import { chooseHandOver } from '../src/overflow/hand-over.js';
+import {
+  chooseZoneReassignment,
+  REPIN_AFTER,
+  type ZoneReassignment,
+} from '../src/overflow/zone-reassignment.js';
+import { capacityFor, seededRandom, type FreeCapacity } from '../src/overflow/peer-ranking.js';
 import { UNLIMITED, ZERO } from '../src/model/resources.js';
-import { newMachine, Part, syncJob, type PartJob } from '../src/parts/model.js';
+import { newMachine, Shard, syncJob, type ShardJob } from '../src/shards/model.js';
 import { planRound } from '../src/placement/plan.js';
 import { OVERDUE_AFTER, type PlanContext } from '../src/placement/round.js';
 import { RangeSet } from '../src/ranges.js';
-import type { PartId, SteadyMs, TeamId, ZoneId } from '../src/units.js';
+import type { ShardId, SteadyMs, TeamId, ZoneId } from '../src/units.js';
 import { settle } from './standins/clock.js';
 import { deskOf } from './standins/desk.js';
 import { IdleWatch } from './standins/idle-watch.js';
@@ -23,7 +27,7 @@
 const NOW = 1_000_000 as SteadyMs;
 const EAST = 'east' as ZoneId;
 const WEST = 'west' as ZoneId;
-const HERE = 0 as PartId;
+const HERE = 0 as ShardId;
 /** What the task says: a job may be left waiting no longer than this, in milliseconds. */
 const LEFT_WAITING = 90_000;
 
@@ -31,10 +35,10 @@
   ({ name, cpus: 8, gpus: 0, memoryGb: 64, zones }) as unknown as MachineType;
 const TYPES = new Map([['large', typeIn('large', 'east', 'west')]]) as never;
 
-const offer = (part: number, zone: string, cpus: number): Offer => {
+const offer = (shard: number, zone: string, cpus: number): FreeCapacity => {
   const machines =
     cpus > 0 ? [{ type: 'large', zone, spot: false, cpus, gpus: 0, memoryGb: 64, count: 1 }] : [];
-  return { part, zone, expires: NOW + 9000, machines } as unknown as Offer;
+  return { part: shard, zone, expires: NOW + 9000, machines } as unknown as FreeCapacity;
 };
 
 /** A part in the east with so many machines there, and one job whose tasks are entrusted as given. */
@@ -42,13 +46,13 @@
   machines: number,
   spec: Parameters<typeof plainSpec>[0],
   assignments: readonly (readonly [number, number, number, string | null])[],
-): { part: Part; job: PartJob } {
-  const part = new Part(0 as PartId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
-  part.accounted = true;
+): { part: Shard; job: ShardJob } {
+  const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
+  shard.reconciled = true;
   for (let i = 0; i < machines; i += 1) {
     const m = newMachine(`m-${i}` as never, '' as never, 'large' as never, EAST, false, 0 as never, true);
     m.lastHeard = NOW;
-    part.add(m);
+    shard.add(m);
   }
   const record = {
     spec: plainSpec(spec),
@@ -56,11 +60,11 @@
     assignments: assignments.map(([from, to, owner, zone]) => ({ from, to, part: owner, zone })),
     done: RangeSet.empty(),
   } as never;
-  syncJob(part, record, 1 as never, 0 as SteadyMs, false);
-  return { part, job: [...part.jobs.values()][0] as PartJob };
+  syncJob(shard, record, 1 as never, 0 as SteadyMs, false);
+  return { part: shard, job: [...shard.jobs.values()][0] as ShardJob };
 }
 
-const core = (offers: readonly Offer[]): Core =>
+const core = (offers: readonly FreeCapacity[]): Core =>
   ({
     settings: { parts: [], zone: EAST, zones: [EAST, WEST], valueBytes: 4000 },
     tuning: { announceExpiry: 10_000 },
@@ -68,7 +72,7 @@
     reportMs: 1500,
     gangWaitMs: 30_000,
     types: TYPES,
-    offers: new Map(offers.map((o) => [o.part, o])),
+    freeCapacity: new Map(offers.map((o) => [o.part, o])),
     random: seededRandom(1),
   }) as unknown as Core;
 
@@ -84,7 +88,7 @@
     ],
     zones: [EAST, WEST],
     types,
-    offers: new Map(),
+    freeCapacity: new Map(),
     ready: new Map(),
     random: seededRandom(1),
   } as unknown as AssignContext;
@@ -101,7 +105,7 @@
 });
 
 test('many tasks that wait for a zone without room keep no task from starting in the other', () => {
-  const { part } = partWith(2, { tasks: 600, spread: true }, [
+  const { part: shard } = partWith(2, { tasks: 600, spread: true }, [
     [0, 300, 0, 'west'],
     [300, 600, 0, 'east'],
   ]);
@@ -118,7 +122,7 @@
     reportMs: 1500,
     gangWaitMs: 30_000,
   } as unknown as PlanContext;
-  const plan = planRound(part, ctx);
+  const plan = planRound(shard, ctx);
   assert.deepEqual(
     plan.starts.map((s) => s.index),
     [300, 301, 302, 303, 304, 305, 306, 307],
@@ -128,12 +132,12 @@
 });
 
 test('tasks for which no peer has room in their zone keep no others of the job from being handed over', () => {
-  const { part, job } = partWith(0, { tasks: 4, spread: true }, [
+  const { part: shard, job } = partWith(0, { tasks: 4, spread: true }, [
     [0, 2, 0, 'east'],
     [2, 4, 0, 'west'],
   ]);
   const unplaced = [{ job, reason: 'room' as const, indices: [0, 1, 2, 3] }];
-  const choice = chooseHandOver(core([offer(1, 'west', 8)]), part, unplaced, NOW);
+  const choice = chooseHandOver(core([offer(1, 'west', 8)]), shard, unplaced, NOW);
   assert.deepEqual(choice?.tasks.ranges(), [[2, 4]]);
   assert.equal(choice.to, 1);
 });
@@ -141,30 +145,30 @@
 test('what waits here for another zone, or backs off, does not hide this part’s room from peers', () => {
   const ask = plainSpec({ id: 'req-2' });
   const elsewhere = partWith(2, { tasks: 50, spread: true }, [[0, 50, 0, 'west']]);
-  assert.equal(capacityFor(offerOf(core([]), elsewhere.part), ask, null), 8);
+  assert.equal(capacityFor(freeCapacityOf(core([]), elsewhere.part), ask, null), 8);
   const here = partWith(2, { tasks: 50, spread: true }, [[0, 50, 0, 'east']]);
-  assert.equal(capacityFor(offerOf(core([]), here.part), ask, null), 0);
+  assert.equal(capacityFor(freeCapacityOf(core([]), here.part), ask, null), 0);
   here.job.notBefore = (NOW + 20_000) as SteadyMs;
-  assert.equal(capacityFor(offerOf(core([]), here.part), ask, null), 8);
+  assert.equal(capacityFor(freeCapacityOf(core([]), here.part), ask, null), 8);
 });
 
 test('waiting tasks change their zone only where the job may have more, none is running, and after a while', () => {
-  const ctx = (...offers: Offer[]): Parameters<typeof chooseRepin>[3] => ({
+  const ctx = (...offers: FreeCapacity[]): Parameters<typeof chooseZoneReassignment>[3] => ({
     now: NOW,
     homeZone: EAST,
     zones: [EAST, WEST],
     types: [typeIn('large', 'east', 'west')],
-    offers: new Map(offers.map((o) => [o.part, o])),
+    freeCapacity: new Map(offers.map((o) => [o.part, o])),
     random: seededRandom(1),
   });
   const choose = (
-    job: PartJob,
+    job: ShardJob,
     at: ReturnType<typeof ctx>,
     waited = REPIN_AFTER,
-    part = HERE,
-  ): Repin | null => {
+    shard = HERE,
+  ): ZoneReassignment | null => {
     job.waitingSince = (NOW - waited) as SteadyMs;
-    return chooseRepin(part, job, WEST, at);
+    return chooseZoneReassignment(shard, job, WEST, at);
   };
   const east = ctx(offer(0, 'east', 8));
   const apart = partWith(0, { tasks: 3, spread: true }, [
@@ -191,7 +195,7 @@
     [1, 3, 1, 'west'],
   ]).job;
   assert.equal(choose(split, east), null, 'the others may run on the other part');
-  const gathers = choose(split, east, REPIN_AFTER, 2 as PartId);
+  const gathers = choose(split, east, REPIN_AFTER, 2 as ShardId);
   assert.deepEqual([gathers?.tasks.ranges(), gathers?.zone, gathers?.part], [[[0, 1]], WEST, 0]);
   const bound = partWith(0, { tasks: 3, oneZone: true, zone: 'west' }, [[0, 3, 0, 'west']]).job;
   assert.equal(choose(bound, east), null, 'the owner named the zone');
@@ -297,7 +301,7 @@
 const RED = 'red' as TeamId;
 
 test('an overdue task that needs more of its team’s limit than is free keeps smaller ones of the team from it', () => {
-  const { part, job } = partWith(3, { id: 'req-small', tasks: 20, cpus: 2 }, [[0, 20, 0, null]]);
+  const { part: shard, job } = partWith(3, { id: 'req-small', tasks: 20, cpus: 2 }, [[0, 20, 0, null]]);
   (job as { firstSeen: SteadyMs }).firstSeen = NOW;
   const record = {
     spec: plainSpec({ id: 'req-large', cpus: 8 }),
@@ -306,9 +310,9 @@
     done: RangeSet.empty(),
   } as never;
   const starts = (ageMs: number): string[] => {
-    part.jobs.delete('req-large' as never);
-    syncJob(part, record, 2 as never, NOW, false, ageMs as never);
-    const plan = planRound(part, {
+    shard.jobs.delete('req-large' as never);
+    syncJob(shard, record, 2 as never, NOW, false, ageMs as never);
+    const plan = planRound(shard, {
       now: NOW,
       types: TYPES,
       teams: new Map(),
@@ -321,26 +325,26 @@
       reportMs: 1500,
       gangWaitMs: 30_000,
     });
-    part.gathering = plan.gathering;
+    shard.quotaReservations = plan.gathering;
     return plan.starts.map((s) => s.job.id);
   };
   assert.equal(starts(1000).length, 3);
-  assert.equal(part.gathering.size, 0);
+  assert.equal(shard.quotaReservations.size, 0);
   assert.deepEqual(starts(OVERDUE_AFTER + 1), []);
-  assert.deepEqual([...part.gathering], [[RED, { cpus: 8, gpus: 0, memoryGb: 1 }]]);
+  assert.deepEqual([...shard.quotaReservations], [[RED, { cpus: 8, gpus: 0, memoryGb: 1 }]]);
 });
 
 test('pieces of a limit that are too small for any task gather on one part, the lower number first', async () => {
   const red = plainTeam({ cpus: 12, cpusMax: 24 });
   const parts = [0, 1].map((id) => {
-    const part = new Part(id as PartId, 1 as never, 1 as never, 0 as SteadyMs, TYPES);
-    part.accounted = true;
+    const shard = new Shard(id as ShardId, 1 as never, 1 as never, 0 as SteadyMs, TYPES);
+    shard.reconciled = true;
     const assignments = [{ from: 0, to: 10, part: id, zone: null }];
     const spec = plainSpec({ id: `req-${id}`, tasks: 10, cpus: 9 });
-    syncJob(part, { spec, assignments, done: RangeSet.empty() } as never, 2 as never, NOW, false);
-    return part;
+    syncJob(shard, { spec, assignments, done: RangeSet.empty() } as never, 2 as never, NOW, false);
+    return shard;
   });
-  const [first, second] = parts as [Part, Part];
+  const [first, second] = parts as [Shard, Shard];
   let now = NOW as number;
   const desk = deskOf(red, parts, 3, () => (now += 1000));
   const shares = async (): Promise<number[]> => {
@@ -350,7 +354,7 @@
   const ask = { cpus: 90, gpus: 0, memoryGb: 10 };
   desk.request(first, RED, ask);
   assert.deepEqual(await shares(), [8, 8], 'both have tasks that wait: neither gives');
-  second.gathering = first.gathering = new Map([[RED, { cpus: 9, gpus: 0, memoryGb: 1 }]]);
+  second.quotaReservations = first.quotaReservations = new Map([[RED, { cpus: 9, gpus: 0, memoryGb: 1 }]]);
   desk.request(second, RED, ask);
   assert.deepEqual(await shares(), [8, 8], 'the first gathers itself');
   desk.request(first, RED, ask);
--- a/test/work-counts.test.ts
+++ b/test/work-counts.test.ts
@@ -5,10 +5,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Core } from '../src/core.js';
-import { offerOf } from '../src/flock/news.js';
+import { freeCapacityOf } from '../src/overflow/announcement.js';
 import { silentLog } from '../src/log.js';
-import type { Machine } from '../src/parts/model.js';
-import { applyReport, type ReportContext } from '../src/workers/reports.js';
+import type { Machine } from '../src/shards/model.js';
+import { reconcileHeartbeat, type ReconciliationContext } from '../src/workers/reconciliation.js';
 import { decodeReport } from '../src/workers/wire.js';
 import { Rounds } from './standins/rounds.js';
 
@@ -25,7 +25,7 @@
 
 /** Records whoever reads what a machine has free, or what on it may make way. */
 function watch(machine: Machine, seen: Set<string>): void {
-  for (const field of ['used', 'lesser'] as const) {
+  for (const field of ['used', 'preemptible'] as const) {
     const value = machine[field];
     Object.defineProperty(machine, field, {
       get: () => {
@@ -108,25 +108,25 @@
       pastSpec: () => null,
       onDone: () => undefined,
       reportsWithin: 5000,
-    } as unknown as ReportContext;
-    assert.equal(applyReport(rounds.part, machine, report, 'report', context), true);
+    } as unknown as ReconciliationContext;
+    assert.equal(reconcileHeartbeat(rounds.part, machine, report, 'report', context), true);
     assert.deepEqual([...seen], ['m-77']);
-    assert.equal(machine.bindings.size, 0, 'what the report does not show is gone');
+    assert.equal(machine.allocations.size, 0, 'what the report does not show is gone');
   }
 });
 
 test('an announcement looks at the machines that have room', () => {
   const looked = counts(({ rounds }) => {
-    const { part } = rounds;
+    const { part: shard } = rounds;
     const core = {
       clock: { now: () => 1_004_000 },
       reportMs: 1500,
-      types: part.types,
+      types: shard.types,
       tuning: { announceExpiry: 10_000 },
       settings: { parts: [{ part: 0, zone: 'east' }], zone: 'east' },
     } as unknown as Core;
-    for (const machine of part.machines.values()) machine.lastHeard = 1_003_900 as never;
-    const offer = offerOf(core, part);
+    for (const machine of shard.machines.values()) machine.lastHeard = 1_003_900 as never;
+    const offer = freeCapacityOf(core, shard);
     assert.equal(
       offer.machines.reduce((sum, shape) => sum + shape.count, 0),
       FREE_MACHINES,
