--- a/src/peers/codec.ts
+++ b/src/peers/codec.ts
@@ -215,7 +215,7 @@
     redirectedHeartbeats: new Map(
       Object.entries(sent.strays).map(([shard, machines]) => [Number(shard) as ShardId, machines]),
     ),
-    rentedMachines: new Map(Object.entries(sent.rented)) as Map<string, number> as Map<MachineId, ShardId>,
+    rentedMachines: new Map(Object.entries(sent.rented)) as Map<MachineId, ShardId>,
     shards: sent.parts.map(decodeShardCapacity),
   };
 }
