--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -28,7 +28,7 @@
 }
 
 async function run() {
-  const files = readdirSync(TESTS).filter((name) => name.endsWith('.test.js'));
+  const files = readdirSync(TESTS, { recursive: true }).filter((name) => name.endsWith('.test.js'));
   const args = ['--test', '--test-reporter=tap', ...files.map((name) => join(TESTS, name))];
   const child = spawn(process.execPath, args, { stdio: ['ignore', 'pipe', 'inherit'] });
   const exit = new Promise((resolve) => child.on('exit', resolve));
