--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -4,7 +4,7 @@
 import { Controller, networkPorts } from '../controller.js';
 import { openLog } from '../log.js';
 import { TUNING_OPTIONS, loadSettings, loadTuning, logLevelOf, SettingsError } from '../settings/settings.js';
-import { systemClock } from '../units.js';
+import { systemClock } from '../model/units.js';
 import { CommandFailed } from './command-failed.js';
 
 const BAD_SETTINGS = 2;
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -3,8 +3,8 @@
 import type { Settings } from '../settings/settings.js';
 import { RateLimiter, RequestPriority } from '../store/rate-limiter.js';
 import type { Caller } from '../store/client.js';
-import type { Clock, MachineId } from '../units.js';
-import { millis } from '../units.js';
+import type { Clock, MachineId } from '../model/units.js';
+import { millis } from '../model/units.js';
 import {
   decodeCatalog,
   decodeListed,
@@ -47,24 +47,24 @@
     body: unknown,
     rank: RequestPriority,
   ): Promise<Outcome> {
-    if (!(await this.budget.take(1, rank, PATIENCE))) return { kind: 'unsent' };
+    if (!(await this.budget.acquire(1, rank, PATIENCE))) return { kind: 'unsent' };
     const outcome = await this.http.call({
       method,
       path,
       ...(body === undefined ? {} : { body }),
       timeout: TIMEOUT,
     });
-    if (outcome.kind === 'answer' && outcome.status === 429) this.budget.punish();
+    if (outcome.kind === 'answer' && outcome.status === 429) this.budget.penalize();
     return outcome;
   }
 
   async catalog(): Promise<MachineType[] | null> {
-    const outcome = await this.request('GET', '/catalog', undefined, RequestPriority.submit);
+    const outcome = await this.request('GET', '/catalog', undefined, RequestPriority.submission);
     return outcome.kind === 'answer' && outcome.status === 200 ? decodeCatalog(outcome.body) : null;
   }
 
   async rent(request: RentRequest): Promise<RentResult> {
-    const outcome = await this.request('POST', '/hosts', encodeRent(request), RequestPriority.submit);
+    const outcome = await this.request('POST', '/hosts', encodeRent(request), RequestPriority.submission);
     if (outcome.kind !== 'answer') return { kind: 'failed' };
     if (outcome.status === 200) {
       const machines = decodeRented(outcome.body);
@@ -80,7 +80,7 @@
       'POST',
       '/hosts/delete',
       encodeReturn(ids.slice(0, 100)),
-      RequestPriority.ownership,
+      RequestPriority.leadership,
     );
     return outcome.kind === 'answer' && outcome.status === 200 && ids.length <= 100;
   }
@@ -88,7 +88,7 @@
   /** A long list takes many pages, and other calls go first: one page that had no turn must not end it. */
   private async listPage(after: MachineId | null): Promise<ReturnType<typeof decodeListed>> {
     for (let tries = 1; tries <= PAGE_TRIES; tries += 1) {
-      const outcome = await this.request('GET', listMachinesPath(after), undefined, RequestPriority.handover);
+      const outcome = await this.request('GET', listMachinesPath(after), undefined, RequestPriority.handOver);
       if (outcome.kind === 'answer' && outcome.status === 200) return decodeListed(outcome.body);
       // In an outage there is no point in asking again for the rest of the list.
       if (outcome.kind === 'answer' && outcome.status !== 429) return null;
--- a/src/cloud/wire.ts
+++ b/src/cloud/wire.ts
@@ -1,9 +1,9 @@
 /** The cloud's messages, between its words and ours. */
 import * as v from 'valibot';
-import type { Address, MachineId, RentalId, Seconds, TypeId, ZoneId } from '../units.js';
+import type { Address, MachineId, RentalId, Seconds, InstanceTypeId, ZoneId } from '../model/units.js';
 
 export interface MachineType {
-  readonly name: TypeId;
+  readonly name: InstanceTypeId;
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
@@ -17,7 +17,7 @@
 
 export interface Listed {
   readonly id: MachineId;
-  readonly type: TypeId;
+  readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
   readonly address: Address;
@@ -27,7 +27,7 @@
 
 export interface RentRequest {
   readonly rental: RentalId;
-  readonly type: TypeId;
+  readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
   readonly count: number;
@@ -70,7 +70,7 @@
   const result = v.safeParse(catalog, body);
   if (!result.success) return null;
   return result.output.hulls.map((h) => ({
-    name: h.name as TypeId,
+    name: h.name as InstanceTypeId,
     cpus: h.vcpus,
     gpus: h.cards,
     memoryGb: h.memoryGb,
@@ -108,7 +108,7 @@
     more: result.output.hasNext ?? false,
     machines: result.output.berths.map((m) => ({
       id: m.uid as MachineId,
-      type: m.hull as TypeId,
+      type: m.hull as InstanceTypeId,
       zone: m.harbor as ZoneId,
       spot: m.driftboats,
       address: (m.endpoint ?? '') as Address,
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -23,7 +23,14 @@
 import { statisticsOf } from './shards/statistics.js';
 import { syncJob } from './shards/model.js';
 import { ShardLeadership } from './leadership/leadership.js';
-import { ALIVE, decodeMachine, FOLLOWED, MACHINES, SHARDS, TIME_KEY } from './shards/records.js';
+import {
+  ALIVE_PREFIX,
+  decodeMachineRecord,
+  WATCHED_PREFIX,
+  MACHINES_PREFIX,
+  SHARDS_PREFIX,
+  TIME_KEY,
+} from './shards/codec.js';
 import { RuntimeEstimator } from './placement/runtimes.js';
 import { Scheduler } from './placement/scheduler.js';
 import { QuotaTransferService } from './quota/transfer-service.js';
@@ -41,24 +48,24 @@
   Revision,
   SteadyMs,
   TeamId,
-} from './units.js';
-import { millis } from './units.js';
+} from './model/units.js';
+import { millis } from './model/units.js';
 import { DIRECT_CALL_SHARE, type WorkerLink } from './workers/clients.js';
 import { WorkerService } from './workers/service.js';
 
-const TICK = millis(200);
+const TICK_INTERVAL = millis(200);
 /** What walks over all machines is done at this interval, not on every event. */
-const REVIEW = 1000;
-const FIGURES = 10_000;
+const REVIEW_INTERVAL_MS = 1000;
+const STATISTICS_INTERVAL_MS = 10_000;
 /** New jobs are placed by what is free here at most this long ago. */
-const OFFERS_AGE = 100;
-const ALONE_AFTER = millis(4500);
-const WORSE_FOR = 2500;
+const FREE_CAPACITY_MAX_AGE_MS = 100;
+const STORE_STALE_AFTER = millis(4500);
+const CUT_OFF_GRACE_MS = 2500;
 /** Kept for what we dial ourselves: state service, cloud and peers, and what users hold open besides the machines. */
 const RESERVED_SOCKETS = 80;
 /** Share of the connections of others that workers may keep open between reports. */
-const KEPT_REPORT_SHARE = 0.7;
-const REPORT_PATH = '/agent/beat';
+const KEPT_WORKER_CONNECTION_SHARE = 0.7;
+const HEARTBEAT_PATH = '/agent/beat';
 
 /** Everything a controller reaches outside its process; tests put stand-ins here. */
 export interface Ports {
@@ -72,15 +79,15 @@
 }
 
 export function networkPorts(settings: Settings, log: Log): Ports {
-  const peers = settings.peers.map((p) => ({ node: p.node, address: p.address }));
+  const peers = settings.peers.map((peer) => ({ node: peer.node, address: peer.address }));
   const toWorkers = new Sockets(Math.floor(settings.maxConnections * DIRECT_CALL_SHARE));
   const maxConnections = Math.max(16, settings.maxConnections - RESERVED_SOCKETS - 2 * toWorkers.kept);
   const options = {
     maxConnections,
     // A controller that is left alone may have more machines than sockets: they take turns.
     turns: {
-      crowdedAt: Math.floor(maxConnections * KEPT_REPORT_SHARE),
-      mayCloseAfter: (path: string) => path === REPORT_PATH,
+      crowdedAt: Math.floor(maxConnections * KEPT_WORKER_CONNECTION_SHARE),
+      mayCloseAfter: (path: string) => path === HEARTBEAT_PATH,
     },
     receive: millis(10_000),
     // What hundreds of machines leave behind in a cut is closed before they come back with new connections.
@@ -102,20 +109,20 @@
 
 export class Controller {
   private readonly core: Core;
-  private readonly ownership: ShardLeadership;
+  private readonly leadership: ShardLeadership;
   private readonly workers: WorkerService;
   private readonly jobs: JobService;
   private readonly scheduler: Scheduler;
-  private readonly quota: QuotaTransferService;
-  private readonly fleet: Autoscaler;
+  private readonly quotaTransfers: QuotaTransferService;
+  private readonly autoscaler: Autoscaler;
   private readonly progress: ProgressWriter;
   private readonly timeKeeper: TimeKeeper;
-  private readonly follower: StoreWatcher;
-  private worseSince: SteadyMs | null = null;
-  private lastNews = -1e12;
-  private lastOffers = -1e12;
-  private lastReview = -1e12;
-  private lastFigures = -1e12;
+  private readonly storeWatcher: StoreWatcher;
+  private cutOffSince: SteadyMs | null = null;
+  private lastAnnouncementAt = -1e12;
+  private freeCapacityRefreshedAt = -1e12;
+  private lastReviewAt = -1e12;
+  private lastStatisticsAt = -1e12;
 
   constructor(
     settings: Settings,
@@ -127,183 +134,194 @@
     const random = seededRandom(tuning.seed + settings.part);
     this.core = new Core(settings, tuning, clock, new SharedTime(), log, ports.incarnation(), random);
     const { core } = this;
-    const unit = (): number => random(10_000) / 10_000;
-    core.state = new KeyValueClient(ports.state, ports.stateWatch, clock, settings, unit);
+    const randomFraction = (): number => random(10_000) / 10_000;
+    core.store = new KeyValueClient(ports.state, ports.stateWatch, clock, settings, randomFraction);
     core.cloud = new CloudClient(ports.cloud, clock, settings);
-    core.view = new StoreCache((key, value, version) => this.onChange(key, value, version));
-    const gap = millis(Math.max(25, (settings.parts.length * 1000) / (settings.stateRps * 0.3)));
-    this.follower = new StoreWatcher(
-      core.state,
-      core.view,
-      FOLLOWED,
+    core.storeCache = new StoreCache((key, value, version) => this.onChange(key, value, version));
+    const minWatchInterval = millis(Math.max(25, (settings.parts.length * 1000) / (settings.stateRps * 0.3)));
+    this.storeWatcher = new StoreWatcher(
+      core.store,
+      core.storeCache,
+      WATCHED_PREFIX,
       tuning.followBlock,
-      gap,
+      minWatchInterval,
       clock,
-      unit,
+      randomFraction,
       log,
     );
-    core.stateHealthy = () => this.follower.healthy;
-    const runTimes = new RuntimeEstimator();
-    this.ownership = new ShardLeadership(core, (p) => this.workers.workersAnswer(p));
-    this.workers = new WorkerService(core, this.ownership, runTimes, ports.worker);
+    core.storeHealthy = () => this.storeWatcher.healthy;
+    const runtimeEstimator = new RuntimeEstimator();
+    this.leadership = new ShardLeadership(core, (p) => this.workers.workersAnswer(p));
+    this.workers = new WorkerService(core, this.leadership, runtimeEstimator, ports.worker);
     this.jobs = new JobService(
       core,
       (spec) => this.assign(spec),
-      () => this.follower.refresh(),
+      () => this.storeWatcher.refresh(),
       (job, version) => {
         const notice: CancellationNotice = { kind: 'cancellationNotice', job, version };
-        core.mesh.broadcast(encodePeerMessage(notice));
+        core.peerTransport.broadcast(encodePeerMessage(notice));
       },
     );
-    this.quota = new QuotaTransferService(core);
-    this.fleet = new Autoscaler(
+    this.quotaTransfers = new QuotaTransferService(core);
+    this.autoscaler = new Autoscaler(
       core,
-      runTimes,
+      runtimeEstimator,
       (shard, machine) => this.workers.remove(shard, machine),
       (id) => this.workers.isCandidate(id),
     );
-    this.scheduler = new Scheduler(core, this.workers, this.quota, this.fleet, runTimes);
+    this.scheduler = new Scheduler(
+      core,
+      this.workers,
+      this.quotaTransfers,
+      this.autoscaler,
+      runtimeEstimator,
+    );
     this.progress = new ProgressWriter(core, (id) => this.jobs.rememberFinal(id, 'done'));
     this.timeKeeper = new TimeKeeper(core);
-    core.wake = () => this.scheduler.wake();
+    core.requestCycle = () => this.scheduler.wake();
   }
 
   async run(): Promise<void> {
     const { settings, clock, log } = this.core;
-    this.core.mesh = this.ports.mesh((m) => this.onMessage(m));
+    this.core.peerTransport = this.ports.mesh((m) => this.onMessage(m));
     await this.ports.listen((r) => this.route(r));
     log.info(
       { listen: settings.listen, mesh: settings.meshListen, incarnation: this.core.incarnation },
       'started',
     );
-    void this.follower.run();
-    void this.ownership.runAlive();
+    void this.storeWatcher.run();
+    void this.leadership.runKeepAlive();
     void new InstanceTypeCatalog(this.core).run();
-    void this.fleet.runList();
-    const turn = (): void => {
+    void this.autoscaler.runList();
+    const runTick = (): void => {
       void this.core.exclusive(() => this.tick());
-      clock.after(TICK, turn);
+      clock.after(TICK_INTERVAL, runTick);
     };
-    turn();
+    runTick();
   }
 
   private tick(): void {
     const now = this.core.clock.now();
-    this.ownership.tick();
+    this.leadership.tick();
     this.progress.tick();
-    this.fleet.tick();
+    this.autoscaler.tick();
     this.timeKeeper.tick();
-    if (now - this.lastReview >= REVIEW) {
-      this.lastReview = now;
-      for (const shard of this.core.parts.values()) this.workers.expireLeases(shard);
+    if (now - this.lastReviewAt >= REVIEW_INTERVAL_MS) {
+      this.lastReviewAt = now;
+      for (const shard of this.core.shards.values()) this.workers.expireLeases(shard);
       this.scheduler.transfers.expirePromises();
-      this.fleet.review();
+      this.autoscaler.review();
       this.workers.closeUnusedClients();
     }
     this.announce(now);
-    this.logFigures(now);
-    this.core.wake();
+    this.logStatistics(now);
+    this.core.requestCycle();
   }
 
-  private logFigures(now: SteadyMs): void {
+  private logStatistics(now: SteadyMs): void {
     const { core } = this;
-    if (now - this.lastFigures < FIGURES) return;
-    this.lastFigures = now;
-    for (const shard of core.parts.values()) {
-      const share = (team: TeamId): Resources => this.quota.share(shard.id, team);
-      core.log.info({ part: shard.id, ...statisticsOf(shard, now, core.reportMs, share) }, 'figures');
+    if (now - this.lastStatisticsAt < STATISTICS_INTERVAL_MS) return;
+    this.lastStatisticsAt = now;
+    for (const shard of core.shards.values()) {
+      const shardQuota = (team: TeamId): Resources => this.quotaTransfers.share(shard.id, team);
+      core.log.info(
+        { part: shard.id, ...statisticsOf(shard, now, core.heartbeatIntervalMs, shardQuota) },
+        'figures',
+      );
     }
   }
 
-  private refreshOffers(now: number): void {
-    this.lastOffers = now;
+  private refreshFreeCapacity(now: number): void {
+    this.freeCapacityRefreshedAt = now;
     refreshFreeCapacity(this.core);
   }
 
   /** Every interval. */
   private announce(now: number): void {
-    if (now - this.lastNews < this.core.tuning.checkInterval) return;
-    this.lastNews = now;
-    this.refreshOffers(now);
-    this.borrowLimits();
+    if (now - this.lastAnnouncementAt < this.core.tuning.checkInterval) return;
+    this.lastAnnouncementAt = now;
+    this.refreshFreeCapacity(now);
+    this.borrowStoreLimits();
     const announcement = composeAnnouncement(
       this.core,
-      (shard) => this.quota.spare(shard),
-      this.ownership.strayCounts(),
+      (shard) => this.quotaTransfers.spare(shard),
+      this.leadership.redirectedHeartbeatCounts(),
     );
-    this.core.mesh.broadcast(encodePeerMessage(announcement));
+    this.core.peerTransport.broadcast(encodePeerMessage(announcement));
   }
 
   private onMessage(raw: unknown): void {
     const request = receive(this.core, raw);
-    if (request?.kind === 'quotaTransferRequest') void this.quota.answer(request);
+    if (request?.kind === 'quotaTransferRequest') void this.quotaTransfers.answer(request);
     if (request?.kind === 'machineRequest') this.scheduler.transfers.answer(request);
-    this.core.wake();
+    this.core.requestCycle();
   }
 
   private onChange(key: string, value: unknown, version: Revision): void {
-    if (key.startsWith(LIVE)) this.onJob(key, value, version);
-    else if (key.startsWith(SHARDS)) this.ownership.onPart(key, value, version);
-    else if (key.startsWith(MACHINES)) {
-      const id = key.slice(MACHINES.length) as MachineId;
-      const record = value === undefined ? null : decodeMachine(value);
-      this.core.registeredMachines.learn(id, record);
-      if (record) this.fleet.forget(id);
+    if (key.startsWith(LIVE)) this.onJobRecord(key, value, version);
+    else if (key.startsWith(SHARDS_PREFIX)) this.leadership.onShardRecord(key, value, version);
+    else if (key.startsWith(MACHINES_PREFIX)) {
+      const id = key.slice(MACHINES_PREFIX.length) as MachineId;
+      const record = value === undefined ? null : decodeMachineRecord(value);
+      this.core.registeredMachines.update(id, record);
+      if (record) this.autoscaler.forget(id);
       this.workers.onMachine(id, record, version);
-    } else if (key.startsWith(ALIVE)) this.shareLimits();
-    else if (key === TIME_KEY) this.core.time.reached(decodeTime(value), this.core.clock.now());
-    this.core.wake();
+    } else if (key.startsWith(ALIVE_PREFIX)) this.divideStoreLimits();
+    else if (key === TIME_KEY) this.core.clusterClock.reached(decodeTime(value), this.core.clock.now());
+    this.core.requestCycle();
   }
 
-  private onJob(key: string, value: unknown, version: Revision): void {
-    const record = this.core.learnLive(key, value);
+  private onJobRecord(key: string, value: unknown, version: Revision): void {
+    const record = this.core.updateActiveJob(key, value);
     const now = this.core.clock.now();
     if (record === 'unreadable') return;
     const id = key.slice(LIVE.length) as JobId;
     this.scheduler.onRecord(id, record === 'over' ? null : record);
     if (record === 'over') return this.scheduler.stopJob(id);
-    const age = this.core.time.age(record.accepted, now);
-    for (const shard of this.core.parts.values()) syncJob(shard, record, version, now, false, age);
+    const age = this.core.clusterClock.age(record.accepted, now);
+    for (const shard of this.core.shards.values()) syncJob(shard, record, version, now, false, age);
     if (record.spec.priority === Priority.critical) this.scheduler.hurry();
   }
 
   /** Controllers that are not alive leave their share of the limits to the others. */
-  private shareLimits(): void {
+  private divideStoreLimits(): void {
     let alive = 0;
-    for (const entry of this.core.view.under(ALIVE)) if (entry) alive += 1;
-    this.core.state.share(Math.max(1, Math.min(alive, this.core.settings.parts.length)));
+    for (const entry of this.core.storeCache.entriesUnder(ALIVE_PREFIX)) if (entry) alive += 1;
+    this.core.store.setControllerCount(Math.max(1, Math.min(alive, this.core.settings.parts.length)));
   }
 
   /** A peer that is alive and silent may be using all of its share. */
-  private borrowLimits(): void {
+  private borrowStoreLimits(): void {
     const { core } = this;
-    const own = { requests: core.state.requestRate, writes: core.state.writeRate };
+    const own = { requests: core.store.requestRate, writes: core.store.writeRate };
     const uses = core.settings.peers
       .filter((p) => core.isAlive(p.node, null))
-      .map((p) => (core.heard(p.node, millis(3000)) ? (core.peers.get(p.node)?.use ?? own) : own));
-    core.state.others(uses);
+      .map((p) =>
+        core.heardWithin(p.node, millis(3000)) ? (core.peers.get(p.node)?.storeUsage ?? own) : own,
+      );
+    core.store.borrowUnusedLimits(uses);
   }
 
-  private homePart(): ShardId {
+  private homeShard(): ShardId {
     const own = this.core.settings.part;
-    if (this.core.parts.has(own)) return own;
-    return this.core.parts.keys().next().value ?? own;
+    if (this.core.shards.has(own)) return own;
+    return this.core.shards.keys().next().value ?? own;
   }
 
   private assign(spec: JobSpec): Assignment[] {
     const { core } = this;
-    const home = this.homePart();
+    const homeShard = this.homeShard();
     const now = core.clock.now();
-    if (now - this.lastOffers > OFFERS_AGE) this.refreshOffers(now);
+    if (now - this.freeCapacityRefreshedAt > FREE_CAPACITY_MAX_AGE_MS) this.refreshFreeCapacity(now);
     return assignJob(spec, {
       now,
-      home,
-      homeZone: zoneOfPart(core, home),
+      home: homeShard,
+      homeZone: zoneOfPart(core, homeShard),
       parts: core.settings.parts,
       zones: core.settings.zones,
       types: [...core.types.values()],
       freeCapacity: core.freeCapacity,
-      ready: core.ready,
+      ready: core.readyCapacity,
       random: core.random,
     });
   }
@@ -311,8 +329,8 @@
   private route(request: Request): Answer | Promise<Answer> {
     const { method } = request;
     const path = request.path.split('?', 1)[0] ?? '';
-    if (path === '/up') return method === 'GET' ? this.up() : notAllowed();
-    if (path === REPORT_PATH) return method === 'POST' ? this.workers.report(request.body) : notAllowed();
+    if (path === '/up') return method === 'GET' ? this.health() : notAllowed();
+    if (path === HEARTBEAT_PATH) return method === 'POST' ? this.workers.report(request.body) : notAllowed();
     if (path === '/v2/runs') return method === 'POST' ? this.jobs.submit(request.body) : notAllowed();
     const job = /^\/v2\/runs\/([^/]+)(\/abort)?$/.exec(path);
     if (job?.[2]) return method === 'POST' ? this.jobs.abort(job[1] ?? '') : notAllowed();
@@ -324,16 +342,16 @@
    * Out only when peers are served by the state service and we are not, or when we hear neither it nor any peer: in
    * an outage everybody stays in.
    */
-  private up(): Answer {
+  private health(): Answer {
     const { core } = this;
-    const ready = core.view.loaded && core.types.size > 0;
-    const stale = core.clock.now() - core.view.confirmed > ALONE_AFTER;
-    const heard = [...core.peers].filter(([node]) => core.heard(node, millis(2500)));
-    const alone = core.settings.peers.length > 0 && heard.length === 0;
-    const worse = stale && (alone || heard.some(([, p]) => p.stateOk));
+    const ready = core.storeCache.loaded && core.types.size > 0;
+    const storeStale = core.clock.now() - core.storeCache.confirmedAt > STORE_STALE_AFTER;
+    const heardPeers = [...core.peers].filter(([node]) => core.heardWithin(node, millis(2500)));
+    const isolated = core.settings.peers.length > 0 && heardPeers.length === 0;
+    const worseOffThanPeers = storeStale && (isolated || heardPeers.some(([, p]) => p.storeHealthy));
     // When an outage ends some are served a moment before the others: nobody leaves for that.
-    this.worseSince = worse ? (this.worseSince ?? core.clock.now()) : null;
-    const cutOff = this.worseSince !== null && core.clock.now() - this.worseSince >= WORSE_FOR;
+    this.cutOffSince = worseOffThanPeers ? (this.cutOffSince ?? core.clock.now()) : null;
+    const cutOff = this.cutOffSince !== null && core.clock.now() - this.cutOffSince >= CUT_OFF_GRACE_MS;
     if (ready && !cutOff) return { status: 200, body: { ok: true } };
     return { status: 503, body: { error: ready ? 'cut off from the state service' : 'starting' } };
   }
--- a/src/core.ts
+++ b/src/core.ts
@@ -10,10 +10,10 @@
 import type { Resources } from './model/resources.js';
 import type { Shard } from './shards/model.js';
 import { RegisteredMachines } from './shards/registered-machines.js';
-import { aliveKey, decodeAlive, decodePart, shardKey, type ShardRecord } from './shards/records.js';
+import { aliveKey, decodeMembership, decodeShardRecord, shardKey, type ShardRecord } from './shards/codec.js';
 import type { FreeCapacity, Random } from './overflow/peer-ranking.js';
 import type { Settings, Tuning } from './settings/settings.js';
-import type { KeyValueClient, SwapResult, Use } from './store/client.js';
+import type { KeyValueClient, CompareAndSwapResult, StoreUsage } from './store/client.js';
 import type { RequestPriority } from './store/rate-limiter.js';
 import type { StoreCache } from './store/cache.js';
 import type { Change, Condition } from './store/wire.js';
@@ -24,36 +24,36 @@
   JobId,
   MachineId,
   Millis,
-  NodeId,
+  ControllerId,
   ShardId,
-  SharedMs,
+  ClusterMs,
   SteadyMs,
   TeamId,
-  TypeId,
-} from './units.js';
-import { millis } from './units.js';
+  InstanceTypeId,
+} from './model/units.js';
+import { millis } from './model/units.js';
 
 /** Beyond any drift between clocks (0.05%) and the steps of timers. */
-export const DRIFT = 1.001;
-export const MARGIN = millis(500);
+export const CLOCK_DRIFT_FACTOR = 1.001;
+export const TIMING_MARGIN = millis(500);
 /** Recently ended jobs whose specs are kept at least. */
 const MIN_RECENTLY_ENDED = 500;
 
 /** What a peer last said about itself and its parts. */
 export interface PeerStatus {
-  readonly heard: SteadyMs;
+  readonly heardAt: SteadyMs;
   readonly incarnation: Incarnation;
-  readonly stateOk: boolean;
-  readonly use: Use;
-  readonly running: ReadonlyMap<JobId, number>;
+  readonly storeHealthy: boolean;
+  readonly storeUsage: StoreUsage;
+  readonly runningTasks: ReadonlyMap<JobId, number>;
   /** Machines that came to the peer because the owner of their part does not answer them. */
-  readonly strays: ReadonlyMap<ShardId, number>;
+  readonly redirectedHeartbeats: ReadonlyMap<ShardId, number>;
 }
 
 export interface ShardAnnouncement {
-  readonly expires: SteadyMs;
-  readonly used: ReadonlyMap<TeamId, Resources>;
-  readonly spare: ReadonlyMap<TeamId, Resources>;
+  readonly expiresAt: SteadyMs;
+  readonly usage: ReadonlyMap<TeamId, Resources>;
+  readonly unusedQuota: ReadonlyMap<TeamId, Resources>;
 }
 
 export interface LiveJob {
@@ -62,50 +62,50 @@
 }
 
 /** Time that the controllers count together, as far as this one knows it. */
-export interface SharedClock {
+export interface ClusterClock {
   /** The count has reached this. */
   reached(count: number, now: SteadyMs): void;
   /** The count at a time of this process's clock. */
-  now(now: SteadyMs): SharedMs;
+  now(now: SteadyMs): ClusterMs;
   /** How long ago a job was accepted. */
-  age(accepted: SharedMs | null, now: SteadyMs): Millis;
+  age(accepted: ClusterMs | null, now: SteadyMs): Millis;
 }
 
 export class Core {
-  readonly parts = new Map<ShardId, Shard>();
-  readonly types = new Map<TypeId, MachineType>();
+  readonly shards = new Map<ShardId, Shard>();
+  readonly types = new Map<InstanceTypeId, MachineType>();
   readonly activeJobs = new Map<JobId, JobRecord>();
   readonly freeCapacity = new Map<ShardId, FreeCapacity>();
   readonly shardAnnouncements = new Map<ShardId, ShardAnnouncement>();
-  readonly peers = new Map<NodeId, PeerStatus>();
+  readonly peers = new Map<ControllerId, PeerStatus>();
   /** Which part a rented machine is meant for; a hint until the machine is named in the state service. */
-  readonly rentedFor = new Map<MachineId, ShardId>();
+  readonly intendedShards = new Map<MachineId, ShardId>();
   /** Those of them that we rented, until they are named. */
-  readonly rentedHere = new Map<MachineId, ShardId>();
+  readonly unregisteredOwnMachines = new Map<MachineId, ShardId>();
   /** Which images peers' machines hold, for whoever takes a part over. */
   readonly imageHints = new Map<MachineId, readonly (readonly [ImageId, number])[]>();
   /** By part and image: what critical work could have at once where the image is. */
-  readonly ready = new Map<ShardId, ReadonlyMap<ImageId, Resources>>();
+  readonly readyCapacity = new Map<ShardId, ReadonlyMap<ImageId, Resources>>();
   /** Machines that were returned or lost for good. Names are never used again. */
   readonly retiredMachines = new Set<MachineId>();
   /** Specs of jobs that are over, while their tasks may still be on machines. */
-  readonly recentlyEnded = new Map<JobId, JobSpec>();
+  readonly recentlyEndedJobs = new Map<JobId, JobSpec>();
   /** Machines that the state service names, counted by part. */
   readonly registeredMachines = new RegisteredMachines();
   private readonly mutex = new Mutex();
-  view!: StoreCache;
-  state!: KeyValueClient;
+  storeCache!: StoreCache;
+  store!: KeyValueClient;
   cloud!: CloudClient;
-  mesh!: Mesh;
+  peerTransport!: Mesh;
   /** Asks for a placement round soon. */
-  wake: () => void = () => undefined;
-  stateHealthy: () => boolean = () => false;
+  requestCycle: () => void = () => undefined;
+  storeHealthy: () => boolean = () => false;
 
   constructor(
     readonly settings: Settings,
     readonly tuning: Tuning,
     readonly clock: Clock,
-    readonly time: SharedClock,
+    readonly clusterClock: ClusterClock,
     readonly log: Log,
     readonly incarnation: Incarnation,
     readonly random: Random,
@@ -120,40 +120,41 @@
     return new Promise((resolve) => this.clock.after(delay, resolve));
   }
 
-  get reportMs(): number {
+  get heartbeatIntervalMs(): number {
     return this.settings.reportS * 1000;
   }
 
-  get leaseMs(): number {
-    return this.settings.leaseS * 1000 * DRIFT + MARGIN;
+  get leaseDurationMs(): number {
+    return this.settings.leaseS * 1000 * CLOCK_DRIFT_FACTOR + TIMING_MARGIN;
   }
 
   /**
    * May this controller still command? A job may have been cancelled elsewhere since the view was last
    * confirmed, and its tasks must be gone within the cancel time even on a machine whose lease we renew now.
    */
-  authority(now: SteadyMs): boolean {
-    const limit = (this.settings.cancelS - this.settings.leaseS) * 1000 - 2 * MARGIN - this.settings.cancelS;
-    return this.view.loaded && now - this.view.confirmed < limit;
+  mayCommand(now: SteadyMs): boolean {
+    const limit =
+      (this.settings.cancelS - this.settings.leaseS) * 1000 - 2 * TIMING_MARGIN - this.settings.cancelS;
+    return this.storeCache.loaded && now - this.storeCache.confirmedAt < limit;
   }
 
-  shardRecord(p: ShardId): ShardRecord | null {
-    const entry = this.view.get(shardKey(p));
-    return entry ? decodePart(entry.value) : null;
+  shardRecord(shard: ShardId): ShardRecord | null {
+    const entry = this.storeCache.get(shardKey(shard));
+    return entry ? decodeShardRecord(entry.value) : null;
   }
 
-  isAlive(node: NodeId, incarnation: Incarnation | null): boolean {
-    const entry = this.view.get(aliveKey(node));
-    return entry !== undefined && (incarnation === null || decodeAlive(entry.value) === incarnation);
+  isAlive(node: ControllerId, incarnation: Incarnation | null): boolean {
+    const entry = this.storeCache.get(aliveKey(node));
+    return entry !== undefined && (incarnation === null || decodeMembership(entry.value) === incarnation);
   }
 
-  heard(node: NodeId, within: Millis): boolean {
-    const news = this.peers.get(node);
-    return news !== undefined && this.clock.now() - news.heard < within;
+  heardWithin(node: ControllerId, within: Millis): boolean {
+    const status = this.peers.get(node);
+    return status !== undefined && this.clock.now() - status.heardAt < within;
   }
 
   /** Conditions under which an owner's write may apply: it still owns the part. */
-  ownerCondition(shard: Shard): Condition {
+  leaderCondition(shard: Shard): Condition {
     return { key: shardKey(shard.id), version: shard.version };
   }
 
@@ -161,23 +162,23 @@
    * Sends a transaction until its outcome is certain. `conflict` after an unclear try means: look at what the
    * store holds, it may have been ours that was applied.
    */
-  async settle(
-    when: Condition[],
+  async compareAndSwapUntilCertain(
+    conditions: Condition[],
     changes: Change[],
-    rank: RequestPriority,
-  ): Promise<Exclude<SwapResult, { kind: 'unknown' }>> {
-    let unclear = false;
-    for (let wait = 100; ; wait = Math.min(2000, wait * 2)) {
-      const result = await this.state.compareAndSwap(when, changes, rank);
-      if (result.kind === 'unknown') unclear = true;
+    priority: RequestPriority,
+  ): Promise<Exclude<CompareAndSwapResult, { kind: 'unknown' }>> {
+    let uncertain = false;
+    for (let backoffMs = 100; ; backoffMs = Math.min(2000, backoffMs * 2)) {
+      const result = await this.store.compareAndSwap(conditions, changes, priority);
+      if (result.kind === 'unknown') uncertain = true;
       // A refusal says nothing about an earlier copy that is still on its way.
-      else if (result.kind !== 'refused' || !unclear) return result;
-      await this.sleep(millis(wait * (0.5 + this.random(1000) / 1000)));
+      else if (result.kind !== 'refused' || !uncertain) return result;
+      await this.sleep(millis(backoffMs * (0.5 + this.random(1000) / 1000)));
     }
   }
 
   /** The view's copy of live job records, decoded once per version. */
-  learnLive(key: string, value: unknown): JobRecord | 'over' | 'unreadable' {
+  updateActiveJob(key: string, value: unknown): JobRecord | 'over' | 'unreadable' {
     const id = key.slice(LIVE.length) as JobId;
     const record = value === undefined ? null : decodeRecord(value);
     if (!record && value !== undefined) {
@@ -187,14 +188,14 @@
     }
     if (record) {
       this.activeJobs.set(id, record);
-      this.time.reached(record.accepted ?? 0, this.clock.now());
+      this.clusterClock.reached(record.accepted ?? 0, this.clock.now());
     } else {
-      const old = this.activeJobs.get(id);
+      const previous = this.activeJobs.get(id);
       this.activeJobs.delete(id);
-      if (old) this.recentlyEnded.set(id, old.spec);
+      if (previous) this.recentlyEndedJobs.set(id, previous.spec);
       // As many jobs may end together as are active, and their tasks are on machines for a while.
-      if (this.recentlyEnded.size > Math.max(MIN_RECENTLY_ENDED, this.activeJobs.size))
-        this.recentlyEnded.delete(this.recentlyEnded.keys().next().value as JobId);
+      if (this.recentlyEndedJobs.size > Math.max(MIN_RECENTLY_ENDED, this.activeJobs.size))
+        this.recentlyEndedJobs.delete(this.recentlyEndedJobs.keys().next().value as JobId);
     }
     return record ?? 'over';
   }
--- a/src/fleet/catalog.ts
+++ b/src/fleet/catalog.ts
@@ -2,9 +2,9 @@
 import type { MachineType } from '../cloud/wire.js';
 import type { Core } from '../core.js';
 import { decodeCatalog, encodeCatalog } from '../autoscaling/codec.js';
-import { CATALOG_KEY } from '../shards/records.js';
+import { CATALOG_KEY } from '../shards/codec.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import { millis, steady } from '../units.js';
+import { millis, steady } from '../model/units.js';
 
 const REFRESH = 60_000;
 
@@ -32,27 +32,27 @@
 
   /** The catalog is kept in the state service too, so that a restart while the cloud is away can decide. */
   private useStored(): void {
-    const entry = this.core.view.get(CATALOG_KEY);
+    const entry = this.core.storeCache.get(CATALOG_KEY);
     const types = entry ? decodeCatalog(entry.value) : null;
     if (types) this.use(types);
   }
 
   private use(types: readonly MachineType[]): void {
     for (const t of types) this.core.types.set(t.name, t);
-    for (const shard of this.core.parts.values()) shard.resize();
-    this.core.wake();
+    for (const shard of this.core.shards.values()) shard.refreshFreeCapacity();
+    this.core.requestCycle();
   }
 
   private async store(types: readonly MachineType[]): Promise<void> {
     const { core } = this;
-    const stored = core.view.get(CATALOG_KEY);
+    const stored = core.storeCache.get(CATALOG_KEY);
     const names = (list: readonly MachineType[] | null): string =>
       JSON.stringify(list?.map((t) => [t.name, t.cpus, t.gpus, t.memoryGb, t.zones]));
-    if (!core.view.loaded || (stored && names(decodeCatalog(stored.value)) === names(types))) return;
+    if (!core.storeCache.loaded || (stored && names(decodeCatalog(stored.value)) === names(types))) return;
     const value = encodeCatalog(types);
     if (Buffer.byteLength(JSON.stringify(value)) > core.settings.valueBytes) return;
-    const version = core.view.version(CATALOG_KEY);
-    await core.state.compareAndSwap(
+    const version = core.storeCache.version(CATALOG_KEY);
+    await core.store.compareAndSwap(
       [{ key: CATALOG_KEY, version }],
       [{ op: 'put', key: CATALOG_KEY, value }],
       RequestPriority.progress,
--- a/src/fleet/fleet.ts
+++ b/src/fleet/fleet.ts
@@ -2,12 +2,12 @@
 import type { Listed, RentRequest } from '../cloud/wire.js';
 import type { Core } from '../core.js';
 import { requiredZone, type Machine, type Shard } from '../shards/model.js';
-import { decodeMachine, machineKey } from '../shards/records.js';
+import { decodeMachineRecord, machineKey } from '../shards/codec.js';
 import { countOf, type Unplaced } from '../placement/round.js';
 import type { RuntimeEstimator } from '../placement/runtimes.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import type { MachineId, ShardId, RentalId, SteadyMs, ZoneId } from '../units.js';
-import { millis } from '../units.js';
+import type { MachineId, ShardId, RentalId, SteadyMs, ZoneId } from '../model/units.js';
+import { millis } from '../model/units.js';
 import { zoneOfPart } from '../overflow/announcement.js';
 import { kindKey, planRentals, type Demand, type Kind } from './plan.js';
 import { absentFrom, look, reasonToReturn, type ReturnContext, type Sight } from './returns.js';
@@ -64,8 +64,8 @@
   /** A few times a second. */
   tick(): void {
     const now = this.core.clock.now();
-    for (const shard of this.core.parts.values()) {
-      if (!this.core.authority(now)) continue;
+    for (const shard of this.core.shards.values()) {
+      if (!this.core.mayCommand(now)) continue;
       this.rent(shard, now);
     }
   }
@@ -73,8 +73,8 @@
   /** Once a second: looks at every machine. */
   review(): void {
     const now = this.core.clock.now();
-    for (const shard of this.core.parts.values()) {
-      if (!this.core.authority(now)) continue;
+    for (const shard of this.core.shards.values()) {
+      if (!this.core.mayCommand(now)) continue;
       const ctx = this.returnContext(shard, now);
       const sight = look(shard, ctx);
       for (const m of shard.machines.values()) this.reviewMachine(shard, m, sight, ctx);
@@ -84,8 +84,8 @@
   /** It is named in the state service, or will not come. */
   forget(id: MachineId): void {
     this.pending.delete(id);
-    this.core.rentedFor.delete(id);
-    this.core.rentedHere.delete(id);
+    this.core.intendedShards.delete(id);
+    this.core.unregisteredOwnMachines.delete(id);
   }
 
   private rent(shard: Shard, now: SteadyMs): void {
@@ -107,7 +107,7 @@
     this.renting.add(shard.id);
     this.rentals += 1;
     // Part and token are nobody else's: the name is never used again.
-    const rental = `c${shard.id}-${shard.token}-${this.rentals}` as RentalId;
+    const rental = `c${shard.id}-${shard.fencingToken}-${this.rentals}` as RentalId;
     void this.carryOut(shard.id, { ...wish, rental }).finally(() => this.renting.delete(shard.id));
   }
 
@@ -128,8 +128,8 @@
           });
           // In another zone it belongs to a part there: a cut between zones then parts nobody from his machines.
           if (request.zone === zoneOfPart(core, shard)) {
-            core.rentedFor.set(id, shard);
-            core.rentedHere.set(id, shard);
+            core.intendedShards.set(id, shard);
+            core.unregisteredOwnMachines.set(id, shard);
           }
         }
         if (result.machines.length < request.count) this.block(request, now + REFUSED_BACKOFF);
@@ -150,19 +150,19 @@
   }
 
   private returnContext(shard: Shard, now: SteadyMs): ReturnContext {
-    const { reportMs, tuning } = this.core;
+    const { heartbeatIntervalMs: reportMs, tuning } = this.core;
     const wanted = (this.demands.get(shard.id) ?? []).length > 0;
     const { idleReturn, silentReturn } = tuning;
-    const stateOk = this.core.stateHealthy();
+    const stateOk = this.core.storeHealthy();
     return { now, reportMs, idleReturn, silentReturn, wanted, stateOk, unlisted: this.unlisted };
   }
 
   /** Should this machine go back, and may it? */
   private reviewMachine(shard: Shard, m: Machine, sight: Sight, ctx: ReturnContext): void {
-    if (m.returning) return;
+    if (m.scalingIn) return;
     const why = reasonToReturn(shard, m, sight, ctx);
     if (why === null) return;
-    m.returning = true;
+    m.scalingIn = true;
     this.core.log.info(
       { machine: m.id, part: shard.id, why, bound: m.allocations.size },
       'returning machine',
@@ -175,22 +175,22 @@
     const { core } = this;
     for (let wait = 500; !(await this.deleted(m.id)); wait = Math.min(5000, wait * 2)) {
       await core.sleep(millis(wait * (0.7 + core.random(600) / 1000)));
-      if (core.parts.get(shard.id) !== shard) return;
+      if (core.shards.get(shard.id) !== shard) return;
     }
     await core.exclusive(() => {
       if (shard.machines.get(m.id) === m) this.onGone(shard, m);
     });
     const key = machineKey(m.id);
     for (let i = 0; i < 20; i += 1) {
-      const version = core.view.version(key);
-      if (version === 0 || core.parts.get(shard.id) !== shard) return;
-      const result = await core.state.compareAndSwap(
-        [{ key, version }, core.ownerCondition(shard)],
+      const version = core.storeCache.version(key);
+      if (version === 0 || core.shards.get(shard.id) !== shard) return;
+      const result = await core.store.compareAndSwap(
+        [{ key, version }, core.leaderCondition(shard)],
         [{ op: 'drop', key }],
-        RequestPriority.handover,
+        RequestPriority.handOver,
       );
       if (result.kind === 'done')
-        return core.exclusive(() => core.view.learn(key, undefined, result.revision));
+        return core.exclusive(() => core.storeCache.apply(key, undefined, result.revision));
       await core.sleep(millis(500));
     }
   }
@@ -223,17 +223,17 @@
     const now = core.clock.now();
     // Without a current view every machine looks like nobody's: a process that starts while the state service is away
     // must not return the whole fleet.
-    if (!core.authority(now)) return this.strangers.clear();
+    if (!core.mayCommand(now)) return this.strangers.clear();
     this.unlisted = absentFrom(listed, core.settings.listLagS);
     const unwanted: MachineId[] = [];
     const known = new Set(listed.map((l) => l.id));
     for (const l of listed) {
-      const entry = core.view.get(machineKey(l.id));
-      const shard = entry ? core.parts.get(decodeMachine(entry.value)?.part as ShardId) : undefined;
+      const entry = core.storeCache.get(machineKey(l.id));
+      const shard = entry ? core.shards.get(decodeMachineRecord(entry.value)?.shard as ShardId) : undefined;
       const machine = shard?.machines.get(l.id);
       if (shard && machine) {
-        if (l.state === 'failed' && !machine.returning) {
-          machine.returning = true;
+        if (l.state === 'failed' && !machine.scalingIn) {
+          machine.scalingIn = true;
           void this.giveBack(shard, machine);
         }
         continue;
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -2,9 +2,9 @@
 import type { MachineType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import { Priority } from '../jobs/spec.js';
-import { addTo, fits, slots, type MutableResources } from '../model/resources.js';
-import { allowed } from '../model/constraints.js';
-import type { TypeId, ZoneId } from '../units.js';
+import { addTo, fits, taskSlots, type MutableResources } from '../model/resources.js';
+import { mayRunOn } from '../model/constraints.js';
+import type { InstanceTypeId, ZoneId } from '../model/units.js';
 
 export interface Demand {
   readonly spec: JobSpec;
@@ -14,7 +14,7 @@
 }
 
 export interface Kind {
-  readonly type: TypeId;
+  readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
 }
@@ -57,8 +57,8 @@
   let left = count;
   for (const m of coming) {
     if (left <= 0) return 0;
-    if (!allowed(d.spec, m.type, m.zone, m.spot, d.pin) || !fits(d.spec, m.room)) continue;
-    const n = Math.min(left, slots(m.room, d.spec));
+    if (!mayRunOn(d.spec, m.type, m.zone, m.spot, d.pin) || !fits(d.spec, m.room)) continue;
+    const n = Math.min(left, taskSlots(m.room, d.spec));
     addTo(m.room, d.spec, -n);
     left -= n;
   }
@@ -84,12 +84,12 @@
 ): { kind: Kind; type: MachineType; per: number }[] {
   const out: { kind: Kind; type: MachineType; per: number; cost: number }[] = [];
   for (const type of ctx.types) {
-    const per = slots(type, d.spec);
+    const per = taskSlots(type, d.spec);
     if (per < 1) continue;
     for (const zone of type.zones) {
       for (const spot of d.spec.spot ? [true, false] : [false]) {
         const kind = { type: type.name, zone, spot };
-        if (!allowed(d.spec, type.name, zone, spot, d.pin) || ctx.blocked(kind)) continue;
+        if (!mayRunOn(d.spec, type.name, zone, spot, d.pin) || ctx.blocked(kind)) continue;
         const price = spot ? type.spotPrice : type.price;
         const far = zone === ctx.home ? 1 : 1.02;
         out.push({ kind, type, per, cost: (price / Math.min(per, count)) * far });
--- a/src/fleet/returns.ts
+++ b/src/fleet/returns.ts
@@ -4,7 +4,7 @@
  */
 import type { Listed } from '../cloud/wire.js';
 import type { Machine, Shard } from '../shards/model.js';
-import type { MachineId, Millis, Seconds, SteadyMs, ZoneId } from '../units.js';
+import type { MachineId, Millis, Seconds, SteadyMs, ZoneId } from '../model/units.js';
 
 /** Calls that a machine may miss after a claim. */
 const MISSED_CALLS = 3;
@@ -41,22 +41,22 @@
 }
 
 const isSilent = (m: Machine, ctx: ReturnContext): boolean =>
-  ctx.now - (m.lastHeard ?? m.since) > Math.max(3.2 * ctx.reportMs, 5000);
+  ctx.now - (m.lastHeardAt ?? m.addedAt) > Math.max(3.2 * ctx.reportMs, 5000);
 
 export function look(shard: Shard, ctx: ReturnContext): Sight {
   const heard = new Map<ZoneId, number>();
   const heardMachines = new Set<MachineId>();
   const count = { reached: 0, ordinary: 0, silentOrdinary: 0, missingOrdinary: 0 };
   for (const m of shard.machines.values()) {
-    if (m.lastHeard !== null && ctx.now - m.lastHeard < 1.5 * ctx.reportMs) {
+    if (m.lastHeardAt !== null && ctx.now - m.lastHeardAt < 1.5 * ctx.reportMs) {
       heard.set(m.zone, (heard.get(m.zone) ?? 0) + 1);
       heardMachines.add(m.id);
     }
-    if (m.unreachedSince === null && m.lastHeard !== null) count.reached += 1;
+    if (m.unreachableSince === null && m.lastHeardAt !== null) count.reached += 1;
     if (m.spot) continue;
     if (isSilent(m, ctx)) count.silentOrdinary += 1;
-    if (!m.reconciled && m.lastHeard === null) count.missingOrdinary += 1;
-    if (!m.returning && m.reconciled) count.ordinary += 1;
+    if (!m.reconciled && m.lastHeardAt === null) count.missingOrdinary += 1;
+    if (!m.scalingIn && m.reconciled) count.ordinary += 1;
   }
   const few = Math.max(1, Math.floor(shard.machines.size * FEW_SHARE));
   return { heard, heardMachines, few, ...count };
@@ -73,10 +73,10 @@
 }
 
 function reason(shard: Shard, m: Machine, sight: Sight, ctx: ReturnContext): string | null {
-  const silent = ctx.now - (m.lastHeard ?? m.since);
+  const silent = ctx.now - (m.lastHeardAt ?? m.addedAt);
   // A taken machine never comes back: asking the cloud makes certain that its tasks are gone.
   if (m.interruptedAt !== null && ctx.now > m.interruptedAt && silent > 2 * ctx.reportMs) return 'taken';
-  const unseen = m.lastHeard === null && m.missedCalls > 0;
+  const unseen = m.lastHeardAt === null && m.missedDirectRequests > 0;
   if ((unseen || silent > 1.5 * ctx.reportMs) && ctx.unlisted(m.id)) return 'not listed any more';
   // Spot machines may all be taken at once, ordinary ones are not: silent with many of those, it is a cut.
   if (m.spot && isSilent(m, ctx) && othersHeard(m, sight) && sight.silentOrdinary <= sight.few)
@@ -89,11 +89,11 @@
 }
 
 function reasonIfIdle(m: Machine, sight: Sight, ctx: ReturnContext): string | null {
-  if (m.allocations.size > 0 || m.directBusy || !m.reconciled || m.lastHeard === null) {
+  if (m.allocations.size > 0 || m.directRequestInFlight || !m.reconciled || m.lastHeardAt === null) {
     m.idleSince = null;
     return null;
   }
-  if (m.faults.length >= FAULTS) return 'tasks fail on it';
+  if (m.taskFailures.length >= FAULTS) return 'tasks fail on it';
   m.idleSince ??= ctx.now;
   if (m.interruptedAt !== null || ctx.wanted || !ctx.stateOk) return null;
   // One ordinary machine stays, so that a new job does not wait for a boot.
@@ -106,19 +106,19 @@
  * Deleting it settles that. Not when many are missing: then it is a cut, or we are.
  */
 function isMissing(shard: Shard, m: Machine, sight: Sight): boolean {
-  if (m.reconciled || shard.reconciled || m.lastHeard !== null) return false;
+  if (m.reconciled || shard.reconciled || m.lastHeardAt !== null) return false;
   // What a cut made it miss does not count when the cut ends and the last of them are few.
-  if (sight.missingOrdinary > sight.few || !othersHeard(m, sight)) m.missedCalls = 0;
-  return m.missedCalls >= MISSED_CALLS;
+  if (sight.missingOrdinary > sight.few || !othersHeard(m, sight)) m.missedDirectRequests = 0;
+  return m.missedDirectRequests >= MISSED_CALLS;
 }
 
 /** Its reports arrive and our orders do not, while others can be reached: deleting it settles all that it holds. */
 function isDeaf(m: Machine, sight: Sight, { now }: ReturnContext): boolean {
-  if (m.unreachedSince === null || m.heardSince === null) return false;
+  if (m.unreachableSince === null || m.continuouslyHeardSince === null) return false;
   // Back from a cut it is heard first, and was not reached for as long as the cut lasted.
-  const lasted = now - Math.max(m.unreachedSince, m.heardSince);
+  const lasted = now - Math.max(m.unreachableSince, m.continuouslyHeardSince);
   // What is merely cut off is not heard either.
-  if (lasted < DEAF_RETURN || now - (m.lastHeard ?? 0) > DEAF_RETURN / 2) return false;
+  if (lasted < DEAF_RETURN || now - (m.lastHeardAt ?? 0) > DEAF_RETURN / 2) return false;
   return lasted > 4 * DEAF_RETURN || sight.reached > 0;
 }
 
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,6 +1,6 @@
 /** HTTP/1.1 client on `net`: a few kept connections a target, every exchange bounded in time and size. */
 import { connect, type Socket } from 'node:net';
-import type { Address, Millis } from '../units.js';
+import type { Address, Millis } from '../model/units.js';
 import { HttpParser } from './parser.js';
 import { splitAddress } from './server.js';
 
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,7 +1,7 @@
 /** HTTP/1.1 server on `net`: bounded connections, heads, bodies and waiting; never an uncaught exception. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { Log } from '../log.js';
-import type { Address, Millis } from '../units.js';
+import type { Address, Millis } from '../model/units.js';
 import { HttpError, HttpParser, type Message } from './parser.js';
 
 export interface Request {
--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -3,7 +3,7 @@
  * name the field and its bound.
  */
 import type { MachineType } from '../cloud/wire.js';
-import { allowed } from '../model/constraints.js';
+import { mayRunOn } from '../model/constraints.js';
 import { covers, largestOf, RESOURCE_KINDS } from '../model/resources.js';
 import type { Settings, Team } from '../settings/settings.js';
 import type { JobSpec } from './spec.js';
@@ -29,7 +29,7 @@
   if (named.length === 0)
     return `${FIELDS.types}: ${spec.types?.join(', ')} not in the catalog, which has ${namesOf(types)}`;
   const placed = named.filter((type) =>
-    type.zones.some((zone) => allowed(spec, type.name, zone, false, null)),
+    type.zones.some((zone) => mayRunOn(spec, type.name, zone, false, null)),
   );
   if (placed.length === 0) return `${FIELDS.zone}: ${spec.zone ?? 'every zone'} has no allowed machine type`;
   if (placed.some((type) => covers(type, spec))) return null;
--- a/src/jobs/age.ts
+++ b/src/jobs/age.ts
@@ -3,11 +3,11 @@
  * between processes, so the controllers count time together: one of them writes the count every few seconds, and each
  * goes on from there by its own clock. While no controller runs, nothing is counted.
  */
-import { aliveKey, TIME_KEY } from '../shards/records.js';
+import { aliveKey, TIME_KEY } from '../shards/codec.js';
 import type { Settings } from '../settings/settings.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import type { Clock, Millis, SharedMs, SteadyMs } from '../units.js';
-import { millis, steady } from '../units.js';
+import type { Clock, Millis, ClusterMs, SteadyMs } from '../model/units.js';
+import { millis, steady } from '../model/units.js';
 import type { Authority, StateAccess } from './dependencies.js';
 
 /** The count is written this often, in milliseconds. */
@@ -24,19 +24,19 @@
   }
 
   /** The count at a time of this process's clock. */
-  now(now: SteadyMs): SharedMs {
+  now(now: SteadyMs): ClusterMs {
     this.latest ??= { count: 0, at: now };
-    return Math.max(0, Math.round(this.latest.count + now - this.latest.at)) as SharedMs;
+    return Math.max(0, Math.round(this.latest.count + now - this.latest.at)) as ClusterMs;
   }
 
   /** How long ago a job was accepted; 0 for records of earlier versions, which do not say when they came. */
-  age(accepted: SharedMs | null, now: SteadyMs): Millis {
+  age(accepted: ClusterMs | null, now: SteadyMs): Millis {
     return accepted === null ? millis(0) : millis(Math.max(0, this.now(now) - accepted));
   }
 }
 
 /** The value of `TIME_KEY`. */
-export const encodeTime = (count: SharedMs): unknown => ({ ms: count });
+export const encodeTime = (count: ClusterMs): unknown => ({ ms: count });
 
 /** The count in the value of `TIME_KEY`, in milliseconds; NaN when it cannot be read. */
 export const decodeTime = (value: unknown): number =>
@@ -45,7 +45,7 @@
 /** What the writer of the count uses of the controller. */
 export interface TimeKeeperContext extends StateAccess, Authority {
   readonly clock: Clock;
-  readonly time: Pick<SharedTime, 'now'>;
+  readonly clusterClock: Pick<SharedTime, 'now'>;
   readonly settings: Pick<Settings, 'node' | 'parts'>;
 }
 
@@ -59,26 +59,26 @@
   tick(): void {
     const { context } = this;
     const now = context.clock.now();
-    if (!context.authority(now) || !context.stateHealthy()) return;
+    if (!context.mayCommand(now) || !context.storeHealthy()) return;
     if (now - this.lastWrite < WRITE_INTERVAL_MS || !this.isFirst()) return;
     this.lastWrite = now;
-    void this.write(encodeTime(context.time.now(now)));
+    void this.write(encodeTime(context.clusterClock.now(now)));
   }
 
   private async write(value: unknown): Promise<void> {
-    const { state, view } = this.context;
+    const { store: state, storeCache: view } = this.context;
     const version = view.version(TIME_KEY);
     const result = await state.compareAndSwap(
       [{ key: TIME_KEY, version }],
       [{ op: 'put', key: TIME_KEY, value }],
-      RequestPriority.handover,
+      RequestPriority.handOver,
     );
     if (result.kind !== 'done') return;
-    await this.context.exclusive(() => view.learn(TIME_KEY, value, result.revision));
+    await this.context.exclusive(() => view.apply(TIME_KEY, value, result.revision));
   }
 
   private isFirst(): boolean {
-    const { settings, view } = this.context;
+    const { settings, storeCache: view } = this.context;
     const first = settings.parts.find((shard) => view.get(aliveKey(shard.node)) !== undefined);
     return first?.node === settings.node;
   }
--- a/src/jobs/cancellation.ts
+++ b/src/jobs/cancellation.ts
@@ -2,8 +2,8 @@
 import type { Answer } from '../http/server.js';
 import type { Log } from '../log.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import type { JobId, Revision } from '../units.js';
-import { NO_REVISION } from '../units.js';
+import type { JobId, Revision } from '../model/units.js';
+import { NO_REVISION } from '../model/units.js';
 import type { ActiveJobs, StateAccess } from './dependencies.js';
 import { endChanges, type FinalStateCache } from './final-states.js';
 import type { JobReader } from './lookup.js';
@@ -29,7 +29,7 @@
   async cancel(id: JobId): Promise<Answer> {
     for (let i = 0; i < MAX_TRIES; i += 1) {
       const viewed = this.activeJobs.has(id) && i === 0;
-      const version = viewed ? this.access.view.version(liveKey(id)) : NO_REVISION;
+      const version = viewed ? this.access.storeCache.version(liveKey(id)) : NO_REVISION;
       const answer =
         version === NO_REVISION ? await this.readAndCancel(id) : await this.cancelAt(id, version);
       if (answer) return answer;
@@ -43,25 +43,25 @@
     if (lookup.kind === 'absent') return NOT_FOUND;
     if (lookup.kind === 'ended') return accepted(id, lookup.state);
     // The job ended while the answer was on its way: a drop of a key that is gone would overwrite its final state.
-    const version = this.access.view.version(liveKey(id));
+    const version = this.access.storeCache.version(liveKey(id));
     return version === NO_REVISION ? null : this.cancelAt(id, version);
   }
 
   /** null: the record has changed since that version, or the outcome is unknown. */
   private async cancelAt(id: JobId, version: Revision): Promise<Answer | null> {
     // The view may have dropped the job after our read found it live: its end must not be overwritten then.
-    const result = await this.access.state.compareAndSwap(
+    const result = await this.access.store.compareAndSwap(
       [
         { key: liveKey(id), version },
         { key: finalKey(id), version: NO_REVISION },
       ],
       endChanges(id, 'cancelled'),
-      RequestPriority.abort,
+      RequestPriority.cancellation,
     );
     if (result.kind === 'conflict' || result.kind === 'unknown') return null;
     if (result.kind === 'refused') return UNAVAILABLE;
     this.finalStates.remember(id, 'cancelled');
-    await this.access.exclusive(() => this.access.view.learn(liveKey(id), undefined, result.revision));
+    await this.access.exclusive(() => this.access.storeCache.apply(liveKey(id), undefined, result.revision));
     this.announce(id, result.revision);
     this.log.info({ job: id }, 'job cancelled');
     return accepted(id, 'cancelled');
--- a/src/jobs/codec.ts
+++ b/src/jobs/codec.ts
@@ -3,17 +3,17 @@
  * other's records during an upgrade: keys and field names stay as they are here, whatever the code calls them.
  */
 import * as v from 'valibot';
-import { RangeSet, type Range } from '../ranges.js';
-import type { JobId, ShardId, Revision, SharedMs, StateKey, ZoneId } from '../units.js';
+import { RangeSet, type Range } from '../model/ranges.js';
+import type { JobId, ShardId, Revision, ClusterMs, StoreKey, ZoneId } from '../model/units.js';
 import type { FinalState, JobRecord } from './record.js';
 import type { JobSpec } from './spec.js';
 
 /** Prefix of the records of all jobs that are not over. */
 export const LIVE = 'c/live/';
 /** Where a job's record stands while it is not over. */
-export const liveKey = (id: JobId): StateKey => `${LIVE}${id}` as StateKey;
+export const liveKey = (id: JobId): StoreKey => `${LIVE}${id}` as StoreKey;
 /** Where a job's final state stands: kept for good, outside the prefix that start-up lists. */
-export const finalKey = (id: JobId): StateKey => `over/${id}` as StateKey;
+export const finalKey = (id: JobId): StoreKey => `over/${id}` as StoreKey;
 
 /** What the store calls the fields of a specification, in the order in which they are written. */
 const STORED_SPEC_FIELDS = {
@@ -93,7 +93,7 @@
     spec: decodeSpec(stored.spec),
     home: stored.home as ShardId,
     born: stored.born as Revision,
-    accepted: stored.at as SharedMs | null,
+    accepted: stored.at as ClusterMs | null,
     assignments: stored.parts.map(([from, to, shard, zone]) => ({
       from,
       to,
--- a/src/jobs/dependencies.ts
+++ b/src/jobs/dependencies.ts
@@ -2,10 +2,10 @@
  * What the job slice uses of the rest of the controller, as narrow interfaces. The controller passes its own objects:
  * nothing in this folder depends on the class that holds them all.
  */
-import type { ReadResult, SwapResult } from '../store/client.js';
+import type { ReadResult, CompareAndSwapResult } from '../store/client.js';
 import type { RequestPriority } from '../store/rate-limiter.js';
 import type { Change, Condition, Entry } from '../store/wire.js';
-import type { Clock, JobId, Millis, Revision, StateKey, SteadyMs } from '../units.js';
+import type { Clock, JobId, Millis, Revision, StoreKey, SteadyMs } from '../model/units.js';
 import type { JobRecord } from './record.js';
 
 /** Jobs that are not over, by this controller's latest view of the state service. */
@@ -20,13 +20,13 @@
   /** How long a submission would wait for its turn in the request budget. */
   readonly submitWait: Millis;
   /** Reads one key from the store, not from the view. */
-  get(key: StateKey, rank: RequestPriority): Promise<ReadResult>;
+  get(key: StoreKey, rank: RequestPriority): Promise<ReadResult>;
   /** Applies the changes if every condition holds, and otherwise nothing. */
   compareAndSwap(
     conditions: readonly Condition[],
     changes: readonly Change[],
     rank: RequestPriority,
-  ): Promise<SwapResult>;
+  ): Promise<CompareAndSwapResult>;
 }
 
 /** This controller's copy of what the state service holds. It may be behind the store. */
@@ -34,23 +34,23 @@
   /** The first complete list has been read. */
   readonly loaded: boolean;
   /** A time at which nothing newer existed than the view shows. */
-  readonly confirmed: SteadyMs;
+  readonly confirmedAt: SteadyMs;
   /** The store's revision that the view has reached. */
   readonly revision: Revision;
   /** What a key was last seen to hold; `undefined` when it is absent. */
-  get(key: StateKey): Entry | undefined;
+  get(key: StoreKey): Entry | undefined;
   /** The version a key was last seen at; `NO_REVISION` when it is absent. */
-  version(key: StateKey): Revision;
+  version(key: StoreKey): Revision;
   /** Takes in a fact from a read or a committed write; `undefined` when the key was dropped. */
-  learn(key: StateKey, value: unknown, version: Revision): void;
+  apply(key: StoreKey, value: unknown, version: Revision): void;
 }
 
 /** Access to the state service and to the state that all slices share. */
 export interface StateAccess {
-  readonly state: JobStore;
-  readonly view: JobView;
+  readonly store: JobStore;
+  readonly storeCache: JobView;
   /** False while the state service does not answer this controller. */
-  readonly stateHealthy: () => boolean;
+  readonly storeHealthy: () => boolean;
   /** Runs a short change of shared state under the lock, without I/O. */
   exclusive<T>(work: () => T): Promise<T>;
 }
@@ -58,7 +58,7 @@
 /** Whether this controller may still act for what it owns. */
 export interface Authority {
   /** False once the view was last confirmed too long ago. */
-  authority(now: SteadyMs): boolean;
+  mayCommand(now: SteadyMs): boolean;
 }
 
 /** The steady clock and its timers. */
--- a/src/jobs/final-states.ts
+++ b/src/jobs/final-states.ts
@@ -1,6 +1,6 @@
 /** Final states: the changes that end a job, and a cache. A final state never changes, so memory may answer for it. */
 import type { Change } from '../store/wire.js';
-import type { JobId } from '../units.js';
+import type { JobId } from '../model/units.js';
 import { encodeFinal, finalKey, liveKey } from './codec.js';
 import type { FinalState } from './record.js';
 
--- a/src/jobs/lookup-batcher.ts
+++ b/src/jobs/lookup-batcher.ts
@@ -4,8 +4,8 @@
  */
 import { RequestPriority } from '../store/rate-limiter.js';
 import type { Condition } from '../store/wire.js';
-import type { JobId, Millis, StateKey, SteadyMs } from '../units.js';
-import { millis, NO_REVISION } from '../units.js';
+import type { JobId, Millis, StoreKey, SteadyMs } from '../model/units.js';
+import { millis, NO_REVISION } from '../model/units.js';
 import type { ActiveJobs, StateAccess, Timers } from './dependencies.js';
 import type { FinalStateCache } from './final-states.js';
 import type { JobLookup, JobReader } from './lookup.js';
@@ -68,7 +68,7 @@
   lookUp(id: JobId): Promise<JobLookup> {
     const final = this.finalStates.get(id);
     if (final) return Promise.resolve({ kind: 'ended', state: final });
-    if (!this.context.stateHealthy()) return Promise.resolve({ kind: 'unknown' });
+    if (!this.context.storeHealthy()) return Promise.resolve({ kind: 'unknown' });
     const queue = this.activeJobs.has(id) ? this.activeQueries : this.otherQueries;
     // Judged on arrival: a queue of questions whose users have gone would keep everybody's answer away for good.
     if (queue === this.otherQueries && !queue.has(id) && this.expectedWait() > MAX_QUERY_WAIT)
@@ -80,7 +80,7 @@
   }
 
   private get batchInterval(): Millis {
-    const interval = Math.min(MAX_BATCH_INTERVAL_MS, 1000 / (this.context.state.requestRate * REQUEST_SHARE));
+    const interval = Math.min(MAX_BATCH_INTERVAL_MS, 1000 / (this.context.store.requestRate * REQUEST_SHARE));
     return millis(Math.max(BATCH_INTERVAL_MS, interval));
   }
 
@@ -128,8 +128,8 @@
     if (batch.length === 0) return;
     this.activeQueries.clear();
     const asked = Math.max(...batch.map((query) => query.asked));
-    const { view } = this.context;
-    const fresh = (): boolean => view.loaded && view.confirmed >= asked;
+    const { storeCache: view } = this.context;
+    const fresh = (): boolean => view.loaded && view.confirmedAt >= asked;
     const certain = fresh() || ((await this.refresh()) && fresh());
     for (const query of batch) {
       const record = this.activeJobs.get(query.id);
@@ -142,23 +142,23 @@
   private lookupFromView(id: JobId): JobLookup {
     const record = this.activeJobs.get(id);
     if (record) return { kind: 'active', record };
-    return { kind: this.context.view.version(liveKey(id)) === NO_REVISION ? 'absent' : 'unknown' };
+    return { kind: this.context.storeCache.version(liveKey(id)) === NO_REVISION ? 'absent' : 'unknown' };
   }
 
   private conditionsFor(id: JobId): Condition[] {
-    const live = { key: liveKey(id), version: this.context.view.version(liveKey(id)) };
+    const live = { key: liveKey(id), version: this.context.storeCache.version(liveKey(id)) };
     return live.version === NO_REVISION ? [live, { key: finalKey(id), version: NO_REVISION }] : [live];
   }
 
   /** One transaction without changes: where its conditions hold, the view was right when the store compared. */
   private async checkBatch(batch: readonly Query[]): Promise<void> {
     const lookups = new Map(batch.map((query) => [query.id, this.lookupFromView(query.id)] as const));
-    const conditions = new Map<StateKey, Condition>();
+    const conditions = new Map<StoreKey, Condition>();
     for (const query of batch) for (const c of this.conditionsFor(query.id)) conditions.set(c.key, c);
-    const result = await this.context.state.compareAndSwap(
+    const result = await this.context.store.compareAndSwap(
       [...conditions.values()],
       [],
-      RequestPriority.submit,
+      RequestPriority.submission,
     );
     if (result.kind === 'done') {
       for (const query of batch) respond(query, lookups.get(query.id) as JobLookup);
@@ -172,7 +172,7 @@
   }
 
   /** Jobs whose keys have changed are read; the others are asked about again, with the next batch. */
-  private async retryBatch(batch: readonly Query[], failed: ReadonlySet<StateKey>): Promise<void> {
+  private async retryBatch(batch: readonly Query[], failed: ReadonlySet<StoreKey>): Promise<void> {
     const reads: Promise<void>[] = [];
     const answer = (query: Query, lookup: Promise<JobLookup>): void => {
       reads.push(lookup.then((found) => respond(query, found)));
--- a/src/jobs/lookup.ts
+++ b/src/jobs/lookup.ts
@@ -1,6 +1,6 @@
 /** Looks a single job up in the state service. */
 import { RequestPriority } from '../store/rate-limiter.js';
-import type { JobId } from '../units.js';
+import type { JobId } from '../model/units.js';
 import type { StateAccess } from './dependencies.js';
 import type { FinalStateCache } from './final-states.js';
 import { decodeFinal, decodeRecord, finalKey, liveKey } from './codec.js';
@@ -23,12 +23,12 @@
 
   /** Reads the record, then the final state: a job that ends in between is found by the second read. */
   async read(id: JobId): Promise<JobLookup> {
-    const { state, view } = this.access;
-    const live = await state.get(liveKey(id), RequestPriority.submit);
+    const { store: state, storeCache: view } = this.access;
+    const live = await state.get(liveKey(id), RequestPriority.submission);
     if (live.kind === 'failed') return { kind: 'unknown' };
     if (live.kind === 'found') {
       const record = decodeRecord(live.entry.value);
-      await this.access.exclusive(() => view.learn(live.entry.key, live.entry.value, live.entry.version));
+      await this.access.exclusive(() => view.apply(live.entry.key, live.entry.value, live.entry.version));
       return record ? { kind: 'active', record } : { kind: 'unknown' };
     }
     return this.readFinal(id);
@@ -36,7 +36,7 @@
 
   /** Reads the final state only: `absent` does not say that the job is not active. */
   async readFinal(id: JobId): Promise<JobLookup> {
-    const final = await this.access.state.get(finalKey(id), RequestPriority.submit);
+    const final = await this.access.store.get(finalKey(id), RequestPriority.submission);
     if (final.kind === 'failed') return { kind: 'unknown' };
     if (final.kind === 'absent') return { kind: 'absent' };
     const state = decodeFinal(final.entry.value);
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -1,11 +1,11 @@
 /** Writes finished tasks into the job records, and ends a job with its last task. */
 import type { Log } from '../log.js';
 import type { Shard, ShardJob } from '../shards/model.js';
-import { RangeSet } from '../ranges.js';
+import { RangeSet } from '../model/ranges.js';
 import type { Settings } from '../settings/settings.js';
 import { RequestPriority } from '../store/rate-limiter.js';
 import type { Change } from '../store/wire.js';
-import type { Clock, JobId, ShardId, SteadyMs } from '../units.js';
+import type { Clock, JobId, ShardId, SteadyMs } from '../model/units.js';
 import type { ActiveJobs, StateAccess } from './dependencies.js';
 import { endChanges } from './final-states.js';
 import { encodeRecord, liveKey } from './codec.js';
@@ -27,10 +27,10 @@
   readonly log: Log;
   readonly settings: Pick<Settings, 'valueBytes'>;
   /** The pools that this controller owns. */
-  readonly parts: ReadonlyMap<ShardId, Shard>;
+  readonly shards: ReadonlyMap<ShardId, Shard>;
   readonly activeJobs: ActiveJobs;
   /** Asks for a placement round soon. */
-  readonly wake: () => void;
+  readonly requestCycle: () => void;
 }
 
 /** Finished tasks of one job that are to be written. */
@@ -66,10 +66,11 @@
 
   private collect(now: SteadyMs): Map<JobId, PendingWrite> {
     const out = new Map<JobId, PendingWrite>();
-    for (const shard of this.context.parts.values()) {
-      for (const job of shard.ended) {
+    for (const shard of this.context.shards.values()) {
+      for (const job of shard.jobsWithUnrecordedEnds) {
         const record = this.context.activeJobs.get(job.id);
-        if (job.finished.isEmpty || !record || shard.jobs.get(job.id) !== job) shard.ended.delete(job);
+        if (job.finished.isEmpty || !record || shard.jobs.get(job.id) !== job)
+          shard.jobsWithUnrecordedEnds.delete(job);
         if (job.finished.isEmpty || !record || this.writing.has(job.id)) continue;
         const finished = out.get(job.id)?.finished ?? RangeSet.empty();
         finished.addAll(job.finished);
@@ -84,15 +85,15 @@
   /** How far apart the writes of one job are, in milliseconds: all jobs share the budget meant for progress. */
   private interval(): number {
     let jobs = 0;
-    for (const shard of this.context.parts.values()) jobs += shard.ended.size;
-    return Math.max(PROGRESS_INTERVAL_MS, (jobs * 1000) / (PROGRESS_SHARE * this.context.state.writeRate));
+    for (const shard of this.context.shards.values()) jobs += shard.jobsWithUnrecordedEnds.size;
+    return Math.max(PROGRESS_INTERVAL_MS, (jobs * 1000) / (PROGRESS_SHARE * this.context.store.writeRate));
   }
 
   /** Nothing of the job is left to do here: other parts may be waiting for this word to end it. */
   private isLast(job: ShardJob, finished: RangeSet, record: JobRecord): boolean {
-    if (!job.waiting.isEmpty || !job.unaccounted.isEmpty || !job.moving.isEmpty) return false;
+    if (!job.waiting.isEmpty || !job.unaccounted.isEmpty || !job.handingOver.isEmpty) return false;
     const open = RangeSet.of(
-      record.assignments.filter((a) => this.context.parts.has(a.part)).map((a) => [a.from, a.to] as const),
+      record.assignments.filter((a) => this.context.shards.has(a.part)).map((a) => [a.from, a.to] as const),
     );
     open.removeAll(record.done);
     open.removeAll(finished);
@@ -101,7 +102,7 @@
 
   /** The job's end is the same transaction that writes its last task. */
   private async write(pending: PendingWrite): Promise<void> {
-    const { state, view, settings, clock, log } = this.context;
+    const { store: state, storeCache: view, settings, clock, log } = this.context;
     const key = liveKey(pending.id);
     const version = view.version(key);
     const record = withDone(pending.record, pending.finished, settings.valueBytes);
@@ -117,7 +118,7 @@
     const result = await state.compareAndSwap(
       [{ key, version }],
       changes,
-      pending.last ? RequestPriority.final : RequestPriority.progress,
+      pending.last ? RequestPriority.finalState : RequestPriority.progress,
     );
     this.lastWrite.set(pending.id, clock.now());
     if (this.lastWrite.size > MAX_WRITE_TIMES) this.lastWrite.clear();
@@ -126,7 +127,7 @@
       this.onFinal(pending.id);
       log.info({ job: pending.id }, 'job done');
     }
-    await this.context.exclusive(() => view.learn(key, complete ? undefined : value, result.revision));
-    this.context.wake();
+    await this.context.exclusive(() => view.apply(key, complete ? undefined : value, result.revision));
+    this.context.requestCycle();
   }
 }
--- a/src/jobs/record.ts
+++ b/src/jobs/record.ts
@@ -1,6 +1,6 @@
 /** What is known of a job that is not over, and how its tasks are divided among the shards. */
-import type { ShardId, Revision, SharedMs, ZoneId } from '../units.js';
-import { RangeSet } from '../ranges.js';
+import type { ShardId, Revision, ClusterMs, ZoneId } from '../model/units.js';
+import { RangeSet } from '../model/ranges.js';
 import type { JobSpec } from './spec.js';
 
 /** Tasks [from, to) are entrusted to one part; `zone` is where a constrained job's tasks must be. */
@@ -19,7 +19,7 @@
   /** The store's revision known when it was accepted: the order in which jobs came, near enough. */
   readonly born: Revision;
   /** When it was accepted. null: by an earlier version, which did not say. */
-  readonly accepted: SharedMs | null;
+  readonly accepted: ClusterMs | null;
   /** Which part each task is entrusted to. */
   readonly assignments: readonly Assignment[];
   /** Finished tasks. */
--- a/src/jobs/responses.ts
+++ b/src/jobs/responses.ts
@@ -1,6 +1,6 @@
 /** The answers to users' requests. */
 import type { Answer } from '../http/server.js';
-import type { JobId } from '../units.js';
+import type { JobId } from '../model/units.js';
 import { encodeAccepted, encodeStatus, type JobStatus } from './wire.js';
 
 const MAX_RETRY_AFTER_S = 30;
--- a/src/jobs/service.ts
+++ b/src/jobs/service.ts
@@ -1,6 +1,6 @@
 /** Users' requests: submit, status, cancel. Every answer rests on a fresh word of the state service. */
 import type { Answer } from '../http/server.js';
-import type { JobId, Revision } from '../units.js';
+import type { JobId, Revision } from '../model/units.js';
 import { JobCancellation } from './cancellation.js';
 import type { ActiveJobs, Timers } from './dependencies.js';
 import { FinalStateCache } from './final-states.js';
@@ -17,7 +17,7 @@
 export interface JobServiceContext extends SubmissionContext, Timers {
   readonly activeJobs: ActiveJobs;
   /** Specs of jobs that ended lately. */
-  readonly recentlyEnded: Pick<ReadonlyMap<JobId, JobSpec>, 'get'>;
+  readonly recentlyEndedJobs: Pick<ReadonlyMap<JobId, JobSpec>, 'get'>;
 }
 
 /** Answers users' requests about jobs. */
@@ -56,7 +56,7 @@
     if (lookup.kind === 'unknown') return UNAVAILABLE;
     if (lookup.kind === 'absent') return NOT_FOUND;
     if (lookup.kind === 'active') return statusAnswer(activeStatus(id, lookup.record, this.context));
-    const done = lookup.state === 'done' ? (this.context.recentlyEnded.get(id)?.tasks ?? 0) : 0;
+    const done = lookup.state === 'done' ? (this.context.recentlyEndedJobs.get(id)?.tasks ?? 0) : 0;
     return statusAnswer({ id, state: lookup.state, done, running: 0 });
   }
 
--- a/src/jobs/spec.ts
+++ b/src/jobs/spec.ts
@@ -1,5 +1,5 @@
 /** What a user asked for, in our terms. */
-import type { ImageId, JobId, Seconds, TeamId, TypeId, ZoneId } from '../units.js';
+import type { ImageId, JobId, Seconds, TeamId, InstanceTypeId, ZoneId } from '../model/units.js';
 
 /** Lower goes first. */
 export const Priority = { critical: 0, urgent: 1, standard: 2, bestEffort: 3 } as const;
@@ -23,7 +23,7 @@
   readonly gpus: number;
   readonly memoryGb: number;
   /** Machine types that it may run on; null: any. */
-  readonly types: readonly TypeId[] | null;
+  readonly types: readonly InstanceTypeId[] | null;
   /** Where every task must be; null: any zone. */
   readonly zone: ZoneId | null;
   /** All tasks in one zone, whichever. */
--- a/src/jobs/status.ts
+++ b/src/jobs/status.ts
@@ -1,5 +1,5 @@
 /** How far an active job is, counted from its record, the pools owned here, and what peers announced last. */
-import type { JobId } from '../units.js';
+import type { JobId } from '../model/units.js';
 import type { JobRecord } from './record.js';
 import type { JobStatus } from './wire.js';
 
@@ -14,12 +14,12 @@
 /** What one peer announced last. */
 interface PeerTasks {
   /** Running tasks by job. */
-  readonly running: { get(id: JobId): number | undefined };
+  readonly runningTasks: { get(id: JobId): number | undefined };
 }
 
 /** Where the tasks of active jobs are counted. */
 export interface TaskSources {
-  readonly parts: { values(): Iterable<PoolTasks> };
+  readonly shards: { values(): Iterable<PoolTasks> };
   readonly peers: { values(): Iterable<PeerTasks> };
 }
 
@@ -27,12 +27,12 @@
 export function activeStatus(id: JobId, record: JobRecord, sources: TaskSources): JobStatus {
   let running = 0;
   let done = record.done.size;
-  for (const pool of sources.parts.values()) {
+  for (const pool of sources.shards.values()) {
     done += pool.jobs.get(id)?.finished.size ?? 0;
     for (const allocation of pool.allocationsByJob.get(id) ?? [])
       if (allocation.phase === 'running') running += 1;
   }
-  for (const peer of sources.peers.values()) running += peer.running.get(id) ?? 0;
+  for (const peer of sources.peers.values()) running += peer.runningTasks.get(id) ?? 0;
   running = Math.min(running, record.spec.tasks - done);
   return { id, state: running > 0 ? 'running' : 'pending', done, running: Math.max(0, running) };
 }
--- a/src/jobs/stored-size.ts
+++ b/src/jobs/stored-size.ts
@@ -1,5 +1,5 @@
 /** Keeps job records within the size that the store allows for a value. */
-import type { RangeSet } from '../ranges.js';
+import type { RangeSet } from '../model/ranges.js';
 import { encodeRecord } from './codec.js';
 import type { JobRecord } from './record.js';
 
--- a/src/jobs/submission.ts
+++ b/src/jobs/submission.ts
@@ -2,11 +2,11 @@
 import type { MachineType } from '../cloud/wire.js';
 import type { Answer } from '../http/server.js';
 import type { Log } from '../log.js';
-import { RangeSet } from '../ranges.js';
+import { RangeSet } from '../model/ranges.js';
 import type { Settings } from '../settings/settings.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import type { Clock, JobId, SharedMs, SteadyMs, TypeId } from '../units.js';
-import { NO_REVISION } from '../units.js';
+import type { Clock, JobId, ClusterMs, SteadyMs, InstanceTypeId } from '../model/units.js';
+import { NO_REVISION } from '../model/units.js';
 import { impossible } from './admission.js';
 import type { ActiveJobs, StateAccess } from './dependencies.js';
 import type { FinalStateCache } from './final-states.js';
@@ -24,10 +24,10 @@
 export interface SubmissionContext extends StateAccess, TaskSources {
   readonly settings: Settings;
   /** The cloud's catalog; empty while it is not known yet. */
-  readonly types: ReadonlyMap<TypeId, MachineType>;
+  readonly types: ReadonlyMap<InstanceTypeId, MachineType>;
   readonly clock: Clock;
   /** The time that the controllers count together. */
-  readonly time: { now(now: SteadyMs): SharedMs };
+  readonly clusterClock: { now(now: SteadyMs): ClusterMs };
   readonly log: Log;
 }
 
@@ -49,8 +49,8 @@
     const spec = submission.spec;
     const final = this.finalStates.get(spec.id);
     if (final) return accepted(spec.id, final);
-    const { view, types } = this.context;
-    if (!view.loaded || types.size === 0 || !this.context.stateHealthy()) return UNAVAILABLE;
+    const { storeCache: view, types } = this.context;
+    if (!view.loaded || types.size === 0 || !this.context.storeHealthy()) return UNAVAILABLE;
     if (this.activeJobs.has(spec.id)) return this.existingJob(spec.id);
     const why = impossible(spec, types.values(), this.context);
     if (why !== null) return this.reject(spec.id, 422, why);
@@ -77,7 +77,7 @@
   }
 
   private newRecord(spec: JobSpec): JobRecord {
-    const { settings, view, time, clock } = this.context;
+    const { settings, storeCache: view, clusterClock: time, clock } = this.context;
     return {
       spec,
       home: settings.part,
@@ -89,21 +89,21 @@
   }
 
   private async create(spec: JobSpec): Promise<Answer> {
-    const { state, view, settings, log } = this.context;
+    const { store: state, storeCache: view, settings, log } = this.context;
     const record = this.newRecord(spec);
     if (recordBytes(record) > settings.valueBytes)
       return this.reject(spec.id, 400, 'the description is too long');
     const value = encodeRecord(record);
     const conditions = [liveKey(spec.id), finalKey(spec.id)].map((key) => ({ key, version: NO_REVISION }));
     const change = { op: 'put', key: liveKey(spec.id), value } as const;
-    let result = await state.compareAndSwap(conditions, [change], RequestPriority.submit);
+    let result = await state.compareAndSwap(conditions, [change], RequestPriority.submission);
     // Outcome unknown: a second try either creates the job or shows that it stands.
     if (result.kind === 'unknown')
-      result = await state.compareAndSwap(conditions, [change], RequestPriority.submit);
+      result = await state.compareAndSwap(conditions, [change], RequestPriority.submission);
     if (result.kind === 'conflict') return this.existingJob(spec.id);
     if (result.kind !== 'done') return unavailableFor(state.submitWait);
     const revision = result.revision;
-    await this.context.exclusive(() => view.learn(change.key, value, revision));
+    await this.context.exclusive(() => view.apply(change.key, value, revision));
     // The answer took so long that another controller has confirmed the job's end meanwhile.
     if (!this.activeJobs.has(spec.id)) return this.existingJob(spec.id);
     log.info({ job: spec.id, team: spec.team, tasks: spec.tasks, shape: spec.shape }, 'job accepted');
--- a/src/jobs/wire.ts
+++ b/src/jobs/wire.ts
@@ -1,6 +1,6 @@
 /** Users' messages, between their words and ours. */
 import * as v from 'valibot';
-import type { ImageId, JobId, Seconds, TeamId, TypeId, ZoneId } from '../units.js';
+import type { ImageId, JobId, Seconds, TeamId, InstanceTypeId, ZoneId } from '../model/units.js';
 import { Priority, type JobSpec } from './spec.js';
 
 const MAX_TASKS = 100_000;
@@ -98,7 +98,7 @@
     cpus: s.vcpus,
     gpus: s.cards,
     memoryGb: s.memoryGb,
-    types: s.hulls as TypeId[] | null,
+    types: s.hulls as InstanceTypeId[] | null,
     zone: s.harbor as ZoneId | null,
     oneZone: s.samePlace,
     spread: s.apart,
--- a/src/mesh/mesh.ts
+++ b/src/mesh/mesh.ts
@@ -5,7 +5,7 @@
 import { connect, createServer, type Socket } from 'node:net';
 import { Packr } from 'msgpackr';
 import type { Log } from '../log.js';
-import type { Address, NodeId } from '../units.js';
+import type { Address, ControllerId } from '../model/units.js';
 import { splitAddress } from '../http/server.js';
 
 /** Largest message in bytes, without its length. */
@@ -83,7 +83,7 @@
 
 /** Messages to peers, without any promise that they arrive. */
 export interface Mesh {
-  send(to: NodeId, message: unknown): void;
+  send(to: ControllerId, message: unknown): void;
   /** To all peers. */
   broadcast(message: unknown): void;
 }
@@ -91,7 +91,7 @@
 /** Listens for peers and dials them; `receive` gets every message of any of them. */
 export function openMesh(
   listen: Address,
-  peers: readonly { node: NodeId; address: Address }[],
+  peers: readonly { node: ControllerId; address: Address }[],
   receive: (message: unknown) => void,
   log: Log,
 ): Mesh {
--- a/src/model/constraints.ts
+++ b/src/model/constraints.ts
@@ -1,17 +1,17 @@
 /** Where the rules let a task start. */
 import type { JobSpec } from '../jobs/spec.js';
-import type { TypeId, ZoneId } from '../units.js';
+import type { InstanceTypeId, ZoneId } from './units.js';
 
 /** May a task of this job start on such a machine at all? */
-export function allowed(
+export function mayRunOn(
   spec: JobSpec,
-  type: TypeId,
+  type: InstanceTypeId,
   zone: ZoneId,
   spot: boolean,
-  pin: ZoneId | null,
+  requiredZone: ZoneId | null,
 ): boolean {
   if (spot && !spec.spot) return false;
   if (spec.types && !spec.types.includes(type)) return false;
   if (spec.zone !== null && spec.zone !== zone) return false;
-  return pin === null || pin === zone;
+  return requiredZone === null || requiredZone === zone;
 }
--- a/src/model/gang.ts
+++ b/src/model/gang.ts
@@ -2,7 +2,7 @@
  * Gangs: jobs whose tasks run all at the same time or not at all. The tasks of a gang find each other by their attempt;
  * a gang has one at a time. Pure: what the owner of a pool has seen of a gang, and what follows from it.
  */
-import type { Attempt, MachineId, Millis, SteadyMs } from '../units.js';
+import type { Attempt, MachineId, Millis, SteadyMs } from './units.js';
 
 /** What the owner remembers of a gang's present attempt. */
 export interface GangHistory {
@@ -69,7 +69,7 @@
 export type GangAction =
   | { readonly kind: 'start' | 'wait' }
   | { readonly kind: 'replace'; readonly attempt: Attempt }
-  | { readonly kind: 'stop'; readonly grace: number; readonly why: string };
+  | { readonly kind: 'stop'; readonly grace: number; readonly reason: string };
 
 export interface GangDecision {
   readonly state: GangState;
@@ -80,7 +80,7 @@
 const INCOMPLETE_SHARE = 0.7;
 
 const WAIT: GangAction = { kind: 'wait' };
-const abandon = (why: string): GangAction => ({ kind: 'stop', grace: 0, why });
+const abandon = (reason: string): GangAction => ({ kind: 'stop', grace: 0, reason: reason });
 
 /**
  * The table of a gang, the first line that holds:
@@ -135,7 +135,7 @@
 
 function stopping(members: readonly GangMember[], grace: number): GangDecision {
   const rest = members.some((m) => m.stop === null);
-  const action: GangAction = rest ? { kind: 'stop', grace, why: 'one of its tasks is stopped' } : WAIT;
+  const action: GangAction = rest ? { kind: 'stop', grace, reason: 'one of its tasks is stopped' } : WAIT;
   return { state: 'stopping', action };
 }
 
--- a/src/model/resources.ts
+++ b/src/model/resources.ts
@@ -77,7 +77,7 @@
   a.cpus <= TOLERANCE && a.gpus <= TOLERANCE && a.memoryGb <= TOLERANCE;
 
 /** How often `need` goes into `room`, with its fraction: the scarcest resource decides. */
-export function times(room: Resources, need: Resources): number {
+export function fittingRatio(room: Resources, need: Resources): number {
   let least = Infinity;
   for (const kind of RESOURCE_KINDS) {
     if (need[kind] > 0) least = Math.min(least, room[kind] / need[kind]);
@@ -86,7 +86,7 @@
 }
 
 /** How many tasks fit into the room. */
-export function slots(room: Resources, need: Resources): number {
+export function taskSlots(room: Resources, need: Resources): number {
   const by = (free: number, wants: number): number =>
     wants > 0 ? Math.floor(free / wants + TOLERANCE) : MAX_SLOTS;
   return Math.min(by(room.cpus, need.cpus), by(room.gpus, need.gpus), by(room.memoryGb, need.memoryGb));
--- a/src/units.ts
+++ b/src/model/units.ts
@@ -5,7 +5,7 @@
 /** A point on this process's steady clock, in milliseconds. Never compared between processes. */
 export type SteadyMs = Branded<number, 'SteadyMs'>;
 /** Time that the controllers have counted together, in milliseconds. */
-export type SharedMs = Branded<number, 'SharedMs'>;
+export type ClusterMs = Branded<number, 'SharedMs'>;
 /** A length of time in milliseconds. */
 export type Millis = Branded<number, 'Millis'>;
 /** A length of time in seconds, as the wire gives it. */
@@ -16,14 +16,14 @@
 export type TaskId = Branded<string, 'TaskId'>;
 export type MachineId = Branded<string, 'MachineId'>;
 /** Name of a controller. */
-export type NodeId = Branded<string, 'NodeId'>;
+export type ControllerId = Branded<string, 'NodeId'>;
 /** One start of a controller process. */
 export type Incarnation = Branded<string, 'Incarnation'>;
 /** Number of a part: the share of the machines of the controller at that place in name order. */
 export type ShardId = Branded<number, 'PartId'>;
 export type TeamId = Branded<string, 'TeamId'>;
 export type ZoneId = Branded<string, 'ZoneId'>;
-export type TypeId = Branded<string, 'TypeId'>;
+export type InstanceTypeId = Branded<string, 'TypeId'>;
 export type ImageId = Branded<string, 'ImageId'>;
 /** `host:port`. */
 export type Address = Branded<string, 'Address'>;
@@ -37,7 +37,7 @@
 /** A revision of the state service. */
 export type Revision = Branded<number, 'Revision'>;
 export type LeaseId = Branded<number, 'LeaseId'>;
-export type StateKey = Branded<string, 'StateKey'>;
+export type StoreKey = Branded<string, 'StateKey'>;
 export type RentalId = Branded<string, 'RentalId'>;
 
 export const steady = (n: number): SteadyMs => n as SteadyMs;
@@ -45,13 +45,13 @@
 export const seconds = (n: number): Seconds => n as Seconds;
 export const toMillis = (s: Seconds): Millis => (s * 1000) as Millis;
 export const plus = (t: SteadyMs, d: Millis): SteadyMs => (t + d) as SteadyMs;
-export const since = (now: SteadyMs, then: SteadyMs): Millis => (now - then) as Millis;
+export const elapsed = (now: SteadyMs, then: SteadyMs): Millis => (now - then) as Millis;
 export const shardId = (n: number): ShardId => n as ShardId;
 export const taskIndex = (n: number): TaskIndex => n as TaskIndex;
 export const revision = (n: number): Revision => n as Revision;
 export const fencingToken = (n: number): FencingToken => n as FencingToken;
 export const attempt = (n: number): Attempt => n as Attempt;
-export const stateKey = (s: string): StateKey => s as StateKey;
+export const storeKey = (s: string): StoreKey => s as StoreKey;
 export const NO_REVISION = 0 as Revision;
 
 export function taskId(job: JobId, index: TaskIndex): TaskId {
--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -13,9 +13,9 @@
   ShardCapacity,
 } from '../peers/messages.js';
 import { usable } from '../placement/round.js';
-import { roomOn, waitingByZone, type Machine, type Shard } from '../shards/model.js';
-import type { ImageId, JobId, MachineId, ShardId, SteadyMs, TeamId, ZoneId } from '../units.js';
-import { plus } from '../units.js';
+import { freeResources, waitingByZone, type Machine, type Shard } from '../shards/model.js';
+import type { ImageId, JobId, MachineId, ShardId, SteadyMs, TeamId, ZoneId } from '../model/units.js';
+import { plus } from '../model/units.js';
 import { reserve, type FreeCapacity } from './peer-ranking.js';
 
 /** Machines whose images one announcement tells. */
@@ -27,11 +27,11 @@
 /** What one of our parts has free right now, less what its own queue is about to take. */
 export function freeCapacityOf(core: Core, shard: Shard): FreeCapacity {
   const now = core.clock.now();
-  const ctx = { now, reportMs: core.reportMs };
+  const ctx = { now, reportMs: core.heartbeatIntervalMs };
   const shapes = new Map<string, FreeMachines>();
-  for (const m of shard.totals.notFull()) {
+  for (const m of shard.totals.machinesWithFreeCpu()) {
     if (!usable(m, ctx)) continue;
-    const room = roomOn(m, core.types.get(m.type));
+    const room = freeResources(m, core.types.get(m.type));
     const key = shapeOf(m, room);
     const known = shapes.get(key);
     if (known) known.count += 1;
@@ -46,7 +46,7 @@
   // What waits for its team's limit takes no room: others may have it meanwhile.
   // Neither does a job in its back-off, nor a task in a zone other than its own.
   for (const job of shard.queue) {
-    if (shard.teamsBlockedByQuota.has(job.spec.team) || now < job.notBefore) continue;
+    if (shard.teamsBlockedByQuota.has(job.spec.team) || now < job.backoffUntil) continue;
     for (const [zone, count] of waitingByZone(job)) reserve(offer, job.spec, zone, count);
   }
   return offer;
@@ -55,11 +55,12 @@
 /** What critical work could have at once on machines with the image, lesser work making room. */
 export function readyImages(core: Core, shard: Shard): Map<ImageId, Resources> {
   const out = new Map<ImageId, Resources>();
-  const ctx = { now: core.clock.now(), reportMs: core.reportMs };
-  for (const [image, holders] of shard.totals.images()) {
+  const ctx = { now: core.clock.now(), reportMs: core.heartbeatIntervalMs };
+  for (const [image, holders] of shard.totals.imageHolders()) {
     const ready: MutableResources = { ...ZERO };
     for (const m of holders) {
-      if (!m.spot && usable(m, ctx)) addTo(ready, add(roomOn(m, core.types.get(m.type)), m.preemptible));
+      if (!m.spot && usable(m, ctx))
+        addTo(ready, add(freeResources(m, core.types.get(m.type)), m.preemptible));
     }
     if (ready.cpus > 0) out.set(image, ready);
   }
@@ -68,15 +69,15 @@
 
 /** Our own parts as peers will see them, and as new jobs are placed by. */
 export function refreshFreeCapacity(core: Core): void {
-  for (const shard of core.parts.values()) {
+  for (const shard of core.shards.values()) {
     core.freeCapacity.set(shard.id, freeCapacityOf(core, shard));
-    core.ready.set(shard.id, readyImages(core, shard));
+    core.readyCapacity.set(shard.id, readyImages(core, shard));
   }
 }
 
 /** Which machine holds what, for whoever takes the part over: what is new, and the rest by turns. */
 function imageHints(shard: Shard): Map<MachineId, CachedImages> {
-  const machines = [...shard.imageTurns(HINTS)];
+  const machines = [...shard.nextImageAnnouncements(HINTS)];
   return new Map(machines.map((machine) => [machine.id, [...machine.images]]));
 }
 
@@ -90,7 +91,7 @@
 /** Running tasks by job, in all shards that this controller leads. */
 function countRunningTasks(core: Core): Map<JobId, number> {
   const running = new Map<JobId, number>();
-  for (const shard of core.parts.values()) {
+  for (const shard of core.shards.values()) {
     for (const [job, allocations] of shard.allocationsByJob) {
       let count = running.get(job) ?? 0;
       for (const allocation of allocations) if (allocation.phase === 'running') count += 1;
@@ -110,12 +111,12 @@
     kind: 'capacityAnnouncement',
     node: core.settings.node,
     incarnation: core.incarnation,
-    storeHealthy: core.stateHealthy(),
-    rateUsage: core.state.use,
+    storeHealthy: core.storeHealthy(),
+    rateUsage: core.store.usage,
     runningTasks: countRunningTasks(core),
     redirectedHeartbeats,
-    rentedMachines: core.rentedHere,
-    shards: [...core.parts.values()].map((shard) => shardCapacityOf(core, shard, unusedQuotaOf(shard))),
+    rentedMachines: core.unregisteredOwnMachines,
+    shards: [...core.shards.values()].map((shard) => shardCapacityOf(core, shard, unusedQuotaOf(shard))),
   };
 }
 
@@ -127,9 +128,9 @@
   return {
     shard: shard.id,
     freeMachines: freeMachinesOf(core, shard),
-    used: shard.totals.teams,
+    used: shard.totals.usageByTeam,
     unusedQuota,
-    criticalCapacity: core.ready.get(shard.id) ?? new Map<ImageId, Resources>(),
+    criticalCapacity: core.readyCapacity.get(shard.id) ?? new Map<ImageId, Resources>(),
     cachedImages: imageHints(shard),
   };
 }
@@ -137,25 +138,25 @@
 function learnAnnouncement(core: Core, announcement: CapacityAnnouncement): void {
   const now = core.clock.now();
   core.peers.set(announcement.node, {
-    heard: now,
+    heardAt: now,
     incarnation: announcement.incarnation,
-    stateOk: announcement.storeHealthy,
-    use: announcement.rateUsage,
-    running: announcement.runningTasks,
-    strays: announcement.redirectedHeartbeats,
+    storeHealthy: announcement.storeHealthy,
+    storeUsage: announcement.rateUsage,
+    runningTasks: announcement.runningTasks,
+    redirectedHeartbeats: announcement.redirectedHeartbeats,
   });
-  for (const [machine, shard] of announcement.rentedMachines) core.rentedFor.set(machine, shard);
+  for (const [machine, shard] of announcement.rentedMachines) core.intendedShards.set(machine, shard);
   const expires = plus(now, core.tuning.announceExpiry);
   // Both of us may believe that we lead a shard for a moment: our own knowledge is the better one.
   for (const capacity of announcement.shards)
-    if (!core.parts.has(capacity.shard)) learnShardCapacity(core, capacity, expires);
+    if (!core.shards.has(capacity.shard)) learnShardCapacity(core, capacity, expires);
 }
 
 function learnShardCapacity(core: Core, capacity: ShardCapacity, expires: SteadyMs): void {
   const { shard, used, unusedQuota } = capacity;
   for (const [machine, images] of capacity.cachedImages) core.imageHints.set(machine, images);
-  core.ready.set(shard, capacity.criticalCapacity);
-  core.shardAnnouncements.set(shard, { expires, used, spare: unusedQuota });
+  core.readyCapacity.set(shard, capacity.criticalCapacity);
+  core.shardAnnouncements.set(shard, { expiresAt: expires, usage: used, unusedQuota: unusedQuota });
   const machines = [...capacity.freeMachines];
   core.freeCapacity.set(shard, { part: shard, zone: zoneOfPart(core, shard), expires, machines });
 }
@@ -165,7 +166,7 @@
  * are not. It is learned like the answer to a write of our own; a late copy is older than the view and changes nothing.
  */
 function learnCancellation(core: Core, { job, version }: CancellationNotice): void {
-  void core.exclusive(() => core.view.learn(liveKey(job), undefined, version));
+  void core.exclusive(() => core.storeCache.apply(liveKey(job), undefined, version));
 }
 
 /** A peer's message; a request for quota, or for machines, is returned to the caller. */
--- a/src/overflow/assignment.ts
+++ b/src/overflow/assignment.ts
@@ -2,9 +2,9 @@
 import type { MachineType } from '../cloud/wire.js';
 import type { Assignment } from '../jobs/record.js';
 import { Priority, type JobSpec } from '../jobs/spec.js';
-import { covers, scale, times, TOLERANCE, ZERO, type Resources } from '../model/resources.js';
-import type { ImageId, ShardId, SteadyMs, ZoneId } from '../units.js';
-import { allowed } from '../model/constraints.js';
+import { covers, scale, fittingRatio, TOLERANCE, ZERO, type Resources } from '../model/resources.js';
+import type { ImageId, ShardId, SteadyMs, ZoneId } from '../model/units.js';
+import { mayRunOn } from '../model/constraints.js';
 import { fits } from '../model/resources.js';
 import { capacityFor, reserve, rankPeers, type FreeCapacity, type Random } from './peer-ranking.js';
 
@@ -46,7 +46,7 @@
   );
   if (able.some((p) => p.part === ctx.home)) return ctx.home;
   const far = (z: ZoneId): number => (z === ctx.homeZone ? 0 : 1);
-  const ready = (p: ShardId): number => times(readyFor(ctx, spec, p), spec);
+  const ready = (p: ShardId): number => fittingRatio(readyFor(ctx, spec, p), spec);
   able.sort((a, b) => far(a.zone) - far(b.zone) || ready(b.part) - ready(a.part));
   return able[0]?.part ?? null;
 }
@@ -57,7 +57,7 @@
   if (one !== null) return [{ from: 0, to: spec.tasks, part: one, zone: null }];
   if (spec.priority !== Priority.critical) return [];
   const slots = (p: ShardId): number =>
-    Math.floor(Math.min(Number.MAX_SAFE_INTEGER, times(readyFor(ctx, spec, p), spec)) + TOLERANCE);
+    Math.floor(Math.min(Number.MAX_SAFE_INTEGER, fittingRatio(readyFor(ctx, spec, p), spec)) + TOLERANCE);
   const far = (p: { part: ShardId; zone: ZoneId }): number =>
     p.part === ctx.home ? 0 : p.zone === ctx.homeZone ? 1 : 2;
   const order = [...ctx.parts].sort((a, b) => far(a) - far(b) || slots(b.part) - slots(a.part));
@@ -146,7 +146,7 @@
   types: readonly MachineType[],
 ): readonly ZoneId[] {
   const eligible = zones.filter((zone) =>
-    types.some((t) => t.zones.includes(zone) && fits(spec, t) && allowed(spec, t.name, zone, false, null)),
+    types.some((t) => t.zones.includes(zone) && fits(spec, t) && mayRunOn(spec, t.name, zone, false, null)),
   );
   return eligible.length > 0 ? eligible : zones;
 }
--- a/src/overflow/hand-over.ts
+++ b/src/overflow/hand-over.ts
@@ -5,9 +5,9 @@
 import { Priority, type JobSpec } from '../jobs/spec.js';
 import { requiredZone, type Shard, type ShardJob } from '../shards/model.js';
 import type { Unplaced } from '../placement/round.js';
-import { RangeSet } from '../ranges.js';
+import { RangeSet } from '../model/ranges.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import type { SteadyMs, ZoneId } from '../units.js';
+import type { SteadyMs, ZoneId } from '../model/units.js';
 import { zoneOfPart } from './announcement.js';
 import { chooseZoneReassignment } from './zone-reassignment.js';
 import { reserve, rankPeers, type FreeCapacity } from './peer-ranking.js';
@@ -40,7 +40,7 @@
   const refused = new Set<string>();
   for (const u of unplaced) {
     const { job } = u;
-    if (u.reason !== 'room' || !job.moving.isEmpty) continue;
+    if (u.reason !== 'room' || !job.handingOver.isEmpty) continue;
     const rest = job.spec.priority === Priority.critical ? REST_CRITICAL : REST;
     const rested = job.record.home === shard.id ? 0 : rest;
     if (now - job.arrivedAt < rested || now - job.arrivedAt < 30) continue;
@@ -130,7 +130,7 @@
     this.busy.add(shard.id);
     void this.handOver(shard, choice).finally(() => {
       this.busy.delete(shard.id);
-      this.core.wake();
+      this.core.requestCycle();
     });
   }
 
@@ -138,18 +138,19 @@
   private async handOver(shard: Shard, { job, tasks, to, value }: HandOver): Promise<void> {
     const { core } = this;
     job.waiting.removeAll(tasks);
-    job.moving.addAll(tasks);
+    job.handingOver.addAll(tasks);
     const key = liveKey(job.id);
-    const result = await core.settle(
-      [{ key, version: job.version }, core.ownerCondition(shard)],
+    const result = await core.compareAndSwapUntilCertain(
+      [{ key, version: job.version }, core.leaderCondition(shard)],
       [{ op: 'put', key, value }],
-      RequestPriority.handover,
+      RequestPriority.handOver,
     );
     core.log.debug(
       { job: job.id, tasks: tasks.size, from: shard.id, to, result: result.kind },
       'handed over',
     );
-    if (result.kind === 'done') await core.exclusive(() => core.view.learn(key, value, result.revision));
+    if (result.kind === 'done')
+      await core.exclusive(() => core.storeCache.apply(key, value, result.revision));
     else if (result.kind === 'conflict') await this.look(key);
     await core.exclusive(() => this.takeBack(shard, job));
   }
@@ -157,9 +158,11 @@
   /** A conflict says that the record is newer than what we know: reads it before deciding anything. */
   private async look(key: ReturnType<typeof liveKey>): Promise<void> {
     for (;;) {
-      const read = await this.core.state.get(key, RequestPriority.handover);
+      const read = await this.core.store.get(key, RequestPriority.handOver);
       if (read.kind === 'found') {
-        await this.core.exclusive(() => this.core.view.learn(key, read.entry.value, read.entry.version));
+        await this.core.exclusive(() =>
+          this.core.storeCache.apply(key, read.entry.value, read.entry.version),
+        );
         return;
       }
       if (read.kind === 'absent') return;
@@ -170,11 +173,11 @@
   /** Whatever the record still entrusts to us waits again; a hand-over that was applied has taken it away. */
   private takeBack(shard: Shard, job: ShardJob): void {
     if (shard.jobs.get(job.id) !== job) return;
-    for (const i of job.moving) {
+    for (const i of job.handingOver) {
       const ours = job.record.assignments.some((a) => a.part === shard.id && a.from <= i && i < a.to);
       if (ours && !job.record.done.has(i) && !job.finished.has(i)) job.waiting.add(i);
     }
-    job.moving.removeAll(job.moving.clone());
+    job.handingOver.removeAll(job.handingOver.clone());
     // While all its waiting tasks were moving, the placement rounds took the job for one without any.
     shard.queue.add(job);
   }
--- a/src/overflow/machine-transfer.ts
+++ b/src/overflow/machine-transfer.ts
@@ -4,15 +4,15 @@
  * could still start a task is on its way to it, so its new owner counts it as new.
  */
 import type { Core } from '../core.js';
-import { fits, isZero, slots, subtract, type Resources } from '../model/resources.js';
+import { fits, isZero, taskSlots, subtract, type Resources } from '../model/resources.js';
 import type { Machine, Shard } from '../shards/model.js';
-import { encodeMachine, machineKey } from '../shards/records.js';
+import { encodeMachineRecord, machineKey } from '../shards/codec.js';
 import { encodePeerMessage } from '../peers/codec.js';
 import type { MachineRequest } from '../peers/messages.js';
 import { usable, type OversizedGang } from '../placement/round.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import type { ShardId, SteadyMs } from '../units.js';
-import { millis, plus, steady } from '../units.js';
+import type { ShardId, SteadyMs } from '../model/units.js';
+import { millis, plus, steady } from '../model/units.js';
 import { zoneOfPart } from './announcement.js';
 
 /** Between two requests of a pool, in milliseconds. */
@@ -29,7 +29,8 @@
 }
 
 /** Nothing is on the machine, and no order that may still be carried out there is outstanding. */
-const isEmpty = (m: Machine): boolean => m.allocations.size === 0 && m.exited.size === 0 && !m.directBusy;
+const isEmpty = (m: Machine): boolean =>
+  m.allocations.size === 0 && m.exitedTasks.size === 0 && !m.directRequestInFlight;
 
 /** Critical work does not end by itself. */
 const holdsCritical = (m: Machine): boolean => !isZero(subtract(m.used, m.preemptible));
@@ -38,13 +39,15 @@
 export function chooseTransfer(
   shard: Shard,
   request: MachineRequest,
-  core: Pick<Core, 'types' | 'reportMs'>,
+  core: Pick<Core, 'types' | 'heartbeatIntervalMs'>,
   now: SteadyMs,
 ): TransferChoice {
   const suits = (m: Machine): boolean => {
-    if (m.zone !== request.zone || (m.spot && !request.spot) || m.unknownSize > 0) return false;
+    if (m.zone !== request.zone || (m.spot && !request.spot) || m.unknownSizeCount > 0) return false;
     if (request.types !== null && !request.types.includes(m.type)) return false;
-    return usable({ ...m, draining: false }, { now, reportMs: core.reportMs }) && !holdsCritical(m);
+    return (
+      usable({ ...m, draining: false }, { now, reportMs: core.heartbeatIntervalMs }) && !holdsCritical(m)
+    );
   };
   const capacityOf = (m: Machine): Resources | undefined => core.types.get(m.type);
   const suitable = [...shard.machines.values()].filter(suits);
@@ -55,7 +58,7 @@
     if (missing <= 0) break;
     const capacity = capacityOf(machine);
     if (!capacity || !fits(request, capacity)) continue;
-    missing -= slots(capacity, request);
+    missing -= taskSlots(capacity, request);
     chosen.push(machine);
   }
   return { empty: chosen.filter(isEmpty), emptying: chosen.filter((m) => !isEmpty(m)) };
@@ -83,10 +86,10 @@
     const { cpus, gpus, memoryGb, types, spot } = gang.job.spec;
     const need = { cpus, gpus, memoryGb, tasks: gang.tasks, types, spot, zone };
     const request: MachineRequest = { kind: 'machineRequest', from: shard.id, to: peer.part, ...need };
-    if (core.parts.has(peer.part)) this.answer(request);
+    if (core.shards.has(peer.part)) this.answer(request);
     else {
-      const owner = core.shardRecord(peer.part)?.owner;
-      if (owner) core.mesh.send(owner, encodePeerMessage(request));
+      const owner = core.shardRecord(peer.part)?.leader;
+      if (owner) core.peerTransport.send(owner, encodePeerMessage(request));
     }
   }
 
@@ -94,8 +97,8 @@
   answer(request: MachineRequest): void {
     const { core } = this;
     const now = core.clock.now();
-    const shard = core.parts.get(request.to);
-    if (!shard?.reconciled || request.from === request.to || !core.authority(now)) return;
+    const shard = core.shards.get(request.to);
+    if (!shard?.reconciled || request.from === request.to || !core.mayCommand(now)) return;
     if (!core.settings.parts.some((p) => p.part === request.from)) return;
     if (this.goesFirst(shard, request, now)) return;
     const { empty, emptying } = chooseTransfer(shard, request, core, now);
@@ -135,15 +138,15 @@
     const { core } = this;
     const key = machineKey(machine.id);
     const { address, type, zone, spot } = machine;
-    const value = encodeMachine({ part: to, address, type, zone, spot });
-    const result = await core.settle(
-      [{ key, version: core.view.version(key) }, core.ownerCondition(shard)],
+    const value = encodeMachineRecord({ shard: to, address, type, zone, spot });
+    const result = await core.compareAndSwapUntilCertain(
+      [{ key, version: core.storeCache.version(key) }, core.leaderCondition(shard)],
       [{ op: 'put', key, value }],
-      RequestPriority.handover,
+      RequestPriority.handOver,
     );
     core.log.info({ machine: machine.id, from: shard.id, to, result: result.kind }, 'machine transferred');
     await core.exclusive(() => {
-      if (result.kind === 'done') core.view.learn(key, value, result.revision);
+      if (result.kind === 'done') core.storeCache.apply(key, value, result.revision);
       machine.draining = false;
     });
   }
--- a/src/overflow/peer-ranking.ts
+++ b/src/overflow/peer-ranking.ts
@@ -2,10 +2,10 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { JobSpec } from '../jobs/spec.js';
-import { fits, scale, slots, subtract } from '../model/resources.js';
-import { allowed } from '../model/constraints.js';
+import { fits, scale, taskSlots, subtract } from '../model/resources.js';
+import { mayRunOn } from '../model/constraints.js';
 import type { FreeMachines } from '../peers/messages.js';
-import type { ShardId, SteadyMs, ZoneId } from '../units.js';
+import type { ShardId, SteadyMs, ZoneId } from '../model/units.js';
 
 export interface FreeCapacity {
   readonly part: ShardId;
@@ -24,12 +24,12 @@
 }
 
 const roomFor = (offer: FreeCapacity, spec: JobSpec, pin: ZoneId | null): FreeMachines[] =>
-  offer.machines.filter((m) => m.count > 0 && fits(spec, m) && allowed(spec, m.type, m.zone, m.spot, pin));
+  offer.machines.filter((m) => m.count > 0 && fits(spec, m) && mayRunOn(spec, m.type, m.zone, m.spot, pin));
 
 /** How many tasks like this fit into what is announced, by zone restriction. */
 export function capacityFor(offer: FreeCapacity, spec: JobSpec, pin: ZoneId | null): number {
   let n = 0;
-  for (const m of roomFor(offer, spec, pin)) n += m.count * slots(m, spec);
+  for (const m of roomFor(offer, spec, pin)) n += m.count * taskSlots(m, spec);
   return n;
 }
 
@@ -51,7 +51,7 @@
   let left = count;
   for (const m of roomFor(offer, spec, pin)) {
     if (left <= 0) return;
-    const each = slots(m, spec);
+    const each = taskSlots(m, spec);
     const full = Math.min(m.count, Math.floor(left / each));
     takeFrom(offer, m, spec, each, full);
     left -= full * each;
--- a/src/overflow/zone-reassignment.ts
+++ b/src/overflow/zone-reassignment.ts
@@ -6,8 +6,8 @@
 import type { JobSpec } from '../jobs/spec.js';
 import type { JobRecord } from '../jobs/record.js';
 import { waitingRuns, type ShardJob } from '../shards/model.js';
-import { RangeSet } from '../ranges.js';
-import type { ShardId, ZoneId } from '../units.js';
+import { RangeSet } from '../model/ranges.js';
+import type { ShardId, ZoneId } from '../model/units.js';
 import { eligibleZones, type AssignContext } from './assignment.js';
 import { rankPeers, type FreeCapacity } from './peer-ranking.js';
 
@@ -67,7 +67,7 @@
 ): ZoneReassignment | null {
   const { spec, waitingSince } = job;
   if (!mayMove(spec) || waitingSince === null || ctx.now - waitingSince < REPIN_AFTER) return null;
-  if (!job.moving.isEmpty || !job.unaccounted.isEmpty) return null;
+  if (!job.handingOver.isEmpty || !job.unaccounted.isEmpty) return null;
   const waiting = RangeSet.of(
     waitingRuns(job)
       .filter((run) => run.zone === fromZone)
--- a/src/peers/codec.ts
+++ b/src/peers/codec.ts
@@ -9,13 +9,13 @@
   Incarnation,
   JobId,
   MachineId,
-  NodeId,
+  ControllerId,
   Revision,
   ShardId,
   TeamId,
-  TypeId,
+  InstanceTypeId,
   ZoneId,
-} from '../units.js';
+} from '../model/units.js';
 import type {
   CachedImages,
   CancellationNotice,
@@ -207,7 +207,7 @@
 function decodeAnnouncement(sent: SentAnnouncement): CapacityAnnouncement {
   return {
     kind: 'capacityAnnouncement',
-    node: sent.node as NodeId,
+    node: sent.node as ControllerId,
     incarnation: sent.incarnation as Incarnation,
     storeHealthy: sent.stateOk,
     rateUsage: sent.use,
@@ -236,7 +236,7 @@
 
 function decodeFreeMachines(sent: SentShardCapacity['machines'][number]): FreeMachines {
   const [type, zone, spot, cpus, gpus, memoryGb, count] = sent;
-  return { type: type as TypeId, zone: zone as ZoneId, spot, cpus, gpus, memoryGb, count };
+  return { type: type as InstanceTypeId, zone: zone as ZoneId, spot, cpus, gpus, memoryGb, count };
 }
 
 /** Amounts whose GPUs and memory an earlier version did not send have none of them. */
@@ -279,7 +279,7 @@
     gpus,
     memoryGb,
     tasks,
-    types: sent.types as TypeId[] | null,
+    types: sent.types as InstanceTypeId[] | null,
     zone: sent.zone as ZoneId,
     spot,
   };
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -8,17 +8,17 @@
   Incarnation,
   JobId,
   MachineId,
-  NodeId,
+  ControllerId,
   Revision,
   ShardId,
   TeamId,
-  TypeId,
+  InstanceTypeId,
   ZoneId,
-} from '../units.js';
+} from '../model/units.js';
 
 /** Machines of the same type and zone that have the same amount free. */
 export interface FreeMachines extends Resources {
-  readonly type: TypeId;
+  readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
   /** How many machines have this much free. */
@@ -50,7 +50,7 @@
 /** Sent to all peers at every check interval: the state of the controller and of the shards that it leads. */
 export interface CapacityAnnouncement {
   readonly kind: 'capacityAnnouncement';
-  readonly node: NodeId;
+  readonly node: ControllerId;
   readonly incarnation: Incarnation;
   readonly storeHealthy: boolean;
   readonly rateUsage: RateUsage;
@@ -95,7 +95,7 @@
   readonly to: ShardId;
   readonly tasks: number;
   /** null: any. */
-  readonly types: readonly TypeId[] | null;
+  readonly types: readonly InstanceTypeId[] | null;
   readonly zone: ZoneId;
   /** Spot machines are allowed. */
   readonly spot: boolean;
--- a/src/placement/consolidation.ts
+++ b/src/placement/consolidation.ts
@@ -17,8 +17,8 @@
   type MutableResources,
 } from '../model/resources.js';
 import type { Allocation, Machine, Shard } from '../shards/model.js';
-import { isUnclear, requiredZone, roomOn } from '../shards/model.js';
-import { allowed } from '../model/constraints.js';
+import { hasUnknownUsage, requiredZone, freeResources } from '../shards/model.js';
+import { mayRunOn } from '../model/constraints.js';
 import { usable, type PlanContext } from './round.js';
 
 export interface Move {
@@ -68,7 +68,7 @@
 function emptiest(shard: Shard, ctx: Context): Machine | null {
   let best: Machine | null = null;
   for (const m of shard.machines.values()) {
-    if (m.allocations.size === 0 || !isZero(m.preemptible) || isUnclear(m) || !usable(m, ctx)) continue;
+    if (m.allocations.size === 0 || !isZero(m.preemptible) || hasUnknownUsage(m) || !usable(m, ctx)) continue;
     if (best && loadOf(m, ctx) >= loadOf(best, ctx)) continue;
     if ([...m.allocations.values()].every((b) => settled(b, ctx))) best = m;
   }
@@ -97,10 +97,10 @@
   const pin = requiredZone(job, b.index);
   let best: Machine | null = null;
   let headroom = 0;
-  for (const m of shard.totals.holdersOf(b.spec.image)) {
-    if (m === from || !usable(m, ctx) || !allowed(b.spec, m.type, m.zone, m.spot, pin)) continue;
+  for (const m of shard.totals.machinesWithImage(b.spec.image)) {
+    if (m === from || !usable(m, ctx) || !mayRunOn(b.spec, m.type, m.zone, m.spot, pin)) continue;
     const type = ctx.types.get(m.type) ?? ZERO;
-    const left = subtract(roomOn(m, ctx.types.get(m.type)), scale(b.spec, taken.get(m) ?? 0));
+    const left = subtract(freeResources(m, ctx.types.get(m.type)), scale(b.spec, taken.get(m) ?? 0));
     headroom += Math.max(0, freeAsCpus(left, type, b.spec));
     if (criticalLoadOf(m, ctx) <= loadOf(from, ctx) - TOLERANCE || !fits(b.spec, left)) continue;
     if (!best || loadOf(m, ctx) > loadOf(best, ctx)) best = m;
--- a/src/placement/gangs.ts
+++ b/src/placement/gangs.ts
@@ -1,7 +1,7 @@
 /** Gangs in a placement round: all their tasks start, or none does; what a broken gang has left is stopped. Pure. */
 import { decideGang, forgetAttempt, type GangDecision } from '../model/gang.js';
 import type { Resources } from '../model/resources.js';
-import { millis, type Attempt, type ZoneId } from '../units.js';
+import { millis, type Attempt, type ZoneId } from '../model/units.js';
 import { requiredZone, type Machine, type Shard, type ShardJob } from '../shards/model.js';
 import { placesFor, type Places } from './places.js';
 import {
@@ -21,15 +21,15 @@
 
 /** What should become of a gang, by all that is known of it here. */
 export function decisionOn(shard: Shard, job: ShardJob, ctx: PlanContext): GangDecision | null {
-  if (!job.gang) return null;
+  if (!job.gangHistory) return null;
   return decideGang({
     now: ctx.now,
     missing: !job.waiting.isEmpty,
     members: [...(shard.allocationsByJob.get(job.id) ?? [])],
-    history: job.gang,
+    history: job.gangHistory,
     finished: !job.finished.isEmpty,
-    unaccounted: !job.unaccounted.isEmpty || !job.moving.isEmpty,
-    issued: (attempt) => shard.issued(attempt),
+    unaccounted: !job.unaccounted.isEmpty || !job.handingOver.isEmpty,
+    issued: (attempt) => shard.issuedAttempt(attempt),
     waitLimit: millis(ctx.gangWaitMs),
   });
 }
@@ -55,7 +55,7 @@
 export function placeGang(shard: Shard, job: ShardJob, s: Scratch, ctx: PlanContext, plan: Plan): void {
   const action = decisionOn(shard, job, ctx)?.action;
   if (action?.kind === 'start' && job.waiting.size === job.spec.tasks) {
-    if (job.gang) forgetAttempt(job.gang);
+    if (job.gangHistory) forgetAttempt(job.gangHistory);
     place(shard, job, undefined, s, ctx, plan);
   } else if (action?.kind === 'replace') place(shard, job, action.attempt, s, ctx, plan);
 }
@@ -133,7 +133,7 @@
 const mayTake =
   (job: ShardJob, attempt: Attempt | undefined) =>
   (machine: Machine): boolean =>
-    attempt === undefined || !job.gang?.leftMachines.has(machine.id);
+    attempt === undefined || !job.gangHistory?.leftMachines.has(machine.id);
 
 function heldFor(shard: Shard, job: ShardJob, index: number): Machine | undefined {
   const hold = job.reservations.get(index);
@@ -157,10 +157,10 @@
   ctx: PlanContext,
   plan: Plan,
 ): boolean {
-  if (ctx.now < job.searchAfter || job.waitingSince === null) return false;
+  if (ctx.now < job.nextPreemptionSearchAt || job.waitingSince === null) return false;
   if (found.without.length > MAX_ROOM_MADE) return false;
   // What an earlier round has stopped for it is still on its way out.
-  if (found.without.every((index) => job.reservations.get(index)?.reserved === false)) {
+  if (found.without.every((index) => job.reservations.get(index)?.withoutPreemption === false)) {
     keepPlaces(shard, job, found, s, plan);
     return true;
   }
--- a/src/placement/places.ts
+++ b/src/placement/places.ts
@@ -13,8 +13,8 @@
   type Resources,
 } from '../model/resources.js';
 import type { Machine, Shard, ShardJob } from '../shards/model.js';
-import type { SteadyMs, TypeId, ZoneId } from '../units.js';
-import { allowed } from '../model/constraints.js';
+import type { SteadyMs, InstanceTypeId, ZoneId } from '../model/units.js';
+import { mayRunOn } from '../model/constraints.js';
 import { scratchRoom, type PlanContext, type Scratch } from './round.js';
 
 export function compareKeys(a: readonly number[], b: readonly number[]): number {
@@ -47,7 +47,7 @@
   constructor(
     private readonly part: Shard,
     private readonly job: ShardJob,
-    private readonly types: ReadonlyMap<TypeId, MachineType>,
+    private readonly types: ReadonlyMap<InstanceTypeId, MachineType>,
     /** What the round has left on a machine; null: nothing of the job may start there. */
     private readonly roomOf: (m: Machine) => Resources | null,
     private readonly now: SteadyMs,
@@ -79,7 +79,7 @@
   private find(): Place[] {
     const { part: shard, job } = this;
     const out: Place[] = [];
-    for (const machine of shard.totals.withFree(job.spec, this.types)) {
+    for (const machine of shard.totals.machinesWithFree(job.spec, this.types)) {
       const room = this.roomOf(machine);
       if (room && fits(job.spec, room)) out.push({ machine, room, key: this.keyOf(machine, room) });
     }
@@ -90,12 +90,12 @@
   private keyOf(m: Machine, room: Resources): readonly number[] {
     const { spec } = this.job;
     // A machine on which the job failed is the last choice for it.
-    const failed = this.job.errorMachines.has(m.id) ? 1 : 0;
+    const failed = this.job.failedMachines.has(m.id) ? 1 : 0;
     const holder = m.images.has(spec.image);
     const capacity = this.types.get(m.type) ?? ZERO;
     const crowd = spec.shape === 'service' ? crowding(m, room, spec, capacity) : 0;
     // Only a fetch that another machine would need too: replicas rather bring the image to one more machine.
-    const coming = !holder && m.wanted.has(spec.image) && crowd < CROWD_STEPS;
+    const coming = !holder && m.requiredImages.has(spec.image) && crowd < CROWD_STEPS;
     // Among holders batch work fills the fullest machine first: idle ones can be returned, and large gaps stay.
     const pack = (holder || coming) && spec.shape === 'array';
     // What would lose its work with a machine that may be taken goes to one that may not, while there is room.
@@ -118,7 +118,7 @@
   mayTake: (m: Machine) => boolean = () => true,
 ): Places {
   const roomOf = (m: Machine): Resources | null =>
-    allowed(job.spec, m.type, m.zone, m.spot, pin) && mayTake(m) ? scratchRoom(m, s, ctx) : null;
+    mayRunOn(job.spec, m.type, m.zone, m.spot, pin) && mayTake(m) ? scratchRoom(m, s, ctx) : null;
   return new Places(shard, job, ctx.types, roomOf, ctx.now);
 }
 
@@ -141,7 +141,7 @@
   type: MachineType | undefined,
   now: SteadyMs,
 ): boolean {
-  if (spec.shape !== 'service' || now - m.since > JUST_COME || m.images.has(spec.image)) return false;
+  if (spec.shape !== 'service' || now - m.addedAt > JUST_COME || m.images.has(spec.image)) return false;
   return crowding(m, room, spec, type ?? ZERO) >= CROWD_STEPS;
 }
 
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -12,7 +12,7 @@
   type Shard,
   type ShardJob,
 } from '../shards/model.js';
-import type { ZoneId } from '../units.js';
+import type { ZoneId } from '../model/units.js';
 import { placeGang, stopBrokenGangs } from './gangs.js';
 import { compareKeys, placesFor, type Places } from './places.js';
 import {
@@ -62,7 +62,7 @@
   const late = lateness(job, estimate, ctx);
   const unbegun = unbegunFor(shard, job, ctx);
   const starving = unbegun > STARVED_AFTER;
-  const aged = (ctx.now - job.firstSeen) / AGE_STEP;
+  const aged = (ctx.now - job.acceptedAt) / AGE_STEP;
   const key = [
     turn(spec, unbegun),
     ctx.guaranteed(job.id) ? 0 : 1,
@@ -74,7 +74,7 @@
       ? 0
       : Math.round(Math.log2(1 + (job.waiting.size * size * estimate) / 1000) - aged),
     due === Infinity ? Number.MAX_SAFE_INTEGER : due,
-    job.firstSeen,
+    job.acceptedAt,
   ];
   return { job, key };
 }
@@ -94,10 +94,10 @@
     oversized: null,
   };
   stopBrokenGangs(shard, s, ctx, plan);
-  const due = waiting.filter((j) => ctx.now >= j.notBefore);
+  const due = waiting.filter((j) => ctx.now >= j.backoffUntil);
   const ranked = due.map((j) => rank(shard, j, ctx)).sort(byKey);
   for (const { job } of ranked) {
-    if (job.gang) placeGang(shard, job, s, ctx, plan);
+    if (job.gangHistory) placeGang(shard, job, s, ctx, plan);
     else placeJob(shard, job, s, ctx, plan);
   }
   return plan;
@@ -121,10 +121,10 @@
     for (const [index, hold] of job.reservations) {
       const machine = shard.machines.get(hold.machine);
       const room = machine ? scratchRoom(machine, s, ctx) : null;
-      const over = !machine || ctx.now >= hold.until || !job.waiting.has(index);
-      if (over || (hold.reserved && !room)) job.reservations.delete(index);
+      const over = !machine || ctx.now >= hold.reservedUntil || !job.waiting.has(index);
+      if (over || (hold.withoutPreemption && !room)) job.reservations.delete(index);
       else take(room, job.spec, 1);
-      if (hold.reserved && job.reservations.has(index)) s.reserved += 1;
+      if (hold.withoutPreemption && job.reservations.has(index)) s.reserved += 1;
     }
   }
 }
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -12,10 +12,10 @@
   type Resources,
 } from '../model/resources.js';
 import type { Allocation, Machine, Shard, ShardJob } from '../shards/model.js';
-import type { SteadyMs, ZoneId } from '../units.js';
-import { millis, plus } from '../units.js';
+import type { SteadyMs, ZoneId } from '../model/units.js';
+import { millis, plus } from '../model/units.js';
 import { isCrowded } from './places.js';
-import { allowed } from '../model/constraints.js';
+import { mayRunOn } from '../model/constraints.js';
 import {
   charge,
   deadlineAt,
@@ -102,7 +102,7 @@
 function isProtected(shard: Shard, b: Allocation, by: ShardJob, ctx: PlanContext): boolean {
   const job = shard.jobs.get(b.job);
   if (!job || by.spec.priority === Priority.critical || !job.record.done.isEmpty) return false;
-  return b.allocatedAt - job.firstSeen > OVERDUE_AFTER && ctx.now - b.allocatedAt < PROTECTED_FOR;
+  return b.allocatedAt - job.acceptedAt > OVERDUE_AFTER && ctx.now - b.allocatedAt < PROTECTED_FOR;
 }
 
 /** Would its team without this task still use all of a guarantee that the task counts for? None: it is all borrowed. */
@@ -169,7 +169,10 @@
 ): boolean {
   const critical = job.spec.priority === Priority.critical;
   const waited = ctx.now - Math.max(job.arrivedAt, job.waitingSince ?? ctx.now);
-  if (s.searches >= (critical ? MAX_CRITICAL_SEARCHES : MAX_PREEMPTION_SEARCHES) || ctx.now < job.searchAfter)
+  if (
+    s.searches >= (critical ? MAX_CRITICAL_SEARCHES : MAX_PREEMPTION_SEARCHES) ||
+    ctx.now < job.nextPreemptionSearchAt
+  )
     return false;
   if (!critical && deadlineAt(job) < ctx.now) return false;
   if (!holdersOnly && waited < PATIENCE && !(critical && waited >= criticalPatience(shard, job, ctx)))
@@ -180,7 +183,7 @@
   const best = cheapestPreemption(shard, job, pin, s, ctx, holdersOnly);
   if (!best) {
     // Nobody may be stopped for it: that changes with what runs, not from one round to the next.
-    if (!critical && !holdersOnly) job.searchAfter = plus(ctx.now, millis(SEARCH_AGAIN));
+    if (!critical && !holdersOnly) job.nextPreemptionSearchAt = plus(ctx.now, millis(SEARCH_AGAIN));
     if (alike !== null) noteFruitless(shard, alike, job.spec, ctx.now);
     return false;
   }
@@ -243,8 +246,8 @@
   const guaranteed = ctx.guaranteed(job.id);
   let best: Preemption | null = null;
   let found = 0;
-  for (const m of holdersOnly ? shard.totals.holdersOf(job.spec.image) : shard.machines.values()) {
-    if (isZero(m.preemptible) || !allowed(job.spec, m.type, m.zone, m.spot, pin)) continue;
+  for (const m of holdersOnly ? shard.totals.machinesWithImage(job.spec.image) : shard.machines.values()) {
+    if (isZero(m.preemptible) || !mayRunOn(job.spec, m.type, m.zone, m.spot, pin)) continue;
     const room = s.soon.get(m.id) ?? scratchRoom(m, s, ctx);
     if (!room || !fits(job.spec, add(room, m.preemptible))) continue;
     if (isCrowded(m, room, job.spec, ctx.types.get(m.type), ctx.now)) continue;
--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -4,7 +4,7 @@
  */
 import type { MachineType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
-import { allowed } from '../model/constraints.js';
+import { mayRunOn } from '../model/constraints.js';
 import {
   add,
   dominantShare,
@@ -15,7 +15,7 @@
   type Resources,
 } from '../model/resources.js';
 import { requiredZone, type Machine, type Shard, type ShardJob } from '../shards/model.js';
-import type { MachineId, ZoneId } from '../units.js';
+import type { MachineId, ZoneId } from '../model/units.js';
 import { chargeAll, scratchRoom, take, type Plan, type PlanContext, type Scratch } from './round.js';
 
 /** What finds no room, or no share of its team's limit, has some reserved after this time, in milliseconds. */
@@ -28,7 +28,7 @@
 /** How long the job has waited without any start; 0: it has begun. */
 export function unbegunFor(shard: Shard, job: ShardJob, ctx: PlanContext): number {
   const begun = !job.record.done.isEmpty || !job.finished.isEmpty || shard.allocationsByJob.has(job.id);
-  return begun ? 0 : ctx.now - job.firstSeen;
+  return begun ? 0 : ctx.now - job.acceptedAt;
 }
 
 /** Smaller tasks find a piece of some machine soon. */
@@ -60,7 +60,7 @@
   let best: { machine: Machine; room: MutableResources; free: number } | null = null;
   for (const machine of shard.machines.values()) {
     const type = ctx.types.get(machine.type);
-    if (!type || !needsMost(type, spec) || !allowed(spec, machine.type, machine.zone, machine.spot, pin))
+    if (!type || !needsMost(type, spec) || !mayRunOn(spec, machine.type, machine.zone, machine.spot, pin))
       continue;
     const room = scratchRoom(machine, s, ctx);
     if (!room) continue;
@@ -105,7 +105,7 @@
 /** At the end of its turn a gang gives up the places that were kept for it. */
 export function endGangTurn(shard: Shard, job: ShardJob, s: Scratch, ctx: PlanContext): void {
   if (mayKeepPlaces(shard, job, ctx)) return;
-  for (const [index, { machine, reserved }] of job.reservations) {
+  for (const [index, { machine, withoutPreemption: reserved }] of job.reservations) {
     if (!reserved) continue;
     take(s.room.get(machine), job.spec, -1);
     job.reservations.delete(index);
@@ -159,7 +159,8 @@
   let best: { readonly machine: Machine; readonly free: number } | null = null;
   for (const machine of shard.machines.values()) {
     const type = ctx.types.get(machine.type);
-    if (!type || !allowed(spec, machine.type, machine.zone, machine.spot, pin) || !mayTake(machine)) continue;
+    if (!type || !mayRunOn(spec, machine.type, machine.zone, machine.spot, pin) || !mayTake(machine))
+      continue;
     const room = scratchRoom(machine, s, ctx);
     if (!room || !fits(spec, add(room, machine.preemptible))) continue;
     const free = freeForReserve(room, type, spec);
--- a/src/placement/round.ts
+++ b/src/placement/round.ts
@@ -11,7 +11,7 @@
   type Resources,
 } from '../model/resources.js';
 import {
-  roomOn,
+  freeResources,
   usageOf,
   type Allocation,
   type Machine,
@@ -19,14 +19,14 @@
   type ShardJob,
 } from '../shards/model.js';
 import type { Team } from '../settings/settings.js';
-import type { Attempt, JobId, MachineId, SteadyMs, TeamId, TypeId } from '../units.js';
+import type { Attempt, JobId, MachineId, SteadyMs, TeamId, InstanceTypeId } from '../model/units.js';
 
 /** Without any start by then it goes before all but critical work, of whatever priority. One start ends that. */
 export const OVERDUE_AFTER = 150_000;
 
 export interface PlanContext {
   readonly now: SteadyMs;
-  readonly types: ReadonlyMap<TypeId, MachineType>;
+  readonly types: ReadonlyMap<InstanceTypeId, MachineType>;
   readonly teams: ReadonlyMap<TeamId, Team>;
   /** This part's share of the team's limit. */
   readonly share: (team: TeamId) => Resources;
@@ -115,7 +115,7 @@
   const known = s.room.get(m.id);
   if (known) return known;
   if (!usable(m, ctx)) return null;
-  const room = roomOn(m, ctx.types.get(m.type));
+  const room = freeResources(m, ctx.types.get(m.type));
   s.room.set(m.id, room);
   return room;
 }
@@ -136,22 +136,22 @@
 }
 
 export function deadlineAt(job: ShardJob): number {
-  return job.spec.deadlineS === null ? Infinity : job.firstSeen + job.spec.deadlineS * 1000;
+  return job.spec.deadlineS === null ? Infinity : job.acceptedAt + job.spec.deadlineS * 1000;
 }
 
 /** 0: its deadline can be kept; 1: its users' second measure of lateness can; 2: neither. */
 export function lateness(job: ShardJob, estimate: number, ctx: PlanContext): number {
   if (job.spec.deadlineS === null) return 0;
-  const left = ctx.now + estimate - job.firstSeen;
+  const left = ctx.now + estimate - job.acceptedAt;
   const due = job.spec.deadlineS * 1000;
   return left < due ? 0 : left < due * ctx.latest(job.spec.lane) ? 1 : 2;
 }
 
 export function usable(m: Machine, ctx: Pick<PlanContext, 'now' | 'reportMs'>): boolean {
-  if (m.unreachedSince !== null) return false;
-  if (!m.reconciled || m.draining || m.returning || m.interruptedAt !== null || ctx.now < m.quarantinedUntil)
+  if (m.unreachableSince !== null) return false;
+  if (!m.reconciled || m.draining || m.scalingIn || m.interruptedAt !== null || ctx.now < m.quarantinedUntil)
     return false;
-  return m.lastHeard !== null && ctx.now - m.lastHeard < ctx.reportMs * 2 + 1000;
+  return m.lastHeardAt !== null && ctx.now - m.lastHeardAt < ctx.reportMs * 2 + 1000;
 }
 
 export function startRound(shard: Shard): Scratch {
@@ -160,9 +160,9 @@
     room: new Map(),
     soon: new Map(),
     used: new Map(
-      [...usage.teams].map(([team, { cpus, gpus, memoryGb }]) => [team, { cpus, gpus, memoryGb }]),
+      [...usage.byTeam].map(([team, { cpus, gpus, memoryGb }]) => [team, { cpus, gpus, memoryGb }]),
     ),
-    anybody: usage.anybody,
+    anybody: usage.unattributed,
     stopping: new Set(),
     leaving: new Map(),
     searches: 0,
--- a/src/placement/scheduler.ts
+++ b/src/placement/scheduler.ts
@@ -17,8 +17,8 @@
 } from '../shards/model.js';
 import { Guarantees } from '../quota/guarantee.js';
 import type { QuotaTransferService } from '../quota/transfer-service.js';
-import type { Attempt, JobId, SteadyMs, TaskIndex, TeamId } from '../units.js';
-import { millis, plus, taskId } from '../units.js';
+import type { Attempt, JobId, SteadyMs, TaskIndex, TeamId } from '../model/units.js';
+import { millis, plus, taskId } from '../model/units.js';
 import type { WorkerService } from '../workers/service.js';
 import { chooseMove } from './consolidation.js';
 import { planRound } from './plan.js';
@@ -93,7 +93,7 @@
       this.armed = false;
       void this.core.exclusive(() => {
         this.lastRound = this.core.clock.now();
-        for (const shard of this.core.parts.values()) this.round(shard);
+        for (const shard of this.core.shards.values()) this.round(shard);
         this.lastCost = this.core.clock.now() - this.lastRound;
       });
     });
@@ -106,7 +106,7 @@
 
   private round(shard: Shard): void {
     const now = this.core.clock.now();
-    if (!this.core.authority(now)) return;
+    if (!this.core.mayCommand(now)) return;
     this.moveOffNoticed(shard);
     const context = this.context(now, shard);
     const plan = planRound(shard, context);
@@ -129,8 +129,8 @@
     const job = shard.jobs.get(move.binding.job);
     job?.reservations.set(move.binding.index, {
       machine: move.to.id,
-      until: plus(now, HOLD),
-      reserved: false,
+      reservedUntil: plus(now, HOLD),
+      withoutPreemption: false,
     });
     this.stop(shard, move.binding, 0);
   }
@@ -140,7 +140,7 @@
     const others = [...core.settings.parts].filter((p) => p.part !== shard.id);
     const elsewhere = new Map<TeamId, Resources>();
     for (const { part: id } of others) {
-      const used = core.parts.get(id)?.totals.teams ?? core.shardAnnouncements.get(id)?.used ?? [];
+      const used = core.shards.get(id)?.totals.usageByTeam ?? core.shardAnnouncements.get(id)?.usage ?? [];
       for (const [team, amount] of used) elsewhere.set(team, add(elsewhere.get(team) ?? ZERO, amount));
     }
     return {
@@ -153,7 +153,7 @@
       peerHasRoom: (spec) => this.peerHasRoom(shard, spec, now),
       latest: (lane) => core.settings.latest.get(lane) ?? 1,
       correction: (lane) => this.runTimes.correction(lane),
-      reportMs: core.reportMs,
+      reportMs: core.heartbeatIntervalMs,
       gangWaitMs: core.settings.gangWaitS * 1000,
     };
   }
@@ -170,12 +170,16 @@
     const gangs = new Map<JobId, Attempt>();
     for (const s of plan.starts) {
       const attempt = s.attempt ?? gangs.get(s.job.id) ?? shard.nextAttempt();
-      if (s.job.gang) gangs.set(s.job.id, attempt);
+      if (s.job.gangHistory) gangs.set(s.job.id, attempt);
       this.start(shard, s, attempt, now);
     }
     for (const s of plan.stops) this.stop(shard, s.binding, s.grace);
     for (const { job, index, machine, reserved } of plan.holds)
-      job.reservations.set(index, { machine, until: plus(now, reserved ? RESERVED : HOLD), reserved });
+      job.reservations.set(index, {
+        machine,
+        reservedUntil: plus(now, reserved ? RESERVED : HOLD),
+        withoutPreemption: reserved,
+      });
     const teamsThatWaitFor = (reason: 'room' | 'limit'): Set<TeamId> =>
       new Set(plan.unplaced.filter((u) => u.reason === reason).map((u) => u.job.spec.team));
     shard.teamsBlockedByCapacity = teamsThatWaitFor('room');
@@ -201,13 +205,13 @@
       runningSince: null,
       gatheringSince: null,
       stop: null,
-      inFlight: false,
-      due: true,
+      launchInFlight: false,
+      launchPending: true,
       unacknowledged: null,
-      answered: null,
+      answeredSequence: null,
     };
     allocate(shard, s.machine, allocation);
-    shard.due.add(s.machine);
+    shard.machinesWithPendingCommands.add(s.machine);
     this.core.log.debug({ task: allocation.id, machine: s.machine.id, attempt: allocation.attempt }, 'start');
   }
 
@@ -222,18 +226,24 @@
     if (!machine || (b.stop && b.stop.grace <= grace)) return;
     this.core.log.debug({ task: b.id, machine: b.machine, grace }, 'stop');
     // Never sent: there is nothing to stop.
-    if (b.phase === 'ordered' && b.due && !b.inFlight && !b.unacknowledged && b.answered === null)
+    if (
+      b.phase === 'ordered' &&
+      b.launchPending &&
+      !b.launchInFlight &&
+      !b.unacknowledged &&
+      b.answeredSequence === null
+    )
       release(shard, machine, b);
     else {
       b.stop = { grace, direct: 'due' };
       shard.stopping.add(b);
-      shard.due.add(machine);
+      shard.machinesWithPendingCommands.add(machine);
     }
   }
 
   /** The job is over: every task of it is stopped, and counts until it is seen gone. */
   stopJob(job: Allocation['job']): void {
-    for (const shard of this.core.parts.values()) {
+    for (const shard of this.core.shards.values()) {
       shard.jobs.delete(job);
       for (const b of [...(shard.allocationsByJob.get(job) ?? [])]) this.stop(shard, b, 0);
     }
--- a/src/quota/guarantee.ts
+++ b/src/quota/guarantee.ts
@@ -2,7 +2,7 @@
 import type { JobRecord } from '../jobs/record.js';
 import { addTo, fits, mapResources, ZERO, type MutableResources } from '../model/resources.js';
 import type { Team } from '../settings/settings.js';
-import type { JobId, TeamId } from '../units.js';
+import type { JobId, TeamId } from '../model/units.js';
 
 /** What asks only for resources without a guarantee is not guaranteed; what asks for nothing always is. */
 function asksForGuaranteed({ spec }: JobRecord, { guarantee }: Team): boolean {
--- a/src/quota/remainder.ts
+++ b/src/quota/remainder.ts
@@ -6,7 +6,7 @@
  * complete the share of a task there. So pieces that are too small even together do not go back and forth.
  */
 import { fits, mapResources, RESOURCE_KINDS, type Resources } from '../model/resources.js';
-import type { ShardId } from '../units.js';
+import type { ShardId } from '../model/units.js';
 
 export const fitsAny = (left: Resources, tasks: readonly Resources[]): boolean =>
   tasks.some((task) => fits(task, left));
--- a/src/quota/shares.ts
+++ b/src/quota/shares.ts
@@ -2,13 +2,13 @@
 import * as v from 'valibot';
 import { add, mapResources, subtract, UNLIMITED, type Resources } from '../model/resources.js';
 import type { Team } from '../settings/settings.js';
-import type { ShardId, StateKey, TeamId } from '../units.js';
+import type { ShardId, StoreKey, TeamId } from '../model/units.js';
 
 /** Shares by part; they never add up to more than the team's limit. Of what is unlimited every part has no end. */
 export type Shares = readonly Resources[];
 
 export const QUOTA = 'c/quota/';
-export const quotaKey = (team: TeamId): StateKey => `${QUOTA}${encodeURIComponent(team)}` as StateKey;
+export const quotaKey = (team: TeamId): StoreKey => `${QUOTA}${encodeURIComponent(team)}` as StoreKey;
 
 const record = v.object({
   max: v.tuple([v.number(), v.number()]),
--- a/src/quota/transfer-service.ts
+++ b/src/quota/transfer-service.ts
@@ -9,15 +9,15 @@
   mapResources,
   RESOURCE_KINDS,
   subtract,
-  times,
+  fittingRatio,
   UNLIMITED,
   ZERO,
   type MutableResources,
   type Resources,
 } from '../model/resources.js';
-import { leastStart, usageOf, type Shard, type ShardJob } from '../shards/model.js';
+import { minimumToStart, usageOf, type Shard, type ShardJob } from '../shards/model.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import type { ShardId, Revision, SteadyMs, TeamId } from '../units.js';
+import type { ShardId, Revision, SteadyMs, TeamId } from '../model/units.js';
 import { fitsAny, mayMove, missingForOne } from './remainder.js';
 import { decodeShares, encodeShares, transferableQuota, moveShare, quotaKey, type Shares } from './shares.js';
 
@@ -43,10 +43,14 @@
     const settings = this.core.settings.teams.get(team);
     if (!settings) return null;
     const key = quotaKey(team);
-    const version = this.core.view.version(key);
+    const version = this.core.storeCache.version(key);
     const known = this.decoded.get(team);
     if (known?.version === version) return known;
-    const shares = decodeShares(this.core.view.get(key)?.value, settings, this.core.settings.parts.length);
+    const shares = decodeShares(
+      this.core.storeCache.get(key)?.value,
+      settings,
+      this.core.settings.parts.length,
+    );
     const fresh = { shares, version };
     this.decoded.set(team, fresh);
     return fresh;
@@ -73,7 +77,7 @@
   private ordinaryNeed(shard: Shard, team: TeamId): Resources {
     const waits = this.waiting(shard, team);
     if (!shard.teamsBlockedByCapacity.has(team)) return waits;
-    const used = shard.totals.teams.get(team) ?? ZERO;
+    const used = shard.totals.usageByTeam.get(team) ?? ZERO;
     const limit = this.core.settings.teams.get(team)?.limit ?? ZERO;
     const even = 1 / this.core.settings.parts.length;
     return mapResources((kind) => {
@@ -95,7 +99,7 @@
   }
 
   private waitingTasks(shard: Shard, team: TeamId): Resources[] {
-    return this.waitingJobs(shard, team).map(leastStart);
+    return this.waitingJobs(shard, team).map(minimumToStart);
   }
 
   /** Of our share; of what is unlimited there is no end, whatever is used. */
@@ -107,7 +111,7 @@
 
   private used(shard: Shard, team: TeamId): Resources {
     const usage = usageOf(shard);
-    return add(usage.teams.get(team) ?? ZERO, usage.anybody);
+    return add(usage.byTeam.get(team) ?? ZERO, usage.unattributed);
   }
 
   /** Of two parts that gather for the same team the one with the lower number goes first. */
@@ -154,7 +158,7 @@
     let best: { part: ShardId; spare: number } | null = null;
     for (const { part: other } of this.core.settings.parts) {
       if (other === shard.id) continue;
-      const spare = times(this.spareOf(other, team, now), amount);
+      const spare = fittingRatio(this.spareOf(other, team, now), amount);
       if (spare > 0 && (!best || spare > best.spare)) best = { part: other, spare };
     }
     if (!best) {
@@ -173,16 +177,16 @@
   }
 
   private send(ask: QuotaTransferRequest): void {
-    if (this.core.parts.has(ask.to)) void this.answer(ask);
+    if (this.core.shards.has(ask.to)) void this.answer(ask);
     else {
-      const owner = this.core.shardRecord(ask.to)?.owner;
-      if (owner) this.core.mesh.send(owner, encodePeerMessage(ask));
+      const owner = this.core.shardRecord(ask.to)?.leader;
+      if (owner) this.core.peerTransport.send(owner, encodePeerMessage(ask));
     }
   }
 
   /** What is missing for one task, asked of every other part: each may have a piece that is too small for any task. */
   private gather(shard: Shard, team: TeamId, needed: Resources, now: SteadyMs): void {
-    const left = subtract(this.share(shard.id, team), shard.totals.teams.get(team) ?? ZERO);
+    const left = subtract(this.share(shard.id, team), shard.totals.usageByTeam.get(team) ?? ZERO);
     const missing = mapResources((kind) => Math.max(0, needed[kind] - left[kind]));
     if (RESOURCE_KINDS.every((kind) => missing[kind] <= 0)) return;
     this.asked.set(`${shard.id}/${team}`, now);
@@ -241,16 +245,16 @@
   }
 
   private spareOf(shard: ShardId, team: TeamId, now: SteadyMs): Resources {
-    const own = this.core.parts.get(shard);
+    const own = this.core.shards.get(shard);
     if (own) return this.usable(own, team, UNLIMITED);
     const news = this.core.shardAnnouncements.get(shard);
-    return news && news.expires > now ? (news.spare.get(team) ?? ZERO) : ZERO;
+    return news && news.expiresAt > now ? (news.unusedQuota.get(team) ?? ZERO) : ZERO;
   }
 
   /** Gives what is unused, in one write on condition that we still own the part. */
   async answer(ask: QuotaTransferRequest): Promise<void> {
     const { core } = this;
-    const shard = core.parts.get(ask.to);
+    const shard = core.shards.get(ask.to);
     const team = core.settings.teams.get(ask.team);
     const key = `${ask.to}/${ask.team}`;
     const known = this.shares(ask.team);
@@ -261,13 +265,13 @@
     this.pending.set(key, amount);
     const value = encodeShares(team, moveShare(known.shares, ask.to, ask.from, amount));
     const quota = quotaKey(ask.team);
-    const result = await core.settle(
-      [{ key: quota, version: known.version }, core.ownerCondition(shard)],
+    const result = await core.compareAndSwapUntilCertain(
+      [{ key: quota, version: known.version }, core.leaderCondition(shard)],
       [{ op: 'put', key: quota, value }],
-      RequestPriority.handover,
+      RequestPriority.handOver,
     );
     await core.exclusive(() => {
-      if (result.kind === 'done') core.view.learn(quota, value, result.revision);
+      if (result.kind === 'done') core.storeCache.apply(quota, value, result.revision);
     });
     // After a conflict the record has moved on; until the feed shows it, what was given stays subtracted.
     if (result.kind === 'conflict') await this.awaitNewer(quota, known.version, shard);
@@ -282,16 +286,18 @@
       },
       'share moved',
     );
-    core.wake();
+    core.requestCycle();
   }
 
   private async awaitNewer(key: ReturnType<typeof quotaKey>, version: Revision, shard: Shard): Promise<void> {
     for (let i = 0; i < 300; i += 1) {
-      const moved = this.core.view.version(key) !== version || this.core.parts.get(shard.id) !== shard;
-      if (moved || this.core.ownerCondition(shard).version !== shard.version) return;
-      const read = await this.core.state.get(key, RequestPriority.handover);
+      const moved = this.core.storeCache.version(key) !== version || this.core.shards.get(shard.id) !== shard;
+      if (moved || this.core.leaderCondition(shard).version !== shard.version) return;
+      const read = await this.core.store.get(key, RequestPriority.handOver);
       if (read.kind === 'found')
-        await this.core.exclusive(() => this.core.view.learn(key, read.entry.value, read.entry.version));
+        await this.core.exclusive(() =>
+          this.core.storeCache.apply(key, read.entry.value, read.entry.version),
+        );
       if (read.kind === 'absent' || (read.kind === 'found' && read.entry.version === version)) return;
       await this.core.sleep(100 as never);
     }
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -4,7 +4,7 @@
 import { parse as parseProperties } from 'dot-properties';
 import * as v from 'valibot';
 import { RESOURCE_KINDS, UNLIMITED, ZERO, type Resources } from '../model/resources.js';
-import type { Address, Millis, NodeId, ShardId, Seconds, TeamId, ZoneId } from '../units.js';
+import type { Address, Millis, ControllerId, ShardId, Seconds, TeamId, ZoneId } from '../model/units.js';
 
 /** A setting that ends the start: one line naming file, field and what was expected. */
 export class SettingsError extends Error {}
@@ -89,7 +89,7 @@
 });
 
 export interface Peer {
-  readonly node: NodeId;
+  readonly node: ControllerId;
   readonly zone: ZoneId;
   readonly address: Address;
   readonly part: ShardId;
@@ -104,7 +104,7 @@
 }
 
 export interface Settings {
-  readonly node: NodeId;
+  readonly node: ControllerId;
   readonly zone: ZoneId;
   readonly part: ShardId;
   readonly listen: Address;
@@ -112,7 +112,7 @@
   /** The other controllers. */
   readonly peers: readonly Peer[];
   /** Every part with its home controller, in part order. */
-  readonly parts: readonly { part: ShardId; node: NodeId; zone: ZoneId }[];
+  readonly parts: readonly { part: ShardId; node: ControllerId; zone: ZoneId }[];
   readonly cloud: Address;
   readonly state: Address;
   readonly zones: readonly ZoneId[];
@@ -143,7 +143,11 @@
 function partsOf(raw: v.InferOutput<typeof schema>): Settings['parts'] {
   const all = [{ label: raw.label, domain: raw.domain }, ...raw.known];
   const sorted = [...all].sort((a, b) => (a.label < b.label ? -1 : 1));
-  return sorted.map((n, i) => ({ part: i as ShardId, node: n.label as NodeId, zone: n.domain as ZoneId }));
+  return sorted.map((n, i) => ({
+    part: i as ShardId,
+    node: n.label as ControllerId,
+    zone: n.domain as ZoneId,
+  }));
 }
 
 function fieldOf(issue: v.BaseIssue<unknown>): string {
@@ -240,13 +244,13 @@
     );
   }
   return {
-    node: raw.label as NodeId,
+    node: raw.label as ControllerId,
     zone: raw.domain as ZoneId,
     part: partOf(raw.label),
     listen: raw.bind as Address,
     meshListen: raw.mesh_addr as Address,
     peers: raw.known.map((k) => ({
-      node: k.label as NodeId,
+      node: k.label as ControllerId,
       zone: k.domain as ZoneId,
       address: k.peer_addr as Address,
       part: partOf(k.label),
--- a/src/shards/job.ts
+++ b/src/shards/job.ts
@@ -3,16 +3,16 @@
 import type { JobSpec } from '../jobs/spec.js';
 import { newGangHistory, type GangHistory } from '../model/gang.js';
 import { scale, type Resources } from '../model/resources.js';
-import { RangeSet } from '../ranges.js';
-import { steady } from '../units.js';
-import type { JobId, MachineId, Millis, Revision, SteadyMs, ZoneId } from '../units.js';
+import { RangeSet } from '../model/ranges.js';
+import { steady } from '../model/units.js';
+import type { JobId, MachineId, Millis, Revision, SteadyMs, ZoneId } from '../model/units.js';
 
 /** A place kept for a task until those stopped for it are gone. */
 export interface Reservation {
   readonly machine: MachineId;
-  readonly until: SteadyMs;
+  readonly reservedUntil: SteadyMs;
   /** For a job that has waited too long: nothing is stopped for it, the machine empties by itself. */
-  readonly reserved: boolean;
+  readonly withoutPreemption: boolean;
 }
 
 export interface ShardJob {
@@ -27,29 +27,29 @@
   /** Done, not yet in the record. */
   readonly finished: RangeSet;
   /** Being handed to another part: the write's outcome is open. */
-  readonly moving: RangeSet;
+  readonly handingOver: RangeSet;
   readonly reservations: Map<number, Reservation>;
   /** When it was accepted, by our clock; before this process began, perhaps. */
-  readonly firstSeen: SteadyMs;
+  readonly acceptedAt: SteadyMs;
   /** Since when tasks of it have been waiting for room. */
   waitingSince: SteadyMs | null;
-  notBefore: SteadyMs;
+  backoffUntil: SteadyMs;
   /** Nobody could be stopped for it: no new search before this time. */
-  searchAfter: SteadyMs;
+  nextPreemptionSearchAt: SteadyMs;
   errors: number;
   successes: number;
-  readonly errorMachines: Set<MachineId>;
+  readonly failedMachines: Set<MachineId>;
   arrivedAt: SteadyMs;
   /** What is known of the attempts of its tasks together; null: no gang. */
-  readonly gang: GangHistory | null;
+  readonly gangHistory: GangHistory | null;
 }
 
 export function newShardJob(
   record: JobRecord,
   version: Revision,
   now: SteadyMs,
-  open: RangeSet,
-  atClaim: boolean,
+  unfinished: RangeSet,
+  atAcquisition: boolean,
   age: Millis,
 ): ShardJob {
   return {
@@ -57,26 +57,26 @@
     spec: record.spec,
     record,
     version,
-    waiting: atClaim ? RangeSet.empty() : open,
-    unaccounted: atClaim ? open : RangeSet.empty(),
+    waiting: atAcquisition ? RangeSet.empty() : unfinished,
+    unaccounted: atAcquisition ? unfinished : RangeSet.empty(),
     finished: RangeSet.empty(),
-    moving: RangeSet.empty(),
+    handingOver: RangeSet.empty(),
     reservations: new Map(),
-    firstSeen: steady(now - age),
+    acceptedAt: steady(now - age),
     waitingSince: null,
-    notBefore: now,
-    searchAfter: now,
+    backoffUntil: now,
+    nextPreemptionSearchAt: now,
     errors: 0,
     successes: 0,
-    errorMachines: new Set(),
+    failedMachines: new Set(),
     arrivedAt: now,
-    gang: record.spec.shape === 'gang' ? newGangHistory() : null,
+    gangHistory: record.spec.shape === 'gang' ? newGangHistory() : null,
   };
 }
 
 /** What must be had at once for anything of the job to start: of a gang all tasks, else one. */
-export const leastStart = (job: ShardJob): Resources =>
-  job.gang ? scale(job.spec, job.waiting.size + job.unaccounted.size) : job.spec;
+export const minimumToStart = (job: ShardJob): Resources =>
+  job.gangHistory ? scale(job.spec, job.waiting.size + job.unaccounted.size) : job.spec;
 
 export const requiredZone = (job: ShardJob, index: number): ZoneId | null => zoneOf(job.record, index);
 
@@ -89,23 +89,27 @@
 
 /** The waiting tasks of a job as runs, in the order of their numbers. */
 export function waitingRuns(job: ShardJob): WaitingRun[] {
-  const out: WaitingRun[] = [];
+  const runs: WaitingRun[] = [];
   const { assignments } = job.record;
   let next = 0;
   for (const [from, to] of job.waiting.ranges()) {
     while (next < assignments.length && (assignments[next] as Assignment).to <= from) next += 1;
     for (let i = next; i < assignments.length; i += 1) {
-      const a = assignments[i] as Assignment;
-      if (a.from >= to) break;
-      out.push({ from: Math.max(from, a.from), to: Math.min(to, a.to), zone: a.zone });
+      const assignment = assignments[i] as Assignment;
+      if (assignment.from >= to) break;
+      runs.push({
+        from: Math.max(from, assignment.from),
+        to: Math.min(to, assignment.to),
+        zone: assignment.zone,
+      });
     }
   }
-  return out;
+  return runs;
 }
 
 /** How many tasks of a job wait for each zone. */
 export function waitingByZone(job: ShardJob): Map<ZoneId | null, number> {
-  const out = new Map<ZoneId | null, number>();
-  for (const { from, to, zone } of waitingRuns(job)) out.set(zone, (out.get(zone) ?? 0) + to - from);
-  return out;
+  const counts = new Map<ZoneId | null, number>();
+  for (const { from, to, zone } of waitingRuns(job)) counts.set(zone, (counts.get(zone) ?? 0) + to - from);
+  return counts;
 }
--- a/src/shards/machine.ts
+++ b/src/shards/machine.ts
@@ -15,15 +15,15 @@
   TaskId,
   TaskIndex,
   FencingToken,
-  TypeId,
+  InstanceTypeId,
   ZoneId,
-} from '../units.js';
+} from '../model/units.js';
 
 /** A direct launch without an answer: it may be carried out as long as token and session match. */
 export interface UnacknowledgedLaunch {
-  readonly token: FencingToken;
-  readonly session: AgentEpoch;
-  readonly since: SteadyMs;
+  readonly fencingToken: FencingToken;
+  readonly agentEpoch: AgentEpoch;
+  readonly sentAt: SteadyMs;
 }
 
 export interface Allocation {
@@ -42,15 +42,15 @@
   gatheringSince: SteadyMs | null;
   stop: { grace: number; direct: 'due' | 'sent' } | null;
   /** A direct request carrying its launch is on its way. */
-  inFlight: boolean;
+  launchInFlight: boolean;
   /** A direct launch is due. */
-  due: boolean;
+  launchPending: boolean;
   unacknowledged: UnacknowledgedLaunch | null;
   /** Number of the report whose answer carried the launch last. */
-  answered: Sequence | null;
+  answeredSequence: Sequence | null;
 }
 
-export interface Exited {
+export interface ExitedTask {
   readonly id: TaskId;
   readonly job: JobId;
   readonly index: TaskIndex;
@@ -62,22 +62,22 @@
 export interface Machine {
   readonly id: MachineId;
   address: Address;
-  readonly type: TypeId;
+  readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
-  session: AgentEpoch;
+  agentEpoch: AgentEpoch;
   sequence: Sequence;
-  token: FencingToken;
+  fencingToken: FencingToken;
   /** A report of an earlier session than this describes tasks that are certainly gone. */
-  leastSession: AgentEpoch;
-  lastHeard: SteadyMs | null;
+  minimumAgentEpoch: AgentEpoch;
+  lastHeardAt: SteadyMs | null;
   /** Since when its reports come without a gap. */
-  heardSince: SteadyMs | null;
+  continuouslyHeardSince: SteadyMs | null;
   /** Receipt of the last report that we may have answered. */
-  lastReport: SteadyMs | null;
-  lastReportSequence: Sequence | null;
+  lastHeartbeatAt: SteadyMs | null;
+  lastHeartbeatSequence: Sequence | null;
   /** When we first heard of its present session, whose lease began before that. */
-  sessionSeen: SteadyMs | null;
+  agentEpochSeenAt: SteadyMs | null;
   /** Since the claim it has reported under our token, or its lease is certainly over. */
   reconciled: boolean;
   /** When the cloud takes it, once it said so. */
@@ -87,42 +87,42 @@
   readonly used: MutableResources;
   /** What bindings below critical take of it, and how many bindings are of unknown size. */
   readonly preemptible: MutableResources;
-  unknownSize: number;
+  unknownSizeCount: number;
   /** How many bindings need each image: it is there, or on its way. */
-  readonly wanted: Map<ImageId, number>;
-  exited: Map<TaskId, Exited>;
+  readonly requiredImages: Map<ImageId, number>;
+  exitedTasks: Map<TaskId, ExitedTask>;
   /** Images it should hold, the least recently used first; `Part.sawImage` keeps them within its cache. */
   readonly images: Map<ImageId, number>;
-  directBusy: boolean;
+  directRequestInFlight: boolean;
   /**
    * Since when nothing of ours has certainly arrived there; null while it is reached. Reports prove nothing: a
    * machine may be heard and not hear us. Nothing new is placed on it until it answers a direct request.
    */
-  unreachedSince: SteadyMs | null;
+  unreachableSince: SteadyMs | null;
   /** Direct requests in a row that it did not answer. */
-  missedCalls: number;
+  missedDirectRequests: number;
   /** When we first answered a report of it that did not show our token yet. */
-  answeredUnreconciled: SteadyMs | null;
+  answeredUnreconciledAt: SteadyMs | null;
   /** Receipt of the last report that we refused because our answers do not reach the machine. */
-  refusedUnreachable: SteadyMs | null;
+  refusedUnreachableAt: SteadyMs | null;
   /** No new tasks before this time: it refused, failed or could not be reached. */
   quarantinedUntil: SteadyMs;
-  faults: { at: SteadyMs; job: JobId }[];
+  taskFailures: { at: SteadyMs; job: JobId }[];
   /** It is to go to another pool and takes no more tasks. */
   draining: boolean;
-  returning: boolean;
+  scalingIn: boolean;
   idleSince: SteadyMs | null;
-  readonly since: SteadyMs;
+  readonly addedAt: SteadyMs;
 }
 
 export function newMachine(
   id: MachineId,
   address: Address,
-  type: TypeId,
+  type: InstanceTypeId,
   zone: ZoneId,
   spot: boolean,
   now: SteadyMs,
-  settled: boolean,
+  reconciled: boolean,
 ): Machine {
   return {
     id,
@@ -130,43 +130,43 @@
     type,
     zone,
     spot,
-    session: 0 as AgentEpoch,
+    agentEpoch: 0 as AgentEpoch,
     sequence: 0 as Sequence,
-    token: 0 as FencingToken,
-    leastSession: 0 as AgentEpoch,
-    lastHeard: null,
-    heardSince: null,
-    lastReport: null,
-    lastReportSequence: null,
-    sessionSeen: null,
-    reconciled: settled,
+    fencingToken: 0 as FencingToken,
+    minimumAgentEpoch: 0 as AgentEpoch,
+    lastHeardAt: null,
+    continuouslyHeardSince: null,
+    lastHeartbeatAt: null,
+    lastHeartbeatSequence: null,
+    agentEpochSeenAt: null,
+    reconciled: reconciled,
     interruptedAt: null,
     allocations: new Map(),
     used: { ...ZERO },
     preemptible: { ...ZERO },
-    unknownSize: 0,
-    wanted: new Map(),
-    exited: new Map(),
+    unknownSizeCount: 0,
+    requiredImages: new Map(),
+    exitedTasks: new Map(),
     images: new Map(),
-    directBusy: false,
-    unreachedSince: null,
-    missedCalls: 0,
-    answeredUnreconciled: null,
-    refusedUnreachable: null,
+    directRequestInFlight: false,
+    unreachableSince: null,
+    missedDirectRequests: 0,
+    answeredUnreconciledAt: null,
+    refusedUnreachableAt: null,
     quarantinedUntil: now,
-    faults: [],
+    taskFailures: [],
     draining: false,
-    returning: false,
+    scalingIn: false,
     idleSince: null,
-    since: now,
+    addedAt: now,
   };
 }
 
 /** A machine whose tasks, or whose tasks' sizes, we do not know in full. */
-export const isUnclear = (m: Machine): boolean => !m.reconciled || m.unknownSize > 0;
+export const hasUnknownUsage = (m: Machine): boolean => !m.reconciled || m.unknownSizeCount > 0;
 
 /** What is free on a machine; nothing while something of unknown size is on it. */
-export function roomOn(machine: Machine, type: MachineType | undefined): MutableResources {
-  if (!type || machine.unknownSize > 0) return { ...ZERO };
+export function freeResources(machine: Machine, type: MachineType | undefined): MutableResources {
+  if (!type || machine.unknownSizeCount > 0) return { ...ZERO };
   return subtract(type, machine.used);
 }
--- a/src/shards/model.ts
+++ b/src/shards/model.ts
@@ -1,7 +1,7 @@
 /** The model of a part, in one place for its users. */
-export { attach, allocate, release } from './allocations.js';
+export { addToMachine, allocate, release } from './allocations.js';
 export {
-  leastStart,
+  minimumToStart,
   requiredZone,
   waitingByZone,
   waitingRuns,
@@ -9,13 +9,13 @@
   type ShardJob,
 } from './job.js';
 export {
-  isUnclear,
+  hasUnknownUsage,
   newMachine,
-  roomOn,
+  freeResources,
   type Allocation,
   type UnacknowledgedLaunch,
-  type Exited,
+  type ExitedTask,
   type Machine,
 } from './machine.js';
 export { Shard, usageOf, type Usage } from './shard.js';
-export { isOurs, syncJob } from './sync.js';
+export { isAssignedTo, syncJob } from './sync.js';
--- a/src/shards/registered-machines.ts
+++ b/src/shards/registered-machines.ts
@@ -1,21 +1,21 @@
 /** Which machines the state service names for which part, counted as they come and go. */
 import type { MachineType } from '../cloud/wire.js';
 import { addTo, ZERO, type MutableResources, type Resources } from '../model/resources.js';
-import type { MachineId, ShardId, TypeId } from '../units.js';
-import type { MachineRecord } from './records.js';
+import type { MachineId, ShardId, InstanceTypeId } from '../model/units.js';
+import type { MachineRecord } from './codec.js';
 
 const ONE_CPU: Resources = { ...ZERO, cpus: 1 };
 
 export class RegisteredMachines {
   private readonly records = new Map<MachineId, MachineRecord>();
-  private readonly counts = new Map<ShardId, Map<TypeId, number>>();
+  private readonly counts = new Map<ShardId, Map<InstanceTypeId, number>>();
 
   /** How many machines there are in all pools. */
   get size(): number {
     return this.records.size;
   }
 
-  learn(id: MachineId, record: MachineRecord | null): void {
+  update(id: MachineId, record: MachineRecord | null): void {
     const before = this.records.get(id);
     if (before) this.count(before, -1);
     if (record) {
@@ -24,13 +24,13 @@
     } else this.records.delete(id);
   }
 
-  private count({ part: shard, type }: MachineRecord, sign: 1 | -1): void {
-    const types = this.counts.get(shard) ?? new Map<TypeId, number>();
+  private count({ shard: shard, type }: MachineRecord, sign: 1 | -1): void {
+    const types = this.counts.get(shard) ?? new Map<InstanceTypeId, number>();
     this.counts.set(shard, types.set(type, (types.get(type) ?? 0) + sign));
   }
 
   /** What a part's machines have together; a machine of unknown type counts as one CPU. */
-  capacity(shard: ShardId, types: ReadonlyMap<TypeId, MachineType>): Resources {
+  capacity(shard: ShardId, types: ReadonlyMap<InstanceTypeId, MachineType>): Resources {
     const sum: MutableResources = { ...ZERO };
     for (const [type, count] of this.counts.get(shard) ?? []) addTo(sum, types.get(type) ?? ONE_CPU, count);
     return sum;
--- a/src/shards/statistics.ts
+++ b/src/shards/statistics.ts
@@ -1,8 +1,8 @@
 /** What a part's room goes to, for the log: one line that says where capacity is lost. */
 import { addTo, mapResources, ZERO, type MutableResources, type Resources } from '../model/resources.js';
 import { usable } from '../placement/round.js';
-import type { SteadyMs, TeamId } from '../units.js';
-import { roomOn, type Allocation, type Shard } from './model.js';
+import type { SteadyMs, TeamId } from '../model/units.js';
+import { freeResources, type Allocation, type Shard } from './model.js';
 
 export interface ShardStatistics {
   readonly machines: number;
@@ -10,7 +10,7 @@
   readonly unusable: number;
   /** Of all machines, and what is bound to them by phase. */
   readonly capacity: Resources;
-  readonly bound: Readonly<Record<Allocation['phase'] | 'stopping', Resources>>;
+  readonly allocated: Readonly<Record<Allocation['phase'] | 'stopping', Resources>>;
   /** On usable machines, and of waiting tasks. */
   readonly free: Resources;
   readonly waiting: Resources;
@@ -19,9 +19,9 @@
 }
 
 export interface TeamStatistics {
-  readonly used: Resources;
+  readonly usage: Resources;
   /** This part's share of the limit. */
-  readonly share: Resources;
+  readonly shardQuota: Resources;
   readonly waiting: Resources;
 }
 
@@ -31,37 +31,38 @@
   shard: Shard,
   now: SteadyMs,
   reportMs: number,
-  share: (team: TeamId) => Resources,
+  shardQuota: (team: TeamId) => Resources,
 ): ShardStatistics {
   const capacity: MutableResources = { ...ZERO };
   const free: MutableResources = { ...ZERO };
   const waiting: MutableResources = { ...ZERO };
   let unusable = 0;
-  for (const m of shard.machines.values()) {
-    addTo(capacity, shard.types.get(m.type) ?? ZERO);
-    if (usable(m, { now, reportMs })) addTo(free, roomOn(m, shard.types.get(m.type)));
+  for (const machine of shard.machines.values()) {
+    addTo(capacity, shard.types.get(machine.type) ?? ZERO);
+    if (usable(machine, { now, reportMs }))
+      addTo(free, freeResources(machine, shard.types.get(machine.type)));
     else unusable += 1;
   }
-  const waits = waitingByTeam(shard);
-  for (const amount of waits.values()) addTo(waiting, amount);
+  const waitingTotals = waitingByTeam(shard);
+  for (const amount of waitingTotals.values()) addTo(waiting, amount);
   const teams: Record<string, TeamStatistics> = {};
-  for (const [team, amount] of waits) {
-    const used = rounded(shard.totals.teams.get(team) ?? ZERO);
-    teams[team] = { used, share: rounded(share(team)), waiting: rounded(amount) };
+  for (const [team, amount] of waitingTotals) {
+    const used = rounded(shard.totals.usageByTeam.get(team) ?? ZERO);
+    teams[team] = { usage: used, shardQuota: rounded(shardQuota(team)), waiting: rounded(amount) };
   }
   return {
     machines: shard.machines.size,
     unusable,
     capacity,
-    bound: boundByPhase(shard),
+    allocated: allocatedByPhase(shard),
     free: rounded(free),
     waiting: rounded(waiting),
     teams,
   };
 }
 
-function boundByPhase(shard: Shard): ShardStatistics['bound'] {
-  const sums: Record<keyof ShardStatistics['bound'], MutableResources> = {
+function allocatedByPhase(shard: Shard): ShardStatistics['allocated'] {
+  const totals: Record<keyof ShardStatistics['allocated'], MutableResources> = {
     ordered: { ...ZERO },
     fetching: { ...ZERO },
     gathering: { ...ZERO },
@@ -69,8 +70,9 @@
     saving: { ...ZERO },
     stopping: { ...ZERO },
   };
-  for (const b of shard.allocations.values()) addTo(sums[b.stop ? 'stopping' : b.phase], b.spec ?? ZERO);
-  const { ordered, fetching, gathering, running, saving, stopping } = sums;
+  for (const allocation of shard.allocations.values())
+    addTo(totals[allocation.stop ? 'stopping' : allocation.phase], allocation.spec ?? ZERO);
+  const { ordered, fetching, gathering, running, saving, stopping } = totals;
   return {
     ordered: rounded(ordered),
     fetching: rounded(fetching),
@@ -82,12 +84,12 @@
 }
 
 function waitingByTeam(shard: Shard): Map<TeamId, MutableResources> {
-  const out = new Map<TeamId, MutableResources>();
+  const totals = new Map<TeamId, MutableResources>();
   for (const job of shard.queue) {
     if (job.waiting.isEmpty) continue;
-    const sum = out.get(job.spec.team) ?? { ...ZERO };
+    const sum = totals.get(job.spec.team) ?? { ...ZERO };
     addTo(sum, job.spec, job.waiting.size);
-    out.set(job.spec.team, sum);
+    totals.set(job.spec.team, sum);
   }
-  return out;
+  return totals;
 }
--- a/src/shards/totals.ts
+++ b/src/shards/totals.ts
@@ -17,113 +17,113 @@
   type Resources,
 } from '../model/resources.js';
 import type { JobSpec } from '../jobs/spec.js';
-import type { ImageId, TeamId, TypeId } from '../units.js';
-import { isUnclear, roomOn, type Machine } from './machine.js';
+import type { ImageId, TeamId, InstanceTypeId } from '../model/units.js';
+import { hasUnknownUsage, freeResources, type Machine } from './machine.js';
 
 /** A machine without anything free of a resource is in no level of it. */
-const FULL = -1;
+const NO_LEVEL = -1;
 
 /** Machines by how much they have free of one resource, rounded down. */
-class FreeLevels {
+class FreeCapacityIndex {
   private readonly levels: (Set<Machine> | undefined)[] = [];
   private readonly levelOf = new Map<Machine, number>();
 
-  file(machine: Machine, free: number): void {
-    const level = free <= TOLERANCE ? FULL : Math.floor(free + TOLERANCE);
+  update(machine: Machine, free: number): void {
+    const level = free <= TOLERANCE ? NO_LEVEL : Math.floor(free + TOLERANCE);
     const before = this.levelOf.get(machine);
     if (before === level) return;
     if (before !== undefined) this.levels[before]?.delete(machine);
     this.levelOf.set(machine, level);
-    if (level !== FULL) (this.levels[level] ??= new Set()).add(machine);
+    if (level !== NO_LEVEL) (this.levels[level] ??= new Set()).add(machine);
   }
 
-  forget(machine: Machine): void {
+  remove(machine: Machine): void {
     const level = this.levelOf.get(machine);
     if (level !== undefined) this.levels[level]?.delete(machine);
     this.levelOf.delete(machine);
   }
 
-  *from(amount: number): Generator<Machine> {
-    for (let i = Math.floor(amount); i < this.levels.length; i += 1) yield* this.levels[i] ?? NOBODY;
+  *atLeast(amount: number): Generator<Machine> {
+    for (let i = Math.floor(amount); i < this.levels.length; i += 1) yield* this.levels[i] ?? NO_MACHINES;
   }
 }
 
-interface TeamUse extends MutableResources {
+interface TeamUsage extends MutableResources {
   tasks: number;
 }
 
 export class ShardTotals {
-  readonly teams = new Map<TeamId, TeamUse>();
-  private readonly unclearByType = new Map<TypeId, number>();
-  private readonly holders = new Map<ImageId, Set<Machine>>();
-  private readonly free: Readonly<Record<ResourceKind, FreeLevels>> = {
-    cpus: new FreeLevels(),
-    gpus: new FreeLevels(),
-    memoryGb: new FreeLevels(),
+  readonly usageByTeam = new Map<TeamId, TeamUsage>();
+  private readonly unaccountedByType = new Map<InstanceTypeId, number>();
+  private readonly machinesByImage = new Map<ImageId, Set<Machine>>();
+  private readonly free: Readonly<Record<ResourceKind, FreeCapacityIndex>> = {
+    cpus: new FreeCapacityIndex(),
+    gpus: new FreeCapacityIndex(),
+    memoryGb: new FreeCapacityIndex(),
   };
 
   /** Adds or removes a machine that we cannot account for; called around every change that could make it one. */
-  count(machine: Machine, sign: 1 | -1): void {
-    if (!isUnclear(machine)) return;
-    this.unclearByType.set(machine.type, (this.unclearByType.get(machine.type) ?? 0) + sign);
+  countIfUnaccounted(machine: Machine, sign: 1 | -1): void {
+    if (!hasUnknownUsage(machine)) return;
+    this.unaccountedByType.set(machine.type, (this.unaccountedByType.get(machine.type) ?? 0) + sign);
   }
 
   /** Guards the limit after a takeover: a machine not heard from may be full of any one team's tasks. */
-  unclear(types: ReadonlyMap<TypeId, MachineType>): Resources {
+  unaccountedCapacity(types: ReadonlyMap<InstanceTypeId, MachineType>): Resources {
     const sum: MutableResources = { ...ZERO };
-    for (const [name, count] of this.unclearByType) {
+    for (const [name, count] of this.unaccountedByType) {
       if (count > 0) addTo(sum, types.get(name) ?? UNLIMITED, count);
     }
     return sum;
   }
 
-  use(spec: JobSpec, sign: 1 | -1): void {
-    const team = this.teams.get(spec.team) ?? { ...ZERO, tasks: 0 };
+  countTask(spec: JobSpec, sign: 1 | -1): void {
+    const team = this.usageByTeam.get(spec.team) ?? { ...ZERO, tasks: 0 };
     team.tasks += sign;
     if (team.tasks === 0) clear(team);
     else addTo(team, spec, sign);
-    this.teams.set(spec.team, team);
+    this.usageByTeam.set(spec.team, team);
   }
 
-  holds(image: ImageId, machine: Machine, yes: boolean): void {
-    const set = this.holders.get(image) ?? new Set();
-    if (yes) set.add(machine);
+  setImageHolder(image: ImageId, machine: Machine, present: boolean): void {
+    const set = this.machinesByImage.get(image) ?? new Set();
+    if (present) set.add(machine);
     else set.delete(machine);
-    if (set.size > 0) this.holders.set(image, set);
-    else this.holders.delete(image);
+    if (set.size > 0) this.machinesByImage.set(image, set);
+    else this.machinesByImage.delete(image);
   }
 
-  holdersOf(image: ImageId): ReadonlySet<Machine> {
-    return this.holders.get(image) ?? NOBODY;
+  machinesWithImage(image: ImageId): ReadonlySet<Machine> {
+    return this.machinesByImage.get(image) ?? NO_MACHINES;
   }
 
-  images(): Iterable<[ImageId, ReadonlySet<Machine>]> {
-    return this.holders;
+  imageHolders(): Iterable<[ImageId, ReadonlySet<Machine>]> {
+    return this.machinesByImage;
   }
 
   /** Files the machine under what it has free now. */
-  level(machine: Machine, types: ReadonlyMap<TypeId, MachineType>): void {
-    const room = roomOn(machine, types.get(machine.type));
-    for (const kind of RESOURCE_KINDS) this.free[kind].file(machine, room[kind]);
+  updateFreeCapacity(machine: Machine, types: ReadonlyMap<InstanceTypeId, MachineType>): void {
+    const free = freeResources(machine, types.get(machine.type));
+    for (const kind of RESOURCE_KINDS) this.free[kind].update(machine, free[kind]);
   }
 
-  forget(machine: Machine): void {
-    for (const kind of RESOURCE_KINDS) this.free[kind].forget(machine);
+  removeMachine(machine: Machine): void {
+    for (const kind of RESOURCE_KINDS) this.free[kind].remove(machine);
   }
 
   /**
    * Machines with at least as much free of the resource of which the need takes most: every machine that has room is
    * among them, and the fewest others.
    */
-  withFree(need: Resources, types: ReadonlyMap<TypeId, MachineType>): Iterable<Machine> {
+  machinesWithFree(need: Resources, types: ReadonlyMap<InstanceTypeId, MachineType>): Iterable<Machine> {
     const kind = dominantKind(need, largestOf(types.values()));
-    return this.free[kind].from(need[kind]);
+    return this.free[kind].atLeast(need[kind]);
   }
 
   /** Machines on which any CPU is free: without one nothing starts. */
-  notFull(): Iterable<Machine> {
-    return this.free.cpus.from(0);
+  machinesWithFreeCpu(): Iterable<Machine> {
+    return this.free.cpus.atLeast(0);
   }
 }
 
-const NOBODY: ReadonlySet<Machine> = new Set();
+const NO_MACHINES: ReadonlySet<Machine> = new Set();
--- a/src/shards/unreconciled-machines.ts
+++ b/src/shards/unreconciled-machines.ts
@@ -1,11 +1,11 @@
 /** Machines of a part that have not spoken since its claim: each may hold what its job allows there. */
-import { allowed } from '../model/constraints.js';
-import type { TypeId, ZoneId } from '../units.js';
+import { mayRunOn } from '../model/constraints.js';
+import type { InstanceTypeId, ZoneId } from '../model/units.js';
 import type { ShardJob } from './job.js';
 import type { Machine } from './machine.js';
 
-interface Kind {
-  readonly type: TypeId;
+interface MachineKind {
+  readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
   machines: number;
@@ -13,7 +13,7 @@
 
 /** Machines that have not spoken since the claim, counted by kind. */
 export class UnreconciledMachines {
-  private readonly kinds = new Map<string, Kind>();
+  private readonly kinds = new Map<string, MachineKind>();
   /** Some kind has none left, or a task is frozen anew: there may be something to free. */
   changed = true;
 
@@ -28,12 +28,13 @@
     }
   }
 
-  get none(): boolean {
+  get isEmpty(): boolean {
     return this.kinds.size === 0;
   }
 
-  mayHold({ spec }: ShardJob, pin: ZoneId | null): boolean {
-    for (const k of this.kinds.values()) if (allowed(spec, k.type, k.zone, k.spot, pin)) return true;
+  mayHoldTaskOf({ spec }: ShardJob, zone: ZoneId | null): boolean {
+    for (const kind of this.kinds.values())
+      if (mayRunOn(spec, kind.type, kind.zone, kind.spot, zone)) return true;
     return false;
   }
 }
--- a/src/simulation/clock.ts
+++ b/src/simulation/clock.ts
@@ -1,5 +1,5 @@
 /** Discrete events in time order, and steady clocks that drift from true time. Times are in milliseconds. */
-import type { Clock, Millis, SteadyMs } from '../units.js';
+import type { Clock, Millis, SteadyMs } from '../model/units.js';
 
 interface Event {
   readonly at: number;
--- a/src/simulation/controllers.ts
+++ b/src/simulation/controllers.ts
@@ -5,7 +5,7 @@
 import type { Log } from '../log.js';
 import { frame, FrameReader, type Mesh } from '../mesh/mesh.js';
 import { parseTuning, type Settings } from '../settings/settings.js';
-import type { Address, Incarnation } from '../units.js';
+import type { Address, Incarnation } from '../model/units.js';
 import { DriftingClock, Host, type EventQueue } from './clock.js';
 import type { Network } from './network.js';
 import type { Reply } from './state-service.js';
--- a/src/simulation/load-balancer.ts
+++ b/src/simulation/load-balancer.ts
@@ -1,6 +1,6 @@
 /** The load balancer before the controllers: health probes, removal with growing pauses, fewest open connections. */
 import type { Call } from '../http/client.js';
-import type { Millis } from '../units.js';
+import type { Millis } from '../model/units.js';
 import type { EventQueue, Host } from './clock.js';
 import type { ControllerNode } from './controllers.js';
 import type { ExchangeOutcome, Network } from './network.js';
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -1,7 +1,7 @@
 /** One run: the real controllers on a modelled outside, from one scenario and one seed. */
 import { pino } from 'pino';
 import { silentLog, type Log } from '../log.js';
-import { SHARDS } from '../shards/records.js';
+import { SHARDS_PREFIX } from '../shards/codec.js';
 import { parseSettings } from '../settings/settings.js';
 import type { LogLevel } from '../settings/settings.js';
 import { Arrivals } from './arrivals.js';
@@ -256,7 +256,7 @@
   private committed(body: TransactionBody, from: string): void {
     const keys = (body.apply ?? []).map((a) => a.put ?? a.drop ?? '');
     this.faults.happened({ name: 'commit', node: from, keys });
-    if (!keys.some((k) => k.startsWith(SHARDS))) return;
+    if (!keys.some((k) => k.startsWith(SHARDS_PREFIX))) return;
     this.trace.add(`${from} writes ${keys.join(' ')}`);
     this.faults.happened({ name: 'part_claimed', node: from, keys });
     for (const { body: report } of this.links.takeKept())
--- a/src/simulation/users.ts
+++ b/src/simulation/users.ts
@@ -1,6 +1,6 @@
 /** Users: submit with retries, poll, cancel until it is confirmed, ask again later; and the odd ones among them. */
 import type { Call } from '../http/client.js';
-import type { Millis } from '../units.js';
+import type { Millis } from '../model/units.js';
 import type { EventQueue } from './clock.js';
 import { encodeSubmission, type JobStorage, type UserJob } from './jobs.js';
 import type { LoadBalancer } from './load-balancer.js';
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,19 +1,19 @@
 /** Client of the state service: says for every request whether it was carried out, was not, or may have been. */
 import type { Call, Outcome } from '../http/client.js';
 import type { Settings } from '../settings/settings.js';
-import type { Clock, LeaseId, Millis, Revision, StateKey } from '../units.js';
-import { millis, steady } from '../units.js';
+import type { Clock, LeaseId, Millis, Revision, StoreKey } from '../model/units.js';
+import { millis, steady } from '../model/units.js';
 import { RateLimiter, RequestPriority } from './rate-limiter.js';
 import {
   decodeConflict,
   decodeEntry,
   decodeLease,
-  decodeNews,
+  decodeWatchResponse,
   decodePage,
   decodeRevision,
   encodeTtl,
-  encodeTxn,
-  followPath,
+  encodeCompareAndSwap,
+  watchPath,
   keyPath,
   listPath,
   type Change,
@@ -22,9 +22,9 @@
   type WatchEvent,
 } from './wire.js';
 
-export type SwapResult =
+export type CompareAndSwapResult =
   | { readonly kind: 'done'; readonly revision: Revision }
-  | { readonly kind: 'conflict'; readonly failed: readonly StateKey[] }
+  | { readonly kind: 'conflict'; readonly failed: readonly StoreKey[] }
   /** Certainly not carried out: refused, over a limit, or never sent. */
   | { readonly kind: 'refused' }
   /** May have been carried out, or may be later. */
@@ -36,7 +36,7 @@
   | { readonly kind: 'failed' };
 
 /** Requests and changes a second. */
-export interface Use {
+export interface StoreUsage {
   readonly requests: number;
   readonly writes: number;
 }
@@ -45,23 +45,23 @@
   call(call: Call): Promise<Outcome>;
 }
 
-const TIMEOUT = millis(1500);
+const REQUEST_TIMEOUT = millis(1500);
 /** How long a request may wait for its turn in all, and how often it is sent again after a 429. */
-const PATIENCE = millis(1200);
-const REPEATS = 4;
+const QUEUE_TIMEOUT = millis(1200);
+const MAX_RETRIES = 4;
 /** The limits are counted by another clock than ours: not all of them is used. */
-const USABLE = 0.9;
-const MOST = 0.5;
+const USABLE_LIMIT_SHARE = 0.9;
+const MAX_BORROWED_SHARE = 0.5;
 /** Enough for a claim or the end of a job. */
-const LEAST_BURST = 3;
+const MIN_BURST = 3;
 
 /** So many refusals for a limit, each within this time of the one before, show that the limits to come hold by now. */
 const REFUSALS_OF_LOWER_LIMITS = 3;
 const REFUSALS_WITHIN_MS = 3000;
 
 export class KeyValueClient {
-  private readonly requests: RateLimiter;
-  private readonly writes: RateLimiter;
+  private readonly requestLimiter: RateLimiter;
+  private readonly writeLimiter: RateLimiter;
   private controllers: number;
   /** The limits to come hold by now. */
   private limitsLowered = false;
@@ -76,38 +76,38 @@
     private readonly random: () => number,
   ) {
     this.controllers = settings.parts.length;
-    this.requests = new RateLimiter(clock, this.requestRate, LEAST_BURST);
-    this.writes = new RateLimiter(clock, this.writeRate, LEAST_BURST);
+    this.requestLimiter = new RateLimiter(clock, this.requestRate, MIN_BURST);
+    this.writeLimiter = new RateLimiter(clock, this.writeRate, MIN_BURST);
   }
 
   /** How long a submission would wait for its turn. */
   get submitWait(): Millis {
     return millis(
       Math.max(
-        this.writes.waitFor(1, RequestPriority.submit),
-        this.requests.waitFor(1, RequestPriority.submit),
+        this.writeLimiter.estimateWait(1, RequestPriority.submission),
+        this.requestLimiter.estimateWait(1, RequestPriority.submission),
       ),
     );
   }
 
   /** What this controller draws of the limits, for its peers. */
-  get use(): Use {
-    return { requests: this.requests.use, writes: this.writes.use };
+  get usage(): StoreUsage {
+    return { requests: this.requestLimiter.usagePerSecond, writes: this.writeLimiter.usagePerSecond };
   }
 
   /** What the others said they draw: what they leave may be borrowed, up to a half of everything. */
-  others(uses: readonly Use[]): void {
-    const borrow = (limit: number, share: number, used: number): number =>
-      Math.max(share, Math.min(limit * MOST, limit * USABLE - used * 1.2));
-    const sum = (of: (u: Use) => number): number => uses.reduce((total, u) => total + of(u), 0);
-    this.requests.setRate(
+  borrowUnusedLimits(usages: readonly StoreUsage[]): void {
+    const borrow = (limit: number, ownShare: number, used: number): number =>
+      Math.max(ownShare, Math.min(limit * MAX_BORROWED_SHARE, limit * USABLE_LIMIT_SHARE - used * 1.2));
+    const sum = (of: (u: StoreUsage) => number): number => usages.reduce((total, u) => total + of(u), 0);
+    this.requestLimiter.setRate(
       borrow(
         this.requestLimit,
         this.requestRate,
         sum((u) => u.requests),
       ),
     );
-    this.writes.setRate(
+    this.writeLimiter.setRate(
       borrow(
         this.writeLimit,
         this.writeRate,
@@ -126,60 +126,61 @@
 
   /** Changes a second that are this controller's own. */
   get writeRate(): number {
-    return (this.writeLimit * USABLE) / this.controllers;
+    return (this.writeLimit * USABLE_LIMIT_SHARE) / this.controllers;
   }
 
   /** Requests a second that are this controller's own. */
   get requestRate(): number {
-    return (this.requestLimit * USABLE) / this.controllers;
+    return (this.requestLimit * USABLE_LIMIT_SHARE) / this.controllers;
   }
 
   /** Refused for a limit: once it shows that the limits have come down, so do our shares. */
-  private noteRefusal(): void {
+  private recordRefusal(): void {
     const now = this.clock.now();
     this.refusals = now - this.lastRefusal < REFUSALS_WITHIN_MS ? this.refusals + 1 : 1;
     this.lastRefusal = now;
     if (this.limitsLowered || this.refusals < REFUSALS_OF_LOWER_LIMITS) return;
     this.limitsLowered = true;
-    this.share(this.controllers);
+    this.setControllerCount(this.controllers);
   }
 
   /** How many controllers draw on the limits now. */
-  share(controllers: number): void {
+  setControllerCount(controllers: number): void {
     this.controllers = controllers;
-    this.requests.setRate(this.requestRate);
-    this.writes.setRate(this.writeRate);
+    this.requestLimiter.setRate(this.requestRate);
+    this.writeLimiter.setRate(this.writeRate);
   }
 
-  private pause(delay: Millis): Promise<void> {
+  private sleep(delay: Millis): Promise<void> {
     return new Promise((resolve) => this.clock.after(delay, resolve));
   }
 
   /** One request within the budget; a 429 is repeated a few times, everything else is the caller's. */
-  private async request(call: Call, rank: RequestPriority, writes: number): Promise<Outcome> {
-    const until = this.clock.now() + PATIENCE;
-    const left = (): Millis => millis(Math.max(0, until - this.clock.now()));
-    for (let i = 0; ; i += 1) {
-      if (writes > 0 && !(await this.writes.take(writes, rank, left()))) return { kind: 'unsent' };
-      if (!(await this.requests.take(1, rank, left()))) return { kind: 'unsent' };
+  private async request(call: Call, priority: RequestPriority, writes: number): Promise<Outcome> {
+    const deadline = this.clock.now() + QUEUE_TIMEOUT;
+    const remaining = (): Millis => millis(Math.max(0, deadline - this.clock.now()));
+    for (let attempt = 0; ; attempt += 1) {
+      if (writes > 0 && !(await this.writeLimiter.acquire(writes, priority, remaining())))
+        return { kind: 'unsent' };
+      if (!(await this.requestLimiter.acquire(1, priority, remaining()))) return { kind: 'unsent' };
       const outcome = await this.http.call(call);
       if (outcome.kind !== 'answer' || outcome.status !== 429) return outcome;
-      this.noteRefusal();
-      (writes > 0 ? this.writes : this.requests).punish();
-      if (i >= REPEATS) return outcome;
-      await this.pause(millis(50 + 150 * this.random()));
+      this.recordRefusal();
+      (writes > 0 ? this.writeLimiter : this.requestLimiter).penalize();
+      if (attempt >= MAX_RETRIES) return outcome;
+      await this.sleep(millis(50 + 150 * this.random()));
     }
   }
 
   async compareAndSwap(
     conditions: readonly Condition[],
     changes: readonly Change[],
-    rank: RequestPriority,
-  ): Promise<SwapResult> {
-    const body = encodeTxn(conditions, changes);
+    priority: RequestPriority,
+  ): Promise<CompareAndSwapResult> {
+    const body = encodeCompareAndSwap(conditions, changes);
     const outcome = await this.request(
-      { method: 'POST', path: '/txn', body, timeout: TIMEOUT },
-      rank,
+      { method: 'POST', path: '/txn', body, timeout: REQUEST_TIMEOUT },
+      priority,
       changes.length,
     );
     if (outcome.kind === 'unknown') return { kind: 'unknown' };
@@ -196,8 +197,12 @@
     return [400, 429, 503].includes(outcome.status) ? { kind: 'refused' } : { kind: 'unknown' };
   }
 
-  async get(key: StateKey, rank: RequestPriority): Promise<ReadResult> {
-    const outcome = await this.request({ method: 'GET', path: keyPath(key), timeout: TIMEOUT }, rank, 0);
+  async get(key: StoreKey, priority: RequestPriority): Promise<ReadResult> {
+    const outcome = await this.request(
+      { method: 'GET', path: keyPath(key), timeout: REQUEST_TIMEOUT },
+      priority,
+      0,
+    );
     if (outcome.kind !== 'answer') return { kind: 'failed' };
     if (outcome.status === 404 && decodeRevision(outcome.body) !== null) return { kind: 'absent' };
     const entry = outcome.status === 200 ? decodeEntry(outcome.body) : null;
@@ -207,53 +212,53 @@
   /** Every entry below a prefix, with the revision from which to follow. */
   async list(prefix: string): Promise<{ entries: Entry[]; revision: Revision } | null> {
     const entries: Entry[] = [];
-    let first: Revision | null = null;
+    let firstRevision: Revision | null = null;
     let after: string | null = null;
     for (;;) {
       const path = listPath(prefix, after, 1000);
       const outcome = await this.request(
-        { method: 'GET', path, timeout: TIMEOUT },
-        RequestPriority.ownership,
+        { method: 'GET', path, timeout: REQUEST_TIMEOUT },
+        RequestPriority.leadership,
         0,
       );
       if (outcome.kind !== 'answer' || outcome.status !== 200) return null;
       const page = decodePage(outcome.body);
       if (!page) return null;
-      first ??= page.revision;
+      firstRevision ??= page.revision;
       entries.push(...page.entries);
       const last = page.entries.at(-1);
-      if (!page.more || !last) return { entries, revision: first };
+      if (!page.more || !last) return { entries, revision: firstRevision };
       after = last.key;
     }
   }
 
-  async follow(
+  async watch(
     prefix: string,
     after: Revision,
-    block: Millis,
-  ): Promise<{ news: WatchEvent[]; revision: Revision } | 'too-old' | null> {
-    if (!(await this.requests.take(1, RequestPriority.ownership, PATIENCE))) return null;
-    const timeout = millis(block + 1500);
+    blockFor: Millis,
+  ): Promise<{ events: WatchEvent[]; revision: Revision } | 'too-old' | null> {
+    if (!(await this.requestLimiter.acquire(1, RequestPriority.leadership, QUEUE_TIMEOUT))) return null;
+    const timeout = millis(blockFor + 1500);
     const outcome = await this.watchHttp.call({
       method: 'GET',
-      path: followPath(prefix, after, block),
+      path: watchPath(prefix, after, blockFor),
       timeout,
     });
     if (outcome.kind !== 'answer') return null;
     if (outcome.status === 410) return 'too-old';
-    if (outcome.status === 429) this.requests.punish();
-    return outcome.status === 200 ? decodeNews(outcome.body) : null;
+    if (outcome.status === 429) this.requestLimiter.penalize();
+    return outcome.status === 200 ? decodeWatchResponse(outcome.body) : null;
   }
 
   async grantLease(ttl: Millis): Promise<LeaseId | null> {
-    const call: Call = { method: 'POST', path: '/leases', body: encodeTtl(ttl), timeout: TIMEOUT };
-    const outcome = await this.request(call, RequestPriority.ownership, 0);
+    const call: Call = { method: 'POST', path: '/leases', body: encodeTtl(ttl), timeout: REQUEST_TIMEOUT };
+    const outcome = await this.request(call, RequestPriority.leadership, 0);
     return outcome.kind === 'answer' && outcome.status === 200 ? decodeLease(outcome.body) : null;
   }
 
   async renewLease(lease: LeaseId): Promise<'renewed' | 'gone' | 'failed'> {
-    const call: Call = { method: 'POST', path: `/leases/${lease}/renew`, body: {}, timeout: TIMEOUT };
-    const outcome = await this.request(call, RequestPriority.ownership, 0);
+    const call: Call = { method: 'POST', path: `/leases/${lease}/renew`, body: {}, timeout: REQUEST_TIMEOUT };
+    const outcome = await this.request(call, RequestPriority.leadership, 0);
     if (outcome.kind !== 'answer') return 'failed';
     if (outcome.status === 200) return 'renewed';
     return outcome.status === 404 ? 'gone' : 'failed';
--- a/src/workers/clients.ts
+++ b/src/workers/clients.ts
@@ -1,7 +1,7 @@
 /** Connections to workers' own addresses: one client an address, closed when no machine has it any more. */
 import type { Caller } from '../store/client.js';
-import type { Address } from '../units.js';
-import { millis } from '../units.js';
+import type { Address } from '../model/units.js';
+import { millis } from '../model/units.js';
 import { decodeReport, type Heartbeat } from './wire.js';
 
 /**
