--- a/src/workers/direct-orders.ts
+++ b/src/workers/direct-orders.ts
@@ -2,8 +2,8 @@
 import type { Core } from '../core.js';
 import type { Outcome } from '../http/client.js';
 import type { Allocation, UnacknowledgedLaunch, Machine, Shard } from '../shards/model.js';
-import type { SteadyMs } from '../units.js';
-import { millis, plus } from '../units.js';
+import type { SteadyMs } from '../model/units.js';
+import { millis, plus } from '../model/units.js';
 import { DIRECT_CALL_SHARE, type WorkerClients } from './clients.js';
 import { ordersDirect } from './orders.js';
 import type { PoolUpdates } from './pool-updates.js';
@@ -40,29 +40,29 @@
   /** Sends what is due on every machine, one request a machine at a time. */
   dispatch(shard: Shard): void {
     const now = this.core.clock.now();
-    if (!this.core.authority(now)) return;
-    for (const machine of shard.due) {
+    if (!this.core.mayCommand(now)) return;
+    for (const machine of shard.machinesWithPendingCommands) {
       // Bounded: after a takeover there are hundreds to talk to, and each costs a connection.
       if (this.calls >= this.maxCalls) return;
-      if (!this.sendDue(shard, machine, now)) shard.due.delete(machine);
+      if (!this.sendDue(shard, machine, now)) shard.machinesWithPendingCommands.delete(machine);
     }
   }
 
   /** Sends what is due on one machine; false: there is nothing to say, until something changes. */
   private sendDue(shard: Shard, machine: Machine, now: SteadyMs): boolean {
-    if (machine.returning) return false;
-    if (machine.directBusy || machine.address === '') return true;
-    const behind = shard.token > machine.token;
+    if (machine.scalingIn) return false;
+    if (machine.directRequestInFlight || machine.address === '') return true;
+    const behind = shard.fencingToken > machine.fencingToken;
     if (!machine.reconciled && behind) {
       if (now >= machine.quarantinedUntil) void this.deliver(shard, machine, TOKEN_ONLY);
       return true;
     }
-    if (machine.unreachedSince !== null) {
+    if (machine.unreachableSince !== null) {
       if (now < machine.quarantinedUntil) return true;
       void this.deliver(shard, machine, ordersDirect(shard, machine, now));
       return true;
     }
-    if (machine.lastHeard === null) return false;
+    if (machine.lastHeardAt === null) return false;
     const due = ordersDirect(shard, machine, now);
     if (due.orders.length > 0) void this.deliver(shard, machine, due);
     else if (!behind || !hasUnresolvedLaunch(machine)) return false;
@@ -75,10 +75,10 @@
   }
 
   private async deliver(shard: Shard, machine: Machine, { orders, launches }: Delivery): Promise<void> {
-    machine.directBusy = true;
+    machine.directRequestInFlight = true;
     this.calls += 1;
-    const token = shard.token;
-    const session = machine.session;
+    const token = shard.fencingToken;
+    const session = machine.agentEpoch;
     const body = encodeDirect(token, session, orders);
     const outcome = await this.clients.at(machine.address).call({
       method: 'POST',
@@ -86,13 +86,13 @@
       body,
       timeout: machine.reconciled ? CALL_TIMEOUT : CLAIM_CALL_TIMEOUT,
       // The connection may take so long that we are not entitled any more when it is there.
-      mayStillSend: () => this.core.authority(this.core.clock.now()),
+      mayStillSend: () => this.core.mayCommand(this.core.clock.now()),
     });
     await this.core.exclusive(() => {
-      machine.directBusy = false;
+      machine.directRequestInFlight = false;
       this.calls -= 1;
-      shard.due.add(machine);
-      this.settle(shard, machine, launches, outcome, { token, session });
+      shard.machinesWithPendingCommands.add(machine);
+      this.settle(shard, machine, launches, outcome, { fencingToken: token, agentEpoch: session });
       this.updates.changed(shard);
     });
   }
@@ -102,24 +102,24 @@
     machine: Machine,
     launches: readonly Allocation[],
     outcome: Outcome,
-    sent: Pick<UnacknowledgedLaunch, 'token' | 'session'>,
+    sent: Pick<UnacknowledgedLaunch, 'fencingToken' | 'agentEpoch'>,
   ): void {
     const now = this.core.clock.now();
-    for (const launch of launches) launch.inFlight = false;
+    for (const launch of launches) launch.launchInFlight = false;
     const answered = outcome.kind === 'answer' && (outcome.status === 200 || outcome.status === 409);
     const report = answered ? decodeReport(outcome.body) : null;
     if (report && report.machine === machine.id) {
-      machine.unreachedSince = null;
-      machine.missedCalls = 0;
+      machine.unreachableSince = null;
+      machine.missedDirectRequests = 0;
       reconcileHeartbeat(shard, machine, report, 'direct', this.updates.reportContext(now));
       return;
     }
-    machine.missedCalls += 1;
+    machine.missedDirectRequests += 1;
     machine.quarantinedUntil = plus(
       now,
       millis(machine.reconciled ? RETRY_INTERVAL_MS : CLAIM_RETRY_INTERVAL_MS),
     );
-    machine.unreachedSince ??= now;
+    machine.unreachableSince ??= now;
     const unsent = outcome.kind === 'unsent' || (outcome.kind === 'answer' && outcome.status === 400);
     this.core.log.debug(
       { machine: machine.id, outcome: outcome.kind, launches: launches.length },
@@ -129,12 +129,12 @@
     for (const allocation of machine.allocations.values())
       if (allocation.stop?.direct === 'sent') allocation.stop.direct = 'due';
     // Sent and not answered: it may be carried out minutes from now, as long as token and session match.
-    if (!unsent) for (const launch of launches) launch.unacknowledged = { ...sent, since: now };
+    if (!unsent) for (const launch of launches) launch.unacknowledged = { ...sent, sentAt: now };
   }
 }
 
 function hasUnresolvedLaunch(machine: Machine): boolean {
   for (const allocation of machine.allocations.values()) if (allocation.unacknowledged) return true;
-  for (const exited of machine.exited.values()) if (exited.unacknowledged) return true;
+  for (const exited of machine.exitedTasks.values()) if (exited.unacknowledged) return true;
   return false;
 }
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -3,9 +3,9 @@
 import type { Answer } from '../http/server.js';
 import type { Machine, Shard } from '../shards/model.js';
 import type { ShardLeadership } from '../leadership/leadership.js';
-import { decodeMachine, machineKey } from '../shards/records.js';
-import type { ShardId, SteadyMs } from '../units.js';
-import { millis, steady } from '../units.js';
+import { decodeMachineRecord, machineKey } from '../shards/codec.js';
+import type { ShardId, SteadyMs } from '../model/units.js';
+import { millis, steady } from '../model/units.js';
 import type { MachineRegistration } from './registration.js';
 import { ordersInAnswer } from './orders.js';
 import type { PoolUpdates } from './pool-updates.js';
@@ -35,7 +35,7 @@
   async handle(body: Buffer): Promise<Answer> {
     const report = parseReport(body);
     if (!report) return { status: 400, body: { error: 'not a report' } };
-    if (!this.core.view.loaded) return NOT_ENTITLED;
+    if (!this.core.storeCache.loaded) return NOT_ENTITLED;
     const from = this.core.clock.now();
     const named = await this.partOf(report);
     // Named too late for this answer to reach the worker: its lease would run out under what we start there.
@@ -44,37 +44,37 @@
   }
 
   private async partOf(report: Heartbeat): Promise<ShardId | null> {
-    for (const shard of this.core.parts.values()) if (shard.machines.has(report.machine)) return shard.id;
-    const entry = this.core.view.get(machineKey(report.machine));
-    const record = entry ? decodeMachine(entry.value) : null;
-    return record ? record.part : this.naming.adopt(report);
+    for (const shard of this.core.shards.values()) if (shard.machines.has(report.machine)) return shard.id;
+    const entry = this.core.storeCache.get(machineKey(report.machine));
+    const record = entry ? decodeMachineRecord(entry.value) : null;
+    return record ? record.shard : this.naming.adopt(report);
   }
 
   private answer(report: Heartbeat, named: ShardId): Answer {
-    const shard = this.core.parts.get(named);
+    const shard = this.core.shards.get(named);
     const machine = shard?.machines.get(report.machine);
     if (!shard || !machine) return this.redirect(report, named);
     const now = this.core.clock.now();
     // Its worker has seen a higher token: somebody else commands it. A 200 would be dropped, and would keep the
     // worker here while its lease runs out.
-    if (report.token > shard.token) {
+    if (report.token > shard.fencingToken) {
       this.outranked(shard, now);
       return { status: 421, body: encodeRedirect(null) };
     }
-    if (!this.core.authority(now)) return NOT_ENTITLED;
+    if (!this.core.mayCommand(now)) return NOT_ENTITLED;
     if (this.isUnreachable(shard, machine, report, now)) {
-      machine.refusedUnreachable = now;
+      machine.refusedUnreachableAt = now;
       return NOT_ENTITLED;
     }
     if (!reconcileHeartbeat(shard, machine, report, 'report', this.updates.reportContext(now)))
       return NOT_ENTITLED;
     const orders = ordersInAnswer(shard, machine);
     if (!machine.reconciled) {
-      shard.due.add(machine);
-      machine.answeredUnreconciled ??= now;
+      shard.machinesWithPendingCommands.add(machine);
+      machine.answeredUnreconciledAt ??= now;
     }
     this.updates.changed(shard);
-    return { status: 200, body: encodeReply(shard.token, orders) };
+    return { status: 200, body: encodeReply(shard.fencingToken, orders) };
   }
 
   /**
@@ -83,27 +83,27 @@
    */
   private isUnreachable(shard: Shard, machine: Machine, report: Heartbeat, now: SteadyMs): boolean {
     if (
-      report.token >= shard.token ||
+      report.token >= shard.fencingToken ||
       machine.reconciled ||
-      machine.answeredUnreconciled === null ||
+      machine.answeredUnreconciledAt === null ||
       shard.reconciled
     )
       return false;
-    return now - machine.answeredUnreconciled > 3 * this.core.reportMs + 4000;
+    return now - machine.answeredUnreconciledAt > 3 * this.core.heartbeatIntervalMs + 4000;
   }
 
   /** If the store still says that the part is ours, a new token goes above what the worker has seen. */
   private outranked(shard: Shard, now: SteadyMs): void {
     if (now - this.raisedAt < RAISE_INTERVAL_MS) return;
     this.raisedAt = now;
-    void this.ownership.raise(shard);
+    void this.ownership.raiseFencingToken(shard);
   }
 
   private redirect(report: Heartbeat, named: ShardId): Answer {
-    this.ownership.noteStray(named, report.machine);
-    const owner = this.core.shardRecord(named)?.owner ?? null;
+    this.ownership.recordRedirectedHeartbeat(named, report.machine);
+    const owner = this.core.shardRecord(named)?.leader ?? null;
     const reachable =
-      owner !== null && owner !== this.core.settings.node && this.core.heard(owner, OWNER_HEARD);
+      owner !== null && owner !== this.core.settings.node && this.core.heardWithin(owner, OWNER_HEARD);
     return { status: 421, body: encodeRedirect(reachable ? owner : null) };
   }
 }
--- a/src/workers/lease-expiry.ts
+++ b/src/workers/lease-expiry.ts
@@ -2,7 +2,7 @@
 import type { Core } from '../core.js';
 import type { UnacknowledgedLaunch, Machine, Shard } from '../shards/model.js';
 import type { ShardLeadership } from '../leadership/leadership.js';
-import type { AgentEpoch, SteadyMs } from '../units.js';
+import type { AgentEpoch, SteadyMs } from '../model/units.js';
 import type { PoolUpdates } from './pool-updates.js';
 import { endSession } from './reconciliation.js';
 
@@ -23,19 +23,20 @@
     for (const machine of shard.machines.values()) this.expireLease(shard, machine, now);
     if (this.hasOverdueLaunch(shard, now)) {
       this.core.log.info({ part: shard.id }, 'raising the token to settle direct orders without an answer');
-      void this.ownership.raise(shard);
+      void this.ownership.raiseFencingToken(shard);
     }
-    if (shard.needsNewToken) void this.ownership.raise(shard);
+    if (shard.needsNewFencingToken) void this.ownership.raiseFencingToken(shard);
     this.updates.changed(shard);
   }
 
   private hasOverdueLaunch(shard: Shard, now: SteadyMs): boolean {
     for (const machine of shard.machines.values()) {
-      const silent = machine.lastHeard === null || now - machine.lastHeard > this.core.reportMs * 2;
-      if (silent || machine.token > shard.token) continue;
+      const silent =
+        machine.lastHeardAt === null || now - machine.lastHeardAt > this.core.heartbeatIntervalMs * 2;
+      if (silent || machine.fencingToken > shard.fencingToken) continue;
       for (const allocation of machine.allocations.values())
         if (isOverdue(allocation.unacknowledged, shard, now)) return true;
-      for (const exited of machine.exited.values())
+      for (const exited of machine.exitedTasks.values())
         if (isOverdue(exited.unacknowledged, shard, now)) return true;
     }
     return false;
@@ -43,28 +44,30 @@
 
   private expireLease(shard: Shard, machine: Machine, now: SteadyMs): void {
     // Registered since our claim and not heard of: it holds nothing.
-    if (machine.lastReport === null && machine.reconciled && machine.sessionSeen === null) return;
+    if (machine.lastHeartbeatAt === null && machine.reconciled && machine.agentEpochSeenAt === null) return;
     // Until then an owner before us may have answered it: that one stops when its view is too old. A machine that
     // answers calls and whose reports do not arrive has shown our token, and not when its lease was last renewed.
-    const reported = machine.reconciled && machine.lastReport !== null;
-    const before = reported ? 0 : shard.claimedAt + this.core.settings.cancelS * 1001;
+    const reported = machine.reconciled && machine.lastHeartbeatAt !== null;
+    const before = reported ? 0 : shard.acquiredAt + this.core.settings.cancelS * 1001;
     // A direct answer may have shown a new session before any report of it: that one has a lease of its own, and what
     // was started in it since does not end with the old one.
-    const renewed = Math.max(machine.lastReport ?? 0, machine.sessionSeen ?? 0);
-    const over = Math.max(before, renewed + this.core.leaseMs);
+    const renewed = Math.max(machine.lastHeartbeatAt ?? 0, machine.agentEpochSeenAt ?? 0);
+    const over = Math.max(before, renewed + this.core.leaseDurationMs);
     // Not before we know that we were still the owner then: a successor may be renewing that lease.
-    if (now < over || this.core.view.confirmed < over) return;
-    if (machine.reconciled && machine.allocations.size === 0 && machine.exited.size === 0) return;
+    if (now < over || this.core.storeCache.confirmedAt < over) return;
+    if (machine.reconciled && machine.allocations.size === 0 && machine.exitedTasks.size === 0) return;
     this.core.log.info(
       { machine: machine.id, part: shard.id, bound: machine.allocations.size },
       'lease certainly over',
     );
     endSession(shard, machine, this.core);
-    machine.leastSession = Math.max(machine.leastSession, machine.session + 1) as AgentEpoch;
-    shard.settle(machine);
+    machine.minimumAgentEpoch = Math.max(machine.minimumAgentEpoch, machine.agentEpoch + 1) as AgentEpoch;
+    shard.markReconciled(machine);
   }
 }
 
 function isOverdue(launch: UnacknowledgedLaunch | null, shard: Shard, now: SteadyMs): boolean {
-  return launch !== null && launch.token >= shard.token && now - launch.since > UNRESOLVED_LAUNCH_MS;
+  return (
+    launch !== null && launch.fencingToken >= shard.fencingToken && now - launch.sentAt > UNRESOLVED_LAUNCH_MS
+  );
 }
--- a/src/workers/orders.ts
+++ b/src/workers/orders.ts
@@ -1,6 +1,6 @@
 /** Which orders a worker should get now. Every order may be repeated, except a launch after its clear. */
-import type { SteadyMs, Seconds } from '../units.js';
-import type { Allocation, Exited, Machine, Shard } from '../shards/model.js';
+import type { SteadyMs, Seconds } from '../model/units.js';
+import type { Allocation, ExitedTask, Machine, Shard } from '../shards/model.js';
 import type { WorkerCommand } from './wire.js';
 
 /** Keeps an answer's one line well under 64 KiB. */
@@ -24,7 +24,7 @@
  * An exited task may be removed from the worker once its end is in the job's record, and never while a launch
  * of the same attempt may still arrive: the worker would start it anew.
  */
-export function mayForget(shard: Shard, e: Exited): boolean {
+export function mayForget(shard: Shard, e: ExitedTask): boolean {
   if (e.unacknowledged) return false;
   const job = shard.jobs.get(e.job);
   return e.cause !== 'done' || !job || !job.finished.has(e.index);
@@ -32,7 +32,7 @@
 
 function forgets(shard: Shard, machine: Machine): WorkerCommand[] {
   const out: WorkerCommand[] = [];
-  for (const e of machine.exited.values()) {
+  for (const e of machine.exitedTasks.values()) {
     const inFlight = machine.allocations.get(e.id);
     if (inFlight && inFlight.attempt === e.attempt) continue;
     if (mayForget(shard, e)) out.push({ op: 'forget', job: e.job, index: e.index, attempt: e.attempt });
@@ -46,10 +46,10 @@
   for (const b of machine.allocations.values()) {
     if (out.length >= MAX_ORDERS) break;
     if (b.stop) out.push(stop(b));
-    else if (b.phase === 'ordered' && !b.inFlight) {
+    else if (b.phase === 'ordered' && !b.launchInFlight) {
       out.push(start(b));
-      b.answered = machine.lastReportSequence;
-      b.due = false;
+      b.answeredSequence = machine.lastHeartbeatSequence;
+      b.launchPending = false;
     }
   }
   return out.slice(0, MAX_ORDERS);
@@ -70,9 +70,9 @@
         b.stop.direct = 'sent';
         stops.push(stop(b));
       }
-    } else if (b.phase === 'ordered' && b.due && !b.inFlight && b.answered === null) {
-      b.inFlight = true;
-      b.due = false;
+    } else if (b.phase === 'ordered' && b.launchPending && !b.launchInFlight && b.answeredSequence === null) {
+      b.launchInFlight = true;
+      b.launchPending = false;
       launches.push(b);
     }
   }
--- a/src/workers/pool-updates.ts
+++ b/src/workers/pool-updates.ts
@@ -1,10 +1,10 @@
 /** What follows when a worker's message or its silence changes a pool: shared by reports, direct orders and leases. */
 import type { Core } from '../core.js';
-import { accountFor } from '../shards/accounting.js';
+import { requeueAccountedTasks } from '../shards/unaccounted-tasks.js';
 import type { Allocation, Shard } from '../shards/model.js';
 import type { RuntimeEstimator } from '../placement/runtimes.js';
-import type { SteadyMs } from '../units.js';
-import { millis } from '../units.js';
+import type { SteadyMs } from '../model/units.js';
+import { millis } from '../model/units.js';
 import type { ReconciliationContext } from './reconciliation.js';
 
 /** Effects of changes to a pool outside of it. */
@@ -19,16 +19,16 @@
     return {
       now,
       log: this.core.log,
-      pastSpec: (task) => this.core.recentlyEnded.get(task.job) ?? null,
+      pastSpec: (task) => this.core.recentlyEndedJobs.get(task.job) ?? null,
       onDone: (allocation) => this.learnRunTime(allocation, now),
-      reportsWithin: millis(1.25 * this.core.reportMs + 3000),
+      reportsWithin: millis(1.25 * this.core.heartbeatIntervalMs + 3000),
     };
   }
 
   /** To be called after every change of the pool's machines or allocations. */
   changed(shard: Shard): void {
-    if (accountFor(shard)) this.core.log.info({ part: shard.id }, 'part accounted for');
-    this.core.wake();
+    if (requeueAccountedTasks(shard)) this.core.log.info({ part: shard.id }, 'part accounted for');
+    this.core.requestCycle();
   }
 
   private learnRunTime({ spec, runningSince }: Allocation, now: SteadyMs): void {
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -2,15 +2,15 @@
 import type { Log } from '../log.js';
 import type { ExitCause } from '../model/exit-cause.js';
 import type { GangHistory } from '../model/gang.js';
-import type { Attempt, Millis, SteadyMs, TaskId } from '../units.js';
-import { plus, since, taskId, toMillis } from '../units.js';
+import type { Attempt, Millis, SteadyMs, TaskId } from '../model/units.js';
+import { plus, elapsed, taskId, toMillis } from '../model/units.js';
 import {
-  attach,
+  addToMachine,
   allocate,
-  isOurs,
+  isAssignedTo,
   release,
   type Allocation,
-  type Exited,
+  type ExitedTask,
   type Machine,
   type Shard,
   type ShardJob,
@@ -40,49 +40,49 @@
   ctx: ReconciliationContext,
 ): boolean {
   const older =
-    report.session < machine.leastSession ||
-    report.session < machine.session ||
-    (report.session === machine.session && report.sequence <= machine.sequence);
+    report.session < machine.minimumAgentEpoch ||
+    report.session < machine.agentEpoch ||
+    (report.session === machine.agentEpoch && report.sequence <= machine.sequence);
   // A held report may arrive minutes late, with a list as old as itself.
   if (older) return false;
   if (channel === 'report' && leftUnanswered(machine, report, ctx)) {
     // To be reached directly before anything new is placed there.
-    machine.unreachedSince ??= ctx.now;
-    shard.due.add(machine);
+    machine.unreachableSince ??= ctx.now;
+    shard.machinesWithPendingCommands.add(machine);
   }
-  if (report.session > machine.session) {
+  if (report.session > machine.agentEpoch) {
     endSession(shard, machine, ctx);
-    machine.sessionSeen = ctx.now;
+    machine.agentEpochSeenAt = ctx.now;
   }
-  machine.session = report.session;
+  machine.agentEpoch = report.session;
   machine.sequence = report.sequence;
-  machine.token = report.token;
+  machine.fencingToken = report.token;
   machine.address = report.address;
-  machine.lastHeard = ctx.now;
+  machine.lastHeardAt = ctx.now;
   machine.interruptedAt = report.noticeS === null ? null : plus(ctx.now, toMillis(report.noticeS));
   if (machine.interruptedAt === null) shard.interruptionNoticed.delete(machine);
   else shard.interruptionNoticed.add(machine);
   if (channel === 'report') {
-    if (machine.lastReport === null || since(ctx.now, machine.lastReport) > ctx.reportsWithin)
-      machine.heardSince = ctx.now;
-    machine.lastReport = ctx.now;
-    machine.lastReportSequence = report.sequence;
+    if (machine.lastHeartbeatAt === null || elapsed(ctx.now, machine.lastHeartbeatAt) > ctx.reportsWithin)
+      machine.continuouslyHeardSince = ctx.now;
+    machine.lastHeartbeatAt = ctx.now;
+    machine.lastHeartbeatSequence = report.sequence;
   }
   settleDoubts(machine, report);
   const seen = new Set<TaskId>();
-  machine.exited = applyExits(shard, machine, report, seen, ctx);
+  machine.exitedTasks = applyExits(shard, machine, report, seen, ctx);
   for (const task of report.tasks) if (task.state !== 'exited') applyActive(shard, machine, task, seen, ctx);
   for (const b of [...machine.allocations.values()]) {
     if (!seen.has(b.id)) applyAbsent(shard, machine, b, channel, ctx);
   }
-  if (report.token >= shard.token) shard.settle(machine);
+  if (report.token >= shard.fencingToken) shard.markReconciled(machine);
   return true;
 }
 
 /** Hearing is not reaching: a new session, or a longer silence than between reports that we answered. */
 function leftUnanswered(machine: Machine, report: Heartbeat, ctx: ReconciliationContext): boolean {
-  if (machine.lastReport === null || !machine.reconciled) return false;
-  return report.session > machine.session || since(ctx.now, machine.lastReport) > ctx.reportsWithin;
+  if (machine.lastHeartbeatAt === null || !machine.reconciled) return false;
+  return report.session > machine.agentEpoch || elapsed(ctx.now, machine.lastHeartbeatAt) > ctx.reportsWithin;
 }
 
 /** The worker's lease ran out: it killed and forgot every task, and takes no order of that session. */
@@ -91,7 +91,7 @@
     ctx.log.debug({ task: b.id, machine: machine.id, attempt: b.attempt }, 'lost with its session');
     release(shard, machine, b);
   }
-  machine.exited = new Map();
+  machine.exitedTasks = new Map();
 }
 
 /**
@@ -100,9 +100,9 @@
  */
 function settleDoubts(machine: Machine, report: Heartbeat): void {
   const over = (d: Allocation['unacknowledged']): boolean =>
-    d !== null && (report.session > d.session || report.token > d.token);
+    d !== null && (report.session > d.agentEpoch || report.token > d.fencingToken);
   for (const b of machine.allocations.values()) if (over(b.unacknowledged)) b.unacknowledged = null;
-  for (const e of machine.exited.values()) if (over(e.unacknowledged)) e.unacknowledged = null;
+  for (const e of machine.exitedTasks.values()) if (over(e.unacknowledged)) e.unacknowledged = null;
 }
 
 function applyExits(
@@ -111,12 +111,12 @@
   report: Heartbeat,
   seen: Set<TaskId>,
   ctx: ReconciliationContext,
-): Map<TaskId, Exited> {
-  const exited = new Map<TaskId, Exited>();
+): Map<TaskId, ExitedTask> {
+  const exited = new Map<TaskId, ExitedTask>();
   for (const task of report.tasks) {
     if (task.state !== 'exited' || task.cause === null) continue;
     const id = taskId(task.job, task.index);
-    const before = machine.exited.get(id);
+    const before = machine.exitedTasks.get(id);
     const allocation = machine.allocations.get(id);
     const ours = allocation?.attempt === task.attempt ? allocation : null;
     const unacknowledged =
@@ -140,11 +140,11 @@
 function finished(shard: Shard, task: TaskStatus): void {
   const job = shard.jobs.get(task.job);
   if (!job || job.spec.shape === 'service' || job.record.done.has(task.index)) return;
-  if (!isOurs(shard, task.job, task.index)) return;
-  if (job.gang) return finishGang(shard, job);
+  if (!isAssignedTo(shard, task.job, task.index)) return;
+  if (job.gangHistory) return finishGang(shard, job);
   if (shard.allocations.has(taskId(task.job, task.index))) return;
   job.finished.add(task.index);
-  shard.ended.add(job);
+  shard.jobsWithUnrecordedEnds.add(job);
   job.waiting.remove(task.index);
   job.unaccounted.remove(task.index);
 }
@@ -153,7 +153,7 @@
 function finishGang(shard: Shard, job: ShardJob): void {
   job.finished.addRange(0, job.spec.tasks);
   job.finished.removeAll(job.record.done);
-  shard.ended.add(job);
+  shard.jobsWithUnrecordedEnds.add(job);
   job.waiting.removeRange(0, job.spec.tasks);
   job.unaccounted.removeRange(0, job.spec.tasks);
 }
@@ -168,7 +168,11 @@
 const NEVER_JOINED: readonly ExitCause[] = ['no-room', 'busy', 'unknown', 'alone'];
 
 /** What the end of a gang's task says about its attempt. */
-function learnGangExit({ gang }: ShardJob, machine: Machine, { attempt, cause }: TaskStatus): void {
+function learnGangExit(
+  { gangHistory: gang }: ShardJob,
+  machine: Machine,
+  { attempt, cause }: TaskStatus,
+): void {
   if (!gang) return;
   gang.leftMachines.add(machine.id);
   if (cause === 'peers') gang.started = attempt;
@@ -188,14 +192,14 @@
   ctx.log.debug({ task: b.id, machine: machine.id, attempt: b.attempt, cause: task.cause }, 'exited');
   if (job) learnGangExit(job, machine, task);
   if (task.cause === 'done') {
-    machine.faults = [];
+    machine.taskFailures = [];
     if (job) job.successes += 1;
     ctx.onDone(b);
     finished(shard, task);
   } else if (task.cause === 'error') blame(machine, b, job, ctx);
   else if (task.cause === 'no-room' || task.cause === 'busy')
     machine.quarantinedUntil = plus(ctx.now, toMillis(2 as never));
-  else if (task.cause === 'unknown' && job) job.notBefore = plus(ctx.now, toMillis(1 as never));
+  else if (task.cause === 'unknown' && job) job.backoffUntil = plus(ctx.now, toMillis(1 as never));
 }
 
 /** Many jobs failing on one machine: the machine. One job failing on many machines: the job. */
@@ -207,21 +211,24 @@
 ): void {
   if (job) {
     job.errors += 1;
-    job.errorMachines.add(machine.id);
+    job.failedMachines.add(machine.id);
   }
-  const jobIsBad = job !== undefined && job.successes === 0 && job.errorMachines.size >= 3;
+  const jobIsBad = job !== undefined && job.successes === 0 && job.failedMachines.size >= 3;
   if (jobIsBad) {
-    const backoffS = Math.min(60, 2 ** Math.min(6, job.errorMachines.size - 2));
-    job.notBefore = plus(ctx.now, toMillis(backoffS as never));
-    ctx.log.info({ job: b.job, machines: job.errorMachines.size, backoffS }, 'job fails wherever it starts');
+    const backoffS = Math.min(60, 2 ** Math.min(6, job.failedMachines.size - 2));
+    job.backoffUntil = plus(ctx.now, toMillis(backoffS as never));
+    ctx.log.info({ job: b.job, machines: job.failedMachines.size, backoffS }, 'job fails wherever it starts');
     return;
   }
-  machine.faults.push({ at: ctx.now, job: b.job });
-  machine.faults = machine.faults.slice(-20);
-  const jobs = new Set(machine.faults.map((f) => f.job)).size;
-  const avoidS = machine.faults.length >= 2 || jobs >= 2 ? 45 : 5;
+  machine.taskFailures.push({ at: ctx.now, job: b.job });
+  machine.taskFailures = machine.taskFailures.slice(-20);
+  const jobs = new Set(machine.taskFailures.map((f) => f.job)).size;
+  const avoidS = machine.taskFailures.length >= 2 || jobs >= 2 ? 45 : 5;
   machine.quarantinedUntil = plus(ctx.now, toMillis(avoidS as never));
-  ctx.log.info({ machine: machine.id, faults: machine.faults.length, jobs, avoidS }, 'tasks fail on machine');
+  ctx.log.info(
+    { machine: machine.id, faults: machine.taskFailures.length, jobs, avoidS },
+    'tasks fail on machine',
+  );
 }
 
 function applyActive(
@@ -241,7 +248,7 @@
   }
   const elsewhere = shard.allocations.get(id);
   const job = shard.jobs.get(task.job);
-  const wanted = !elsewhere && !known && job !== undefined && isOurs(shard, task.job, task.index);
+  const wanted = !elsewhere && !known && job !== undefined && isAssignedTo(shard, task.job, task.index);
   const open = wanted && !job.record.done.has(task.index) && !job.finished.has(task.index);
   // Seen on a machine without our having started it: adopted if it is ours to run, else stopped and counted
   // until it is gone.
@@ -258,19 +265,19 @@
     runningSince: hasBegun(task.state) ? ctx.now : null,
     gatheringSince: task.state === 'gathering' ? ctx.now : null,
     stop: open ? null : { grace: 0, direct: 'due' },
-    inFlight: false,
-    due: false,
+    launchInFlight: false,
+    launchPending: false,
     unacknowledged: known ? doubtOf(known, machine, shard, ctx.now) : null,
-    answered: null,
+    answeredSequence: null,
   };
   if (open) allocate(shard, machine, found);
   else {
-    attach(shard, machine, found);
+    addToMachine(shard, machine, found);
     if (!elsewhere || elsewhere === known) shard.allocations.set(id, found);
     job?.waiting.remove(task.index);
     ctx.log.info({ task: id, machine: machine.id, attempt: task.attempt }, 'not ours to run, stopping');
   }
-  if (task.state !== 'fetching' && spec) shard.sawImage(machine, spec.image, spec.imageGb);
+  if (task.state !== 'fetching' && spec) shard.recordImage(machine, spec.image, spec.imageGb);
 }
 
 /**
@@ -284,8 +291,8 @@
   now: SteadyMs,
 ): Allocation['unacknowledged'] {
   if (known.unacknowledged) return known.unacknowledged;
-  if (!known.inFlight && known.answered === null) return null;
-  return { token: shard.token, session: machine.session, since: now };
+  if (!known.launchInFlight && known.answeredSequence === null) return null;
+  return { fencingToken: shard.fencingToken, agentEpoch: machine.agentEpoch, sentAt: now };
 }
 
 const hasBegun = (state: TaskStatus['state']): boolean => state === 'running' || state === 'saving';
@@ -299,13 +306,13 @@
 ): void {
   if (b.phase !== state) ctx.log.debug({ task: b.id, machine: machine.id, state }, 'task moves on');
   b.phase = state;
-  b.due = false;
-  const gang = shard.jobs.get(b.job)?.gang;
+  b.launchPending = false;
+  const gang = shard.jobs.get(b.job)?.gangHistory;
   if (gang) learnGangState(gang, b.attempt, state);
   if (state === 'fetching') return;
   if (state === 'gathering') b.gatheringSince ??= ctx.now;
   else b.runningSince ??= ctx.now;
-  if (b.spec) shard.sawImage(machine, b.spec.image, b.spec.imageGb);
+  if (b.spec) shard.recordImage(machine, b.spec.image, b.spec.imageGb);
 }
 
 /** Not in the worker's list. Only certain when nothing that could still start it is on its way. */
@@ -316,12 +323,12 @@
   channel: Channel,
   ctx: ReconciliationContext,
 ): void {
-  if (b.inFlight || b.unacknowledged) return;
-  if (b.answered !== null) {
+  if (b.launchInFlight || b.unacknowledged) return;
+  if (b.answeredSequence !== null) {
     // Launched in the answer to a report: settled only by the worker's next report, which it sends after it
     // has executed or dropped that answer.
-    if (channel !== 'report' || machine.sequence <= b.answered) return;
-  } else if (b.phase === 'ordered' && b.due) return;
+    if (channel !== 'report' || machine.sequence <= b.answeredSequence) return;
+  } else if (b.phase === 'ordered' && b.launchPending) return;
   ctx.log.debug({ task: b.id, machine: machine.id, attempt: b.attempt }, 'not on its machine');
   release(shard, machine, b);
 }
--- a/src/workers/registration.ts
+++ b/src/workers/registration.ts
@@ -1,10 +1,10 @@
 /** Names machines that nobody has named yet for a part: many in one conditional transaction. */
 import type { Core } from '../core.js';
 import { dominantShare, largestOf, ZERO } from '../model/resources.js';
-import { encodeMachine, machineKey, type MachineRecord } from '../shards/records.js';
+import { encodeMachineRecord, machineKey, type MachineRecord } from '../shards/codec.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import type { MachineId, ShardId, SteadyMs } from '../units.js';
-import { millis, NO_REVISION } from '../units.js';
+import type { MachineId, ShardId, SteadyMs } from '../model/units.js';
+import { millis, NO_REVISION } from '../model/units.js';
 import type { Heartbeat } from './wire.js';
 
 /** Machines that report within this time share a transaction. */
@@ -94,7 +94,7 @@
       if (this.busy.size >= this.most) return;
       this.candidates.delete(id);
       const open =
-        this.core.view.version(machineKey(id)) === NO_REVISION && !this.core.retiredMachines.has(id);
+        this.core.storeCache.version(machineKey(id)) === NO_REVISION && !this.core.retiredMachines.has(id);
       if (open && this.isCandidate(id) && !this.busy.has(id)) void this.register(report);
     }
   }
@@ -110,9 +110,9 @@
         return null;
       }
       const { address, type, zone, spot } = report;
-      const shard = core.rentedFor.get(id) ?? choosePart(core, report);
+      const shard = core.intendedShards.get(id) ?? choosePart(core, report);
       return await new Promise<ShardId | null>((resolve) => {
-        this.wanted.push({ id, record: { part: shard, address, type, zone, spot }, resolve });
+        this.wanted.push({ id, record: { shard: shard, address, type, zone, spot }, resolve });
         if (!this.gathering) void this.gather();
       });
     } finally {
@@ -122,14 +122,14 @@
   }
 
   private get most(): number {
-    return Math.max(this.core.settings.txnOps, Math.ceil(this.core.state.writeRate * QUEUE_S));
+    return Math.max(this.core.settings.txnOps, Math.ceil(this.core.store.writeRate * QUEUE_S));
   }
 
   private async gather(): Promise<void> {
     this.gathering = true;
     while (this.wanted.length > 0) {
       await this.core.sleep(GATHER);
-      const { state, settings } = this.core;
+      const { store: state, settings } = this.core;
       const most = Math.max(1, Math.min(settings.txnOps, Math.floor(state.writeRate * LARGEST)));
       await this.name(this.wanted.splice(0, most));
     }
@@ -139,13 +139,13 @@
   /** Whoever of us is first: each key must not exist. Those that a peer was faster with are left out. */
   private async name(batch: readonly Wanted[]): Promise<void> {
     const { core } = this;
-    const open = batch.filter((w) => core.view.version(machineKey(w.id)) === NO_REVISION);
-    for (const w of batch) if (!open.includes(w)) w.resolve(w.record.part);
+    const open = batch.filter((w) => core.storeCache.version(machineKey(w.id)) === NO_REVISION);
+    for (const w of batch) if (!open.includes(w)) w.resolve(w.record.shard);
     if (open.length === 0) return;
-    const result = await core.state.compareAndSwap(
+    const result = await core.store.compareAndSwap(
       open.map((w) => ({ key: machineKey(w.id), version: NO_REVISION })),
-      open.map((w) => ({ op: 'put', key: machineKey(w.id), value: encodeMachine(w.record) }) as const),
-      RequestPriority.final,
+      open.map((w) => ({ op: 'put', key: machineKey(w.id), value: encodeMachineRecord(w.record) }) as const),
+      RequestPriority.finalState,
     );
     if (result.kind === 'conflict') {
       const failed = new Set(result.failed);
@@ -157,10 +157,11 @@
     if (result.kind === 'done') {
       core.log.info({ machines: open.map((w) => w.id) }, 'machines named');
       await core.exclusive(() => {
-        for (const w of open) core.view.learn(machineKey(w.id), encodeMachine(w.record), result.revision);
+        for (const w of open)
+          core.storeCache.apply(machineKey(w.id), encodeMachineRecord(w.record), result.revision);
       });
     }
-    for (const w of open) w.resolve(result.kind === 'done' ? w.record.part : null);
+    for (const w of open) w.resolve(result.kind === 'done' ? w.record.shard : null);
   }
 }
 
--- a/src/workers/service.ts
+++ b/src/workers/service.ts
@@ -4,9 +4,9 @@
 import type { Machine, Shard } from '../shards/model.js';
 import { newMachine } from '../shards/model.js';
 import type { ShardLeadership } from '../leadership/leadership.js';
-import { decodeMachine, MACHINES, type MachineRecord } from '../shards/records.js';
+import { decodeMachineRecord, MACHINES_PREFIX, type MachineRecord } from '../shards/codec.js';
 import type { RuntimeEstimator } from '../placement/runtimes.js';
-import type { Address, MachineId, ShardId, Revision } from '../units.js';
+import type { Address, MachineId, ShardId, Revision } from '../model/units.js';
 import { WorkerClients, type WorkerLink } from './clients.js';
 import { DirectCommands } from './direct-orders.js';
 import { LeaseExpiry } from './lease-expiry.js';
@@ -51,13 +51,13 @@
   /** The view shows a machine of a part that we own, or its removal. */
   onMachine(id: MachineId, record: MachineRecord | null, version: Revision): void {
     const now = this.core.clock.now();
-    for (const shard of this.core.parts.values()) {
+    for (const shard of this.core.shards.values()) {
       const present = shard.machines.get(id);
-      if (record?.part === shard.id) {
+      if (record?.shard === shard.id) {
         if (present) continue;
         // Named after our claim: commanded by nobody before, so nothing of ours is on it.
-        const settled = version > shard.claimedVersion;
-        shard.add(newMachine(id, record.address, record.type, record.zone, record.spot, now, settled));
+        const settled = version > shard.acquiredVersion;
+        shard.addMachine(newMachine(id, record.address, record.type, record.zone, record.spot, now, settled));
       } else if (present) this.remove(shard, present);
     }
     if (record) return;
@@ -70,7 +70,7 @@
   /** The machine is certainly gone, and all that was on it. */
   remove(shard: Shard, machine: Machine): void {
     endSession(shard, machine, this.core);
-    shard.drop(machine);
+    shard.removeMachine(machine);
     this.updates.changed(shard);
   }
 
@@ -92,9 +92,9 @@
   /** Do workers of a part answer us at all? Asked before we take a part back. */
   async workersAnswer(shard: ShardId): Promise<boolean> {
     const addresses: Address[] = [];
-    for (const entry of this.core.view.under(MACHINES)) {
-      const machine = decodeMachine(entry.value);
-      if (machine && machine.part === shard && machine.address !== '') addresses.push(machine.address);
+    for (const entry of this.core.storeCache.entriesUnder(MACHINES_PREFIX)) {
+      const machine = decodeMachineRecord(entry.value);
+      if (machine && machine.shard === shard && machine.address !== '') addresses.push(machine.address);
     }
     if (addresses.length === 0) return true;
     const asked = addresses.slice(0, WORKERS_ASKED);
@@ -104,7 +104,7 @@
   /** Closes connections to workers whose machines are not ours any more. */
   closeUnusedClients(): void {
     const wanted = new Set<Address>();
-    for (const shard of this.core.parts.values())
+    for (const shard of this.core.shards.values())
       for (const machine of shard.machines.values()) wanted.add(machine.address);
     this.clients.closeExcept(wanted);
   }
--- a/src/workers/wire.ts
+++ b/src/workers/wire.ts
@@ -6,16 +6,16 @@
   Attempt,
   JobId,
   MachineId,
-  NodeId,
+  ControllerId,
   Seconds,
   Sequence,
   AgentEpoch,
   TaskIndex,
   FencingToken,
-  TypeId,
+  InstanceTypeId,
   ZoneId,
-} from '../units.js';
-import { splitTaskId, taskId } from '../units.js';
+} from '../model/units.js';
+import { splitTaskId, taskId } from '../model/units.js';
 
 export interface TaskStatus {
   readonly job: JobId;
@@ -28,7 +28,7 @@
 export interface Heartbeat {
   readonly machine: MachineId;
   readonly address: Address;
-  readonly type: TypeId;
+  readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
   readonly session: AgentEpoch;
@@ -110,7 +110,7 @@
   return {
     machine: r.berth as MachineId,
     address: r.endpoint as Address,
-    type: r.hull as TypeId,
+    type: r.hull as InstanceTypeId,
     zone: r.harbor as ZoneId,
     spot: r.driftboats,
     session: r.watch as AgentEpoch,
@@ -153,5 +153,5 @@
   orders: orders.map(encodeOrder),
 });
 
-export const encodeRedirect = (owner: NodeId | null): unknown =>
+export const encodeRedirect = (owner: ControllerId | null): unknown =>
   owner === null ? {} : { harbormaster: owner };
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -19,19 +19,19 @@
 import {
   aliveKey,
   CATALOG_KEY,
-  decodeAlive,
-  decodeMachine,
-  decodePart,
-  decodeToken,
-  encodeAlive,
-  encodeMachine,
-  encodeShard,
-  encodeToken,
+  decodeMembership,
+  decodeMachineRecord,
+  decodeShardRecord,
+  decodeFencingToken,
+  encodeMembership,
+  encodeMachineRecord,
+  encodeShardRecord,
+  encodeFencingToken,
   machineKey,
   shardKey,
   TIME_KEY,
   TOKEN_KEY,
-} from '../src/shards/records.js';
+} from '../src/shards/codec.js';
 import { productionBuild, productionModule, type ProductionRecords } from './standins/builds.js';
 import { SMALL, World } from './standins/world.js';
 
@@ -183,18 +183,18 @@
   const shard = '{"owner":"n1","incarnation":"x7","token":9}';
   const released = '{"owner":null,"incarnation":null,"token":9}';
   for (const text of [shard, released]) {
-    const decoded = decodePart(JSON.parse(text));
+    const decoded = decodeShardRecord(JSON.parse(text));
     assert.ok(decoded);
-    assert.equal(JSON.stringify(encodeShard(decoded)), text);
+    assert.equal(JSON.stringify(encodeShardRecord(decoded)), text);
   }
   const machine = '{"part":1,"address":"10.0.0.1:1","type":"t","zone":"z","spot":true}';
-  const decodedMachine = decodeMachine(JSON.parse(machine));
+  const decodedMachine = decodeMachineRecord(JSON.parse(machine));
   assert.ok(decodedMachine);
-  assert.equal(JSON.stringify(encodeMachine(decodedMachine)), machine);
-  assert.equal(JSON.stringify(encodeAlive('x7' as never)), '{"incarnation":"x7"}');
-  assert.equal(decodeAlive({ incarnation: 'x7' }), 'x7');
-  assert.equal(JSON.stringify(encodeToken(9 as never)), '{"token":9}');
-  assert.equal(decodeToken({ token: 9 }), 9);
+  assert.equal(JSON.stringify(encodeMachineRecord(decodedMachine)), machine);
+  assert.equal(JSON.stringify(encodeMembership('x7' as never)), '{"incarnation":"x7"}');
+  assert.equal(decodeMembership({ incarnation: 'x7' }), 'x7');
+  assert.equal(JSON.stringify(encodeFencingToken(9 as never)), '{"token":9}');
+  assert.equal(decodeFencingToken({ token: 9 }), 9);
   assert.equal(JSON.stringify(encodeTime(1234 as never)), '{"ms":1234}');
   assert.equal(decodeTime({ ms: 1234 }), 1234);
   const catalog =
@@ -207,16 +207,21 @@
 
 test('such records with a field that is missing or of the wrong type cannot be read; unknown fields are ignored', () => {
   const shard = { owner: 'n1', incarnation: 'x7', token: 9 };
-  assert.deepEqual(decodePart({ ...shard, later: 1 }), shard);
+  assert.deepEqual(decodeShardRecord({ ...shard, later: 1 }), {
+    leader: 'n1',
+    incarnation: 'x7',
+    fencingToken: 9,
+  });
   for (const changes of [{ owner: 1 }, { owner: undefined }, { incarnation: 3 }, { token: '9' }])
-    assert.equal(decodePart({ ...shard, ...changes }), null);
+    assert.equal(decodeShardRecord({ ...shard, ...changes }), null);
   const machine = { part: 1, address: 'a', type: 't', zone: 'z', spot: true };
-  assert.deepEqual(decodeMachine({ ...machine, later: 1 }), machine);
+  const { part, ...rest } = machine;
+  assert.deepEqual(decodeMachineRecord({ ...machine, later: 1 }), { ...rest, shard: part });
   for (const changes of [{ part: '1' }, { address: null }, { type: undefined }, { zone: 1 }, { spot: 'yes' }])
-    assert.equal(decodeMachine({ ...machine, ...changes }), null);
-  assert.equal(decodeAlive({}), null);
-  assert.equal(decodeAlive({ incarnation: 7 }), null);
-  for (const value of [undefined, {}, { token: 'x' }]) assert.equal(decodeToken(value), 0);
+    assert.equal(decodeMachineRecord({ ...machine, ...changes }), null);
+  assert.equal(decodeMembership({}), null);
+  assert.equal(decodeMembership({ incarnation: 7 }), null);
+  for (const value of [undefined, {}, { token: 'x' }]) assert.equal(decodeFencingToken(value), 0);
   for (const value of [undefined, null, {}, { ms: 'soon' }]) assert.ok(Number.isNaN(decodeTime(value)));
   const type = { name: 'c4', cpus: 4, gpus: 0, memoryGb: 16 };
   assert.equal(decodeCatalog({ types: [type] })?.length, 1, 'written by a version that kept less');
--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -4,15 +4,23 @@
 import { chooseMove } from '../src/placement/consolidation.js';
 import type { MachineType } from '../src/cloud/wire.js';
 import { Priority } from '../src/jobs/spec.js';
-import { RangeSet } from '../src/ranges.js';
-import type { Attempt, ImageId, MachineId, ShardId, SteadyMs, TaskIndex, TypeId } from '../src/units.js';
-import { taskId } from '../src/units.js';
+import { RangeSet } from '../src/model/ranges.js';
+import type {
+  Attempt,
+  ImageId,
+  MachineId,
+  ShardId,
+  SteadyMs,
+  TaskIndex,
+  InstanceTypeId,
+} from '../src/model/units.js';
+import { taskId } from '../src/model/units.js';
 import { plainSpec } from './standins/spec.js';
 
 const NOW = 1_000_000 as SteadyMs;
 const types = new Map([
   [
-    'small' as TypeId,
+    'small' as InstanceTypeId,
     { name: 'small', cpus: 4, gpus: 0, memoryGb: 16, cacheGb: 30, zones: ['east'] } as unknown as MachineType,
   ],
 ]);
@@ -45,15 +53,15 @@
     const m = newMachine(
       name as MachineId,
       'a:1' as never,
-      'small' as TypeId,
+      'small' as InstanceTypeId,
       'east' as never,
       false,
       NOW,
       true,
     );
-    m.lastHeard = NOW;
-    shard.add(m);
-    shard.sawImage(m, 'img' as ImageId, 1);
+    m.lastHeardAt = NOW;
+    shard.addMachine(m);
+    shard.recordImage(m, 'img' as ImageId, 1);
     for (let i = 0; i < replicas + (others ?? 0); i += 1) {
       const spec = i < replicas ? service : batch;
       const index = next[spec.id as 'req-s' | 'req-b']++ as TaskIndex;
@@ -69,10 +77,10 @@
         runningSince: since as SteadyMs,
         gatheringSince: null,
         stop: null,
-        inFlight: false,
-        due: false,
+        launchInFlight: false,
+        launchPending: false,
         unacknowledged: null,
-        answered: null,
+        answeredSequence: null,
       };
       allocate(shard, m, binding);
     }
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -11,14 +11,14 @@
 import type { JobSpec } from '../src/jobs/spec.js';
 import { ZERO, type Resources } from '../src/model/resources.js';
 import { Shard, syncJob, type ShardJob } from '../src/shards/model.js';
-import { decideFailover, type ClaimFacts } from '../src/leadership/leadership.js';
+import { decideFailover, type FailoverFacts } from '../src/leadership/leadership.js';
 import { QuotaTransferService } from '../src/quota/transfer-service.js';
 import { guaranteedOf } from '../src/quota/guarantee.js';
 import { decodeShares, encodeShares, evenShares, transferableQuota, moveShare } from '../src/quota/shares.js';
-import { RangeSet } from '../src/ranges.js';
+import { RangeSet } from '../src/model/ranges.js';
 import { RateLimiter, RequestPriority } from '../src/store/rate-limiter.js';
 import { StoreCache } from '../src/store/cache.js';
-import { millis, type ShardId, type SharedMs, type SteadyMs } from '../src/units.js';
+import { millis, type ShardId, type ClusterMs, type SteadyMs } from '../src/model/units.js';
 import { SimClock, settle } from './standins/clock.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
 
@@ -27,55 +27,59 @@
 test('who claims a part, and when', () => {
   const base = {
     now: 100_000,
-    me: 'n1',
+    self: 'n1',
     incarnation: 'n1-1',
-    home: 'n0',
-    owner: 'n0',
-    ownerIncarnation: 'n0-1',
-    ownerAlive: true,
-    homeAlive: true,
-    ownedBefore: true,
-    steadySince: 10_000,
+    homeController: 'n0',
+    leader: 'n0',
+    leaderIncarnation: 'n0-1',
+    leaderAlive: true,
+    homeControllerAlive: true,
+    ledHomeShardBefore: true,
+    membershipStableSince: 10_000,
     redirectedHeartbeats: 0,
-    releasedByMe: false,
-    workersAnswer: false,
-    lasted: 0,
-  } as unknown as ClaimFacts;
-  const decide = (o: Partial<Record<keyof ClaimFacts, unknown>>): string =>
-    decideFailover({ ...base, ...o } as ClaimFacts);
+    releasedBySelf: false,
+    workersReachable: false,
+    situationAgeMs: 0,
+  } as unknown as FailoverFacts;
+  const decide = (o: Partial<Record<keyof FailoverFacts, unknown>>): string =>
+    decideFailover({ ...base, ...o } as FailoverFacts);
   assert.equal(decide({}), 'wait', 'its owner is alive');
-  assert.equal(decide({ ownerAlive: false, homeAlive: false }), 'claim', 'its owner is gone');
+  assert.equal(decide({ leaderAlive: false, homeControllerAlive: false }), 'claim', 'its owner is gone');
   assert.equal(
-    decide({ ownerAlive: false, homeAlive: false, steadySince: null }),
+    decide({ leaderAlive: false, homeControllerAlive: false, membershipStableSince: null }),
     'wait',
     'our view may be old',
   );
   assert.equal(
-    decide({ ownerAlive: false, lasted: 500 }),
+    decide({ leaderAlive: false, situationAgeMs: 500 }),
     'wait',
     'its owner restarted and claims for itself',
   );
-  assert.equal(decide({ ownerAlive: false, lasted: 5000 }), 'claim', 'it does not get so far');
+  assert.equal(decide({ leaderAlive: false, situationAgeMs: 5000 }), 'claim', 'it does not get so far');
   assert.equal(
-    decide({ owner: null, ownerIncarnation: null }),
+    decide({ leader: null, leaderIncarnation: null }),
     'wait',
     'released, but its workers do not come to us',
   );
-  const strays = { owner: null, ownerIncarnation: null, strays: 2 };
-  assert.equal(decide({ ...strays, lasted: 700 }), 'claim', 'released, and they do');
+  const strays = { leader: null, leaderIncarnation: null, redirectedHeartbeats: 2 };
+  assert.equal(decide({ ...strays, situationAgeMs: 700 }), 'claim', 'released, and they do');
   assert.equal(decide(strays), 'wait', 'its home goes first');
-  assert.equal(decide({ ...strays, homeAlive: false }), 'claim', 'there is no home');
-  assert.equal(decide({ ...strays, home: 'n1' }), 'claim', 'its home, without waiting');
+  assert.equal(decide({ ...strays, homeControllerAlive: false }), 'claim', 'there is no home');
+  assert.equal(decide({ ...strays, homeController: 'n1' }), 'claim', 'its home, without waiting');
   assert.equal(
-    decide({ owner: null, ownerIncarnation: null, strays: 2, releasedByMe: true }),
+    decide({ leader: null, leaderIncarnation: null, redirectedHeartbeats: 2, releasedBySelf: true }),
     'wait',
     'released by us',
   );
-  const home = { home: 'n1', owner: 'n2', ownerIncarnation: 'n2-1' };
-  assert.equal(decide({ ...home, ownedBefore: false }), 'claim', 'started anew');
+  const home = { homeController: 'n1', leader: 'n2', leaderIncarnation: 'n2-1' };
+  assert.equal(decide({ ...home, ledHomeShardBefore: false }), 'claim', 'started anew');
   assert.equal(decide(home), 'probe', 'back, but do our workers answer?');
-  assert.equal(decide({ ...home, workersAnswer: true }), 'claim', 'back and steady');
-  assert.equal(decide({ ...home, workersAnswer: true, steadySince: 99_000 }), 'wait', 'back for a moment');
+  assert.equal(decide({ ...home, workersReachable: true }), 'claim', 'back and steady');
+  assert.equal(
+    decide({ ...home, workersReachable: true, membershipStableSince: 99_000 }),
+    'wait',
+    'back for a moment',
+  );
 });
 
 test('the willing list: nearest zone first, then most room; expired offers and promised room do not count', () => {
@@ -180,12 +184,12 @@
   const budget = new RateLimiter(clock, 2, 2);
   const order: string[] = [];
   const take = (name: string, rank: RequestPriority, patience = 1000): void =>
-    void budget.take(1, rank, millis(patience)).then((ok) => order.push(ok ? name : `${name} refused`));
-  take('first', RequestPriority.submit);
-  take('second', RequestPriority.submit);
+    void budget.acquire(1, rank, millis(patience)).then((ok) => order.push(ok ? name : `${name} refused`));
+  take('first', RequestPriority.submission);
+  take('second', RequestPriority.submission);
   take('progress', RequestPriority.progress, 3000);
-  take('short', RequestPriority.submit, 50);
-  take('owner', RequestPriority.ownership);
+  take('short', RequestPriority.submission, 50);
+  take('owner', RequestPriority.leadership);
   await settle();
   assert.deepEqual(order, ['first', 'second', 'short refused'], 'its turn cannot come: told at once');
   await clock.advance(3000);
@@ -196,12 +200,12 @@
 test('the view takes facts in any order and never goes back', () => {
   const seen: string[] = [];
   const view = new StoreCache((key, value, version) => seen.push(`${key}=${String(value)}@${version}`));
-  view.learn('a' as never, 1, 5 as never);
-  view.learn('a' as never, 0, 4 as never);
-  view.learn('a' as never, undefined, 7 as never);
-  view.learn('a' as never, 1, 6 as never);
-  view.follow([{ key: 'b' as never, value: 2, version: 8 as never }], 8 as never, 1 as SteadyMs);
-  view.load([{ key: 'c' as never, value: 3, version: 9 as never }], 9 as never, 2 as SteadyMs);
+  view.apply('a' as never, 1, 5 as never);
+  view.apply('a' as never, 0, 4 as never);
+  view.apply('a' as never, undefined, 7 as never);
+  view.apply('a' as never, 1, 6 as never);
+  view.applyEvents([{ key: 'b' as never, value: 2, version: 8 as never }], 8 as never, 1 as SteadyMs);
+  view.loadSnapshot([{ key: 'c' as never, value: 3, version: 9 as never }], 9 as never, 2 as SteadyMs);
   assert.deepEqual(seen, ['a=1@5', 'a=undefined@7', 'b=2@8', 'b=undefined@9', 'c=3@9']);
 });
 
@@ -210,10 +214,10 @@
   const view = new StoreCache((key, value, version) => seen.push(`${key}=${String(value)}@${version}`));
   const put = { key: 'a' as never, value: 1, version: 5 as never };
   const drop = { key: 'a' as never, value: undefined, version: 6 as never };
-  view.follow([put, drop], 6 as never, 2 as SteadyMs);
-  view.follow([put], 5 as never, 1 as SteadyMs);
+  view.applyEvents([put, drop], 6 as never, 2 as SteadyMs);
+  view.applyEvents([put], 5 as never, 1 as SteadyMs);
   assert.deepEqual(seen, ['a=1@5', 'a=undefined@6']);
-  assert.equal(view.confirmed, 2);
+  assert.equal(view.confirmedAt, 2);
 });
 
 test('shared time goes on from what was written, never back, and gives a job its age in a new life', () => {
@@ -224,14 +228,14 @@
   time.reached(91_000, 3000 as SteadyMs);
   assert.equal(time.now(3000 as SteadyMs), 92_000, 'an older count changes nothing');
   time.reached(decodeTime({ ms: 'soon' }), 3000 as SteadyMs);
-  assert.equal(time.age(32_000 as SharedMs, 4000 as SteadyMs), 61_000);
+  assert.equal(time.age(32_000 as ClusterMs, 4000 as SteadyMs), 61_000);
   const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 4000 as SteadyMs, new Map());
   const assignments = [{ from: 0, to: 3, part: shard.id, zone: null }];
   const record = { spec: plainSpec({ tasks: 3 }), assignments, done: RangeSet.empty() } as never;
-  syncJob(shard, record, 1 as never, 4000 as SteadyMs, true, time.age(32_000 as SharedMs, 4000 as SteadyMs));
+  syncJob(shard, record, 1 as never, 4000 as SteadyMs, true, time.age(32_000 as ClusterMs, 4000 as SteadyMs));
   // What is overdue stays overdue, and what has waited goes first, whoever owns the part now.
   assert.deepEqual(
-    [...shard.jobs.values()].map((j) => j.firstSeen),
+    [...shard.jobs.values()].map((j) => j.acceptedAt),
     [-57_000],
   );
 });
@@ -241,7 +245,7 @@
   const settings = { teams: new Map([[red.name, red]]), parts: [{ part: 0 }, { part: 1 }, { part: 2 }] };
   const desk = new QuotaTransferService({
     settings,
-    view: new StoreCache(() => undefined),
+    storeCache: new StoreCache(() => undefined),
   } as unknown as Core);
   const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
   shard.reconciled = true;
--- a/test/dominant.test.ts
+++ b/test/dominant.test.ts
@@ -16,9 +16,9 @@
 import { chooseMove } from '../src/placement/consolidation.js';
 import { QuotaTransferService } from '../src/quota/transfer-service.js';
 import { quotaKey } from '../src/quota/shares.js';
-import { RangeSet } from '../src/ranges.js';
+import { RangeSet } from '../src/model/ranges.js';
 import { StoreCache } from '../src/store/cache.js';
-import type { ShardId, SteadyMs, TeamId, TypeId } from '../src/units.js';
+import type { ShardId, SteadyMs, TeamId, InstanceTypeId } from '../src/model/units.js';
 import { RegisteredMachines } from '../src/shards/registered-machines.js';
 import { choosePart } from '../src/workers/registration.js';
 import { Rounds, type RoundsOptions } from './standins/rounds.js';
@@ -28,7 +28,7 @@
 
 const GPU_MACHINE: Resources = { cpus: 64, gpus: 8, memoryGb: 512 };
 const GPU_TYPE = { ...GPU_MACHINE, name: 'gpu', zones: ['east'], price: 17, spotPrice: 8, bootS: 40 };
-const TYPES = new Map([['gpu' as TypeId, GPU_TYPE as unknown as MachineType]]);
+const TYPES = new Map([['gpu' as InstanceTypeId, GPU_TYPE as unknown as MachineType]]);
 const NOW = 1_000_000 as SteadyMs;
 const SERVICE = { shape: 'service', priority: 0, cpus: 5, gpus: 1, memoryGb: 38 };
 
@@ -154,9 +154,9 @@
   let index = 0;
   for (const [name, replicas] of Object.entries(load)) {
     const m = newMachine(name as never, 'a:1' as never, 'gpu' as never, 'east' as never, false, NOW, true);
-    m.lastHeard = NOW;
-    shard.add(m);
-    shard.sawImage(m, 'img' as never, 1);
+    m.lastHeardAt = NOW;
+    shard.addMachine(m);
+    shard.recordImage(m, 'img' as never, 1);
     const list: Partial<JobSpec>[] =
       typeof replicas === 'number' ? Array.from({ length: replicas }, () => ({})) : replicas;
     for (const changes of list) {
@@ -207,7 +207,11 @@
   );
 });
 
-const NEWS = { settings: { node: 'n1', parts: [{ part: 0 }, { part: 1 }] }, types: TYPES, reportMs: 1500 };
+const NEWS = {
+  settings: { node: 'n1', parts: [{ part: 0 }, { part: 1 }] },
+  types: TYPES,
+  heartbeatIntervalMs: 1500,
+};
 
 test('announcements: what is used, spare and ready is told in GPUs and memory as well', () => {
   const shard = partWith({ a: 3, b: 0 });
@@ -215,31 +219,31 @@
     ...NEWS,
     clock: { now: () => NOW },
     tuning: { announceExpiry: 1000 },
-    parts: new Map([[shard.id, shard]]),
+    shards: new Map([[shard.id, shard]]),
     freeCapacity: new Map(),
-    ready: new Map(),
-    rentedHere: new Map(),
-    state: { use: { requests: 1, writes: 1 } },
-    stateHealthy: () => true,
+    readyCapacity: new Map(),
+    unregisteredOwnMachines: new Map(),
+    store: { usage: { requests: 1, writes: 1 } },
+    storeHealthy: () => true,
     incarnation: 'n1-1',
   } as unknown as Core;
-  core.ready.set(shard.id, readyImages(core, shard));
+  core.readyCapacity.set(shard.id, readyImages(core, shard));
   const spare = new Map([['red' as TeamId, { cpus: 0, gpus: 7, memoryGb: 0 }]]);
   const news = encodePeerMessage(composeAnnouncement(core, () => spare, new Map()));
   assert.ok(news.kind === 'news');
   const peer = {
     ...core,
-    parts: new Map(),
+    shards: new Map(),
     peers: new Map(),
     shardAnnouncements: new Map(),
-    ready: new Map(),
+    readyCapacity: new Map(),
   };
-  Object.assign(peer, { rentedFor: new Map(), imageHints: new Map(), freeCapacity: new Map() });
+  Object.assign(peer, { intendedShards: new Map(), imageHints: new Map(), freeCapacity: new Map() });
   receive(peer as unknown as Core, JSON.parse(JSON.stringify(news)));
   const told = (peer as unknown as Core).shardAnnouncements.get(shard.id);
-  assert.deepEqual(told?.used.get('red' as TeamId), { cpus: 15, gpus: 3, memoryGb: 114 });
-  assert.deepEqual(told.spare.get('red' as TeamId), { cpus: 0, gpus: 7, memoryGb: 0 });
-  assert.deepEqual((peer as unknown as Core).ready.get(shard.id)?.get('img' as never), {
+  assert.deepEqual(told?.usage.get('red' as TeamId), { cpus: 15, gpus: 3, memoryGb: 114 });
+  assert.deepEqual(told.unusedQuota.get('red' as TeamId), { cpus: 0, gpus: 7, memoryGb: 0 });
+  assert.deepEqual((peer as unknown as Core).readyCapacity.get(shard.id)?.get('img' as never), {
     cpus: 113,
     gpus: 13,
     memoryGb: 910,
@@ -247,9 +251,9 @@
   // An earlier version tells CPUs alone.
   const old = news.parts.map((p) => ({ ...p, besides: undefined }));
   receive(peer as unknown as Core, JSON.parse(JSON.stringify({ ...news, parts: old })));
-  assert.deepEqual(told.used.get('red' as TeamId)?.gpus, 3, 'what was told before is kept apart');
+  assert.deepEqual(told.usage.get('red' as TeamId)?.gpus, 3, 'what was told before is kept apart');
   const again = (peer as unknown as Core).shardAnnouncements.get(shard.id);
-  assert.deepEqual(again?.used.get('red' as TeamId), { cpus: 15, gpus: 0, memoryGb: 0 });
+  assert.deepEqual(again?.usage.get('red' as TeamId), { cpus: 15, gpus: 0, memoryGb: 0 });
 });
 
 test('a new service goes to the part that has GPUs where its image is, not to the one with CPUs', () => {
@@ -285,16 +289,16 @@
   shard.reconciled = true;
   const core = {
     settings: { teams: new Map([[red.name, red]]), parts: [{ part: 0 }, { part: 1 }, { part: 2 }] },
-    view: new StoreCache(() => undefined),
+    storeCache: new StoreCache(() => undefined),
     clock: { now: () => NOW },
-    parts: new Map([[shard.id, shard]]),
+    shards: new Map([[shard.id, shard]]),
     shardAnnouncements: new Map(
-      spare.map((amount, i) => [i + 1, { expires: NOW + 1, spare: new Map([[red.name, amount]]) }]),
+      spare.map((amount, i) => [i + 1, { expiresAt: NOW + 1, unusedQuota: new Map([[red.name, amount]]) }]),
     ),
-    shardRecord: (p: number) => ({ owner: `n${p}` }),
-    mesh: { send: (_: string, ask: QuotaTransferRequest) => sent.push(ask) },
+    shardRecord: (p: number) => ({ leader: `n${p}` }),
+    peerTransport: { send: (_: string, ask: QuotaTransferRequest) => sent.push(ask) },
   } as unknown as Core;
-  core.view.learn(quotaKey(red.name), undefined, 1 as never);
+  core.storeCache.apply(quotaKey(red.name), undefined, 1 as never);
   new QuotaTransferService(core).request(shard, red.name, waiting);
   return sent.map((a) => `${a.cpus} CPUs, ${a.gpus} GPUs of ${a.to}`).join('; ');
 }
@@ -361,7 +365,7 @@
   ]);
   const partFor = (machines: (readonly [part: number, type: string])[]): number => {
     const named = new RegisteredMachines();
-    machines.forEach(([shard, type], i) => named.learn(`m-${i}` as never, { part: shard, type } as never));
+    machines.forEach(([shard, type], i) => named.update(`m-${i}` as never, { shard, type } as never));
     const parts = [0, 1].map((shard) => ({ part: shard, zone: 'east' }));
     const core = { settings: { parts }, registeredMachines: named, types } as unknown as Core;
     return choosePart(core, { zone: 'east' as never, machine: 'm-7' as never });
@@ -380,10 +384,10 @@
   const figures = statisticsOf(shard, NOW, 1500, share);
   assert.deepEqual(figures.capacity, { cpus: 128, gpus: 16, memoryGb: 1024 });
   assert.deepEqual(figures.free, { cpus: 113, gpus: 13, memoryGb: 910 });
-  assert.deepEqual(figures.bound.running, { cpus: 15, gpus: 3, memoryGb: 114 });
+  assert.deepEqual(figures.allocated.running, { cpus: 15, gpus: 3, memoryGb: 114 });
   assert.deepEqual(figures.teams['red'], {
-    used: { cpus: 15, gpus: 3, memoryGb: 114 },
-    share: { cpus: Infinity, gpus: 5, memoryGb: Infinity },
+    usage: { cpus: 15, gpus: 3, memoryGb: 114 },
+    shardQuota: { cpus: Infinity, gpus: 5, memoryGb: Infinity },
     waiting: { cpus: 235, gpus: 47, memoryGb: 1786 },
   });
 });
--- a/test/gang-reports.test.ts
+++ b/test/gang-reports.test.ts
@@ -26,7 +26,7 @@
 
 /** Its reports below belong to the session in which the tasks were started. */
 function inSession(shard: Shard): Shard {
-  for (const machine of shard.machines.values()) machine.session = 1 as never;
+  for (const machine of shard.machines.values()) machine.agentEpoch = 1 as never;
   return shard;
 }
 
--- a/test/gang-waiting.test.ts
+++ b/test/gang-waiting.test.ts
@@ -114,7 +114,7 @@
 function chosen(rounds: Rounds, changes: Partial<MachineRequest> = {}): [string[], string[]] {
   rounds.round();
   const now = rounds.clock() as never;
-  const facts = { types: rounds.part.types, reportMs: 1500 };
+  const facts = { types: rounds.part.types, heartbeatIntervalMs: 1500 };
   const { empty, emptying } = chooseTransfer(rounds.part, { ...REQUEST, ...changes }, facts as never, now);
   return [empty.map((m) => m.id as string), emptying.map((m) => m.id as string)];
 }
@@ -140,12 +140,12 @@
   const rounds = new Rounds(1);
   const machine = rounds.part.machines.get('m-0' as never);
   assert.ok(machine);
-  machine.directBusy = true;
+  machine.directRequestInFlight = true;
   assert.deepEqual(chosen(rounds), [[], ['m-0']]);
-  machine.directBusy = false;
-  machine.exited.set('req-x/0' as never, {} as never);
+  machine.directRequestInFlight = false;
+  machine.exitedTasks.set('req-x/0' as never, {} as never);
   assert.deepEqual(chosen(rounds), [[], ['m-0']]);
-  machine.exited.clear();
-  machine.unreachedSince = 0 as never;
+  machine.exitedTasks.clear();
+  machine.unreachableSince = 0 as never;
   assert.deepEqual(chosen(rounds), [[], []]);
 });
--- a/test/gang.test.ts
+++ b/test/gang.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decideGang, newGangHistory, type GangFacts, type GangMember } from '../src/model/gang.js';
-import { millis, type Attempt, type SteadyMs } from '../src/units.js';
+import { millis, type Attempt, type SteadyMs } from '../src/model/units.js';
 
 const NOW = 100_000 as SteadyMs;
 const OURS = 1000;
@@ -22,7 +22,7 @@
     waitLimit: millis(20_000),
     ...o,
   });
-  if (action.kind === 'stop') return `${state}: stop (${action.grace} s) ${action.why}`;
+  if (action.kind === 'stop') return `${state}: stop (${action.grace} s) ${action.reason}`;
   if (action.kind === 'replace') return `${state}: replace under ${action.attempt}`;
   return `${state}: ${action.kind}`;
 }
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -6,8 +6,8 @@
 import { HttpError, HttpParser } from '../src/http/parser.js';
 import { serve, type Handler } from '../src/http/server.js';
 import { silentLog } from '../src/log.js';
-import type { Address } from '../src/units.js';
-import { millis } from '../src/units.js';
+import type { Address } from '../src/model/units.js';
+import { millis } from '../src/model/units.js';
 
 const LIMITS = { head: 512, body: 64 };
 const parse = (text: string): ReturnType<HttpParser['push']> =>
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -5,7 +5,7 @@
 import type { Call, Outcome } from '../src/http/client.js';
 import { Shard } from '../src/shards/model.js';
 import { parseSettings } from '../src/settings/settings.js';
-import type { FencingToken } from '../src/units.js';
+import type { FencingToken } from '../src/model/units.js';
 import { SimClock } from './standins/clock.js';
 import { settingsText } from './standins/world.js';
 
@@ -15,18 +15,18 @@
   const shard = new Shard(0 as never, 7 as never, 1 as never, 0 as never, new Map());
   let last = 0;
   for (let i = 0; i < ATTEMPTS_OF_A_TOKEN * 0.7; i += 1) last = shard.nextAttempt();
-  assert.equal(shard.needsNewToken, false);
+  assert.equal(shard.needsNewFencingToken, false);
   for (let i = 0; i < ATTEMPTS_OF_A_TOKEN * 0.1; i += 1) last = shard.nextAttempt();
-  assert.equal(shard.needsNewToken, true);
+  assert.equal(shard.needsNewFencingToken, true);
   assert.throws(() => {
     for (;;) last = shard.nextAttempt();
   }, /used all attempts/);
   assert.ok(last < 8 * ATTEMPTS_OF_A_TOKEN, 'none belongs to another token');
-  shard.raiseTo(9 as FencingToken);
-  assert.equal(shard.needsNewToken, false);
+  shard.adoptFencingToken(9 as FencingToken);
+  assert.equal(shard.needsNewFencingToken, false);
   const next = shard.nextAttempt();
   assert.ok(next > last);
-  assert.ok(shard.issued(next));
+  assert.ok(shard.issuedAttempt(next));
 });
 
 /** Names of a page of the cloud's list. */
--- a/test/overdue.test.ts
+++ b/test/overdue.test.ts
@@ -24,7 +24,7 @@
   pass(rounds, 58_000);
   assert.equal(holdOf(rounds, 'req-large'), undefined);
   pass(rounds, 10_000);
-  const { machine, reserved } = holdOf(rounds, 'req-large') as Reservation;
+  const { machine, withoutPreemption: reserved } = holdOf(rounds, 'req-large') as Reservation;
   assert.deepEqual([machine, reserved], ['m-1', true]);
 });
 
@@ -37,7 +37,7 @@
     rounds.place('req-a', 'm-0', { memoryGb: 50 });
     rounds.job('req-large', { cpus: 1, memoryGb });
     pass(rounds, 70_000);
-    assert.equal(holdOf(rounds, 'req-large')?.reserved ?? false, kept, `${memoryGb} GB`);
+    assert.equal(holdOf(rounds, 'req-large')?.withoutPreemption ?? false, kept, `${memoryGb} GB`);
   }
 });
 
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -4,8 +4,8 @@
 import { withDone } from '../src/jobs/stored-size.js';
 import { reassign } from '../src/jobs/record.js';
 import type { JobSpec } from '../src/jobs/spec.js';
-import { RangeSet } from '../src/ranges.js';
-import type { ShardId } from '../src/units.js';
+import { RangeSet } from '../src/model/ranges.js';
+import type { ShardId } from '../src/model/units.js';
 import { checkTrace } from './standins/trace.js';
 import { World } from './standins/world.js';
 
--- a/test/remainder.test.ts
+++ b/test/remainder.test.ts
@@ -4,8 +4,8 @@
 import { UNLIMITED, type Resources } from '../src/model/resources.js';
 import { Shard, syncJob } from '../src/shards/model.js';
 import { missingForOne } from '../src/quota/remainder.js';
-import { RangeSet } from '../src/ranges.js';
-import type { ShardId, SteadyMs, TeamId } from '../src/units.js';
+import { RangeSet } from '../src/model/ranges.js';
+import type { ShardId, SteadyMs, TeamId } from '../src/model/units.js';
 import { settle } from './standins/clock.js';
 import { deskOf } from './standins/desk.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
@@ -36,7 +36,7 @@
     this.parts = share.map((_, id) => {
       const shard = new Shard(id as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
       shard.reconciled = true;
-      shard.totals.use(this.task(used[id] ?? 0), 1);
+      shard.totals.countTask(this.task(used[id] ?? 0), 1);
       this.wait(shard, size[id] ?? 0);
       return shard;
     });
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -14,9 +14,9 @@
   type Allocation,
   type Machine,
 } from '../src/shards/model.js';
-import { accountFor } from '../src/shards/accounting.js';
-import { allowed } from '../src/model/constraints.js';
-import { RangeSet } from '../src/ranges.js';
+import { requeueAccountedTasks } from '../src/shards/unaccounted-tasks.js';
+import { mayRunOn } from '../src/model/constraints.js';
+import { RangeSet } from '../src/model/ranges.js';
 import { ordersInAnswer } from '../src/workers/orders.js';
 import { reconcileHeartbeat } from '../src/workers/reconciliation.js';
 import type { Heartbeat, TaskStatus } from '../src/workers/wire.js';
@@ -65,9 +65,9 @@
       0 as never,
       !atClaim,
     );
-    this.part.add(this.machine);
+    this.part.addMachine(this.machine);
     syncJob(this.part, record, 2 as never, 0 as never, atClaim);
-    if (!atClaim) accountFor(this.part);
+    if (!atClaim) requeueAccountedTasks(this.part);
     // Tasks are only started on machines that have been heard.
     if (!atClaim) this.hear('report', '');
   }
@@ -84,10 +84,10 @@
       allocatedAt: 0,
       runningSince: null,
       stop: null,
-      inFlight: false,
-      due: false,
+      launchInFlight: false,
+      launchPending: false,
       unacknowledged: null,
-      answered: null,
+      answeredSequence: null,
       ...o,
     } as unknown as Allocation;
     allocate(this.part, this.machine, b);
@@ -170,7 +170,7 @@
 });
 
 test('a direct launch in doubt stays bound, and its exit is not cleared, until a higher token is seen', () => {
-  const doubt = { token: 7, session: 1, since: 0 } as unknown as Allocation['unacknowledged'];
+  const doubt = { fencingToken: 7, agentEpoch: 1, sentAt: 0 } as unknown as Allocation['unacknowledged'];
   const w = new Bench();
   w.start({ unacknowledged: doubt });
   assert.equal(w.hear('report', ''), 'taken; bound 0@5 waiting 1');
@@ -183,13 +183,13 @@
 test('after a claim a task is frozen until every machine has reported under the new token', () => {
   const w = new Bench(true);
   assert.equal(w.state(), 'bound - waiting -');
-  assert.equal(usageOf(w.part).anybody.cpus, 16, 'a machine not heard from may be full of any team');
+  assert.equal(usageOf(w.part).unattributed.cpus, 16, 'a machine not heard from may be full of any team');
   assert.equal(w.hear('report', '', { token: 6 }), 'taken; bound - waiting -');
-  assert.equal(accountFor(w.part), false, 'the owner before us may still command it');
+  assert.equal(requeueAccountedTasks(w.part), false, 'the owner before us may still command it');
   assert.equal(w.hear('direct', '1:4:running'), 'taken; bound 1@4 waiting -');
-  assert.equal(accountFor(w.part), true);
+  assert.equal(requeueAccountedTasks(w.part), true);
   assert.equal(w.state(), 'bound 1@4 waiting 0');
-  assert.equal(usageOf(w.part).anybody.cpus, 0);
+  assert.equal(usageOf(w.part).unattributed.cpus, 0);
 });
 
 test('after a claim a task waits only for machines on which its job allows it', () => {
@@ -203,18 +203,18 @@
     0 as never,
     false,
   );
-  w.part.add(spot);
-  assert.equal(accountFor(w.part), false);
+  w.part.addMachine(spot);
+  assert.equal(requeueAccountedTasks(w.part), false);
   assert.equal(w.state(), 'bound - waiting -', 'it may be on the ordinary machine');
   assert.equal(w.hear('report', '1:4:running', { token: 7 }), 'taken; bound 1@4 waiting -');
-  assert.equal(accountFor(w.part), false, 'the spot machine has not spoken');
+  assert.equal(requeueAccountedTasks(w.part), false, 'the spot machine has not spoken');
   assert.equal(w.state(), 'bound 1@4 waiting 0', 'its job does not allow spot machines');
   assert.equal(
     w.hear('report', '', { token: 7 }),
     'taken; bound - waiting 0',
     'gone from there: frozen anew',
   );
-  accountFor(w.part);
+  requeueAccountedTasks(w.part);
   assert.equal(w.state(), 'bound - waiting 0,1');
 });
 
@@ -229,7 +229,7 @@
     0 as never,
     false,
   );
-  w.part.add(other);
+  w.part.addMachine(other);
   assert.equal(w.hear('report', '0:3:running', { token: 6 }), 'taken; bound 0@3 waiting -');
   assert.equal(
     w.hear('report', '0:4:running 1:4:running', { token: 7 }, other),
@@ -237,7 +237,7 @@
   );
   // What the machine of the copy says itself: the task is not there, and has not been for long.
   w.hear('report', '', { token: 7 });
-  accountFor(w.part);
+  requeueAccountedTasks(w.part);
   assert.equal(w.state(), 'bound 1@4,0@4 waiting -', 'it is on the other machine, told to stop');
   w.hear('report', '1:4:running', { token: 7 }, other);
   assert.equal(w.state(), 'bound 1@4 waiting 0');
@@ -257,7 +257,7 @@
 
 test('where a task may start: kind, type, zone and pin each decide', () => {
   const may = (o: Partial<JobSpec>, type: string, zone: string, spot: boolean, pin: string | null): boolean =>
-    allowed(
+    mayRunOn(
       { ...spec, types: null, zone: null, spot: false, ...o },
       type as never,
       zone as never,
--- a/test/resources.test.ts
+++ b/test/resources.test.ts
@@ -7,7 +7,7 @@
 import { UNLIMITED, ZERO } from '../src/model/resources.js';
 import { guaranteedOf } from '../src/quota/guarantee.js';
 import { decodeShares, encodeShares, evenShares, transferableQuota } from '../src/quota/shares.js';
-import { RangeSet } from '../src/ranges.js';
+import { RangeSet } from '../src/model/ranges.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
 import { checkTrace } from './standins/trace.js';
 import { SMALL, World, type Shape } from './standins/world.js';
--- a/test/returns.test.ts
+++ b/test/returns.test.ts
@@ -30,9 +30,9 @@
       (NOW - 4000) as never,
       settled || !silent,
     );
-    if (settled || !silent) m.lastHeard = (NOW - (silent ? g.silentMs : 100)) as never;
-    else m.missedCalls = 5;
-    shard.add(m);
+    if (settled || !silent) m.lastHeardAt = (NOW - (silent ? g.silentMs : 100)) as never;
+    else m.missedDirectRequests = 5;
+    shard.addMachine(m);
   };
   for (let i = 0; i < g.ordinary; i += 1) add(i, false, i < g.silentOrdinary);
   for (let i = 0; i < g.spot; i += 1) add(i, true, i < g.silentSpot);
@@ -79,11 +79,11 @@
   assert.equal(returned(cut), 'none');
   // The cut ends, and all but two have spoken: these have missed calls, but none since then.
   for (const m of [...cut.machines.values()].slice(2, 60)) {
-    cut.settle(m);
-    m.lastHeard = NOW as never;
+    cut.markReconciled(m);
+    m.lastHeardAt = NOW as never;
   }
   assert.equal(returned(cut), 'none');
-  for (const m of cut.machines.values()) if (!m.reconciled) m.missedCalls = 3;
+  for (const m of cut.machines.values()) if (!m.reconciled) m.missedDirectRequests = 3;
   assert.equal(returned(cut), `3 ${missing}`);
   const all = { ordinary: 2, spot: 2, silentOrdinary: 2, silentSpot: 2, silentMs: 0 };
   assert.equal(returned(partOf(all, false)), 'none', 'nobody is heard: it is we who are cut off');
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -10,7 +10,7 @@
 import { Shard, syncJob, type ShardJob } from '../src/shards/model.js';
 import { planRound } from '../src/placement/plan.js';
 import type { PlanContext } from '../src/placement/round.js';
-import { RangeSet } from '../src/ranges.js';
+import { RangeSet } from '../src/model/ranges.js';
 import { EventQueue, Host } from '../src/simulation/clock.js';
 import type { Defect } from '../src/simulation/defects.js';
 import { fuzzOne } from '../src/simulation/fuzz-run.js';
@@ -31,7 +31,7 @@
 } from '../src/simulation/scenario.js';
 import { shrink } from '../src/simulation/shrink.js';
 import { Simulation, type SimulationResult } from '../src/simulation/simulation.js';
-import type { ShardId, SteadyMs } from '../src/units.js';
+import type { ShardId, SteadyMs } from '../src/model/units.js';
 import { plainSpec } from './standins/spec.js';
 import { PLAIN_JOB } from './standins/user-job.js';
 
@@ -652,14 +652,14 @@
     random: () => 0,
     clock: { now: () => 10_000 },
     log: silentLog(),
-    ownerCondition: () => ({ key: 'c/parts/0', version: 1 }),
-    settle: () => new Promise((resolve) => (answer = resolve)),
+    leaderCondition: () => ({ key: 'c/parts/0', version: 1 }),
+    compareAndSwapUntilCertain: () => new Promise((resolve) => (answer = resolve)),
     exclusive: (work: () => unknown) => Promise.resolve(work()),
-    wake: () => undefined,
+    requestCycle: () => undefined,
   };
   const overflow = new Overflow(core as unknown as Core);
   overflow.consider(shard, [{ job, reason: 'room', indices: 'all' }]);
-  assert.equal(job.moving.size, 2);
+  assert.equal(job.handingOver.size, 2);
   planRound(shard, { now: 10_000 } as unknown as PlanContext);
   answer({ kind: 'refused' });
   await new Promise((resolve) => setImmediate(resolve));
--- a/test/stale-reads.test.ts
+++ b/test/stale-reads.test.ts
@@ -2,24 +2,24 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { StoreCache } from '../src/store/cache.js';
-import type { Revision, StateKey } from '../src/units.js';
-import { steady } from '../src/units.js';
+import type { Revision, StoreKey } from '../src/model/units.js';
+import { steady } from '../src/model/units.js';
 import { parseSettings } from '../src/settings/settings.js';
 import { KeyValueClient } from '../src/store/client.js';
 import { SimClock } from './standins/clock.js';
 import { settingsText, World } from './standins/world.js';
 
-const KEY = 'c/live/req-1' as StateKey;
+const KEY = 'c/live/req-1' as StoreKey;
 const at = (n: number): Revision => n as Revision;
 
 test('a read that is older than what the feed has shown brings no dropped key back', () => {
   const seen: unknown[] = [];
   const view = new StoreCache((_, value) => seen.push(value));
-  view.load([{ key: KEY, value: 'first', version: at(5) }], at(5), steady(0));
-  view.follow([{ key: KEY, value: undefined, version: at(7) }], at(7), steady(1));
-  view.learn(KEY, 'first', at(5));
+  view.loadSnapshot([{ key: KEY, value: 'first', version: at(5) }], at(5), steady(0));
+  view.applyEvents([{ key: KEY, value: undefined, version: at(7) }], at(7), steady(1));
+  view.apply(KEY, 'first', at(5));
   assert.equal(view.get(KEY), undefined);
-  view.learn(KEY, 'second', at(8));
+  view.apply(KEY, 'second', at(8));
   assert.equal(view.get(KEY)?.value, 'second');
   assert.deepEqual(seen, ['first', undefined, 'second']);
 });
@@ -39,8 +39,8 @@
   assert.equal(listed.entries.length, 2);
   // req-1 was dropped at 12, while the second page was read.
   const view = new StoreCache(() => undefined);
-  view.load(listed.entries, listed.revision, steady(0));
-  view.follow([{ key: KEY, value: undefined, version: at(12) }], at(12), steady(1));
+  view.loadSnapshot(listed.entries, listed.revision, steady(0));
+  view.applyEvents([{ key: KEY, value: undefined, version: at(12) }], at(12), steady(1));
   assert.equal(view.get(KEY), undefined);
 });
 
--- a/test/standins/builds.ts
+++ b/test/standins/builds.ts
@@ -2,7 +2,7 @@
 import { Controller } from '../../src/controller.js';
 import { silentLog } from '../../src/log.js';
 import type { JobRecord } from '../../src/jobs/record.js';
-import type { RangeSet } from '../../src/ranges.js';
+import type { RangeSet } from '../../src/model/ranges.js';
 import { parseSettings, parseTuning } from '../../src/settings/settings.js';
 
 /** What a world needs of a version to start a controller of it. */
@@ -59,6 +59,12 @@
   decodeFinal(value: unknown): string | null;
 }
 
+/** `parts/records.ts` of the version in production: what it reads is what is stored. */
+export interface ProductionShardRecords {
+  decodePart(value: unknown): unknown;
+  decodeMachine(value: unknown): unknown;
+}
+
 /** A record of the working sources as the version in production holds it in memory. */
 export function toProductionRecord(record: JobRecord): ProductionRecord {
   const { spec } = record;
--- a/test/standins/clock.ts
+++ b/test/standins/clock.ts
@@ -1,5 +1,5 @@
 /** A simulated steady clock: events in time order, everything else settled in between. */
-import type { Clock, Millis, SteadyMs } from '../../src/units.js';
+import type { Clock, Millis, SteadyMs } from '../../src/model/units.js';
 
 interface Event {
   readonly at: number;
--- a/test/standins/desk.ts
+++ b/test/standins/desk.ts
@@ -17,21 +17,22 @@
 ): QuotaTransferService {
   const view = new StoreCache(() => undefined);
   const key = quotaKey(team.name);
-  if (shares) view.learn(key, encodeShares(team, shares), 1 as never);
+  if (shares) view.apply(key, encodeShares(team, shares), 1 as never);
   return new QuotaTransferService({
     settings: {
       teams: new Map([[team.name, team]]),
       parts: Array.from({ length: partCount }, (_, shard) => ({ part: shard })),
     },
-    view,
-    parts: new Map(parts.map((shard) => [shard.id, shard])),
+    storeCache: view,
+    shards: new Map(parts.map((shard) => [shard.id, shard])),
     shardAnnouncements: new Map(),
     clock: { now },
     shardRecord: () => null,
-    ownerCondition: () => ({}),
-    settle: () => Promise.resolve({ kind: 'done', revision: (view.version(key) + 1) as never }),
+    leaderCondition: () => ({}),
+    compareAndSwapUntilCertain: () =>
+      Promise.resolve({ kind: 'done', revision: (view.version(key) + 1) as never }),
     exclusive: (work: () => unknown) => Promise.resolve(work()),
     log: { debug: () => undefined },
-    wake: () => undefined,
+    requestCycle: () => undefined,
   } as unknown as Core);
 }
--- a/test/standins/rounds.ts
+++ b/test/standins/rounds.ts
@@ -15,9 +15,9 @@
 import { planRound } from '../../src/placement/plan.js';
 import type { PlanContext } from '../../src/placement/round.js';
 import { Guarantees } from '../../src/quota/guarantee.js';
-import { RangeSet } from '../../src/ranges.js';
+import { RangeSet } from '../../src/model/ranges.js';
 import type { Team } from '../../src/settings/settings.js';
-import type { TeamId, TypeId } from '../../src/units.js';
+import type { TeamId, InstanceTypeId } from '../../src/model/units.js';
 import { plainSpec, plainTeam } from './spec.js';
 
 export interface RoundsOptions {
@@ -37,7 +37,7 @@
   elsewhere: Resources = ZERO;
   private now = 1_000_000;
   private readonly live = new Map<string, JobRecord>();
-  private readonly types: ReadonlyMap<TypeId, MachineType>;
+  private readonly types: ReadonlyMap<InstanceTypeId, MachineType>;
   private readonly teams: ReadonlyMap<TeamId, Team>;
   private readonly share: Resources;
   private readonly guarantees: Guarantees;
@@ -45,7 +45,7 @@
   constructor(machines = 1, options: RoundsOptions = {}) {
     const { capacity = { cpus: 8, gpus: 0, memoryGb: 64 }, team = { cpus: 4, cpusMax: 100 } } = options;
     this.types = new Map([
-      ['t' as TypeId, { name: 't', ...capacity, fetchGbPerS: 0.1 } as unknown as MachineType],
+      ['t' as InstanceTypeId, { name: 't', ...capacity, fetchGbPerS: 0.1 } as unknown as MachineType],
     ]);
     this.teams = new Map(['red', 'blue'].map((name) => [name as TeamId, plainTeam({ ...team, name })]));
     this.share = options.share ?? { ...UNLIMITED, cpus: 100 };
@@ -62,7 +62,7 @@
         (options.since ?? 0) as never,
         true,
       );
-      this.part.add(m);
+      this.part.addMachine(m);
     }
   }
 
@@ -101,16 +101,16 @@
       allocatedAt: this.now,
       runningSince: this.now,
       stop: null,
-      inFlight: false,
-      due: false,
+      launchInFlight: false,
+      launchPending: false,
       unacknowledged: null,
-      answered: null,
+      answeredSequence: null,
     } as unknown as Allocation;
   }
 
   holds(machine: string, image: string): void {
     const m = this.part.machines.get(machine as never);
-    if (m) this.part.sawImage(m, image as never, 1);
+    if (m) this.part.recordImage(m, image as never, 1);
   }
 
   /** Tasks that have run this long are done. */
@@ -130,7 +130,7 @@
   /** One round, all of it carried out at once, two seconds later than the one before. */
   round(): string {
     this.now += 2000;
-    for (const m of this.part.machines.values()) m.lastHeard = this.now as never;
+    for (const m of this.part.machines.values()) m.lastHeardAt = this.now as never;
     const ctx = {
       now: this.now,
       types: this.types,
@@ -158,8 +158,8 @@
     for (const h of plan.holds)
       h.job.reservations.set(h.index, {
         machine: h.machine,
-        until: (this.now + 6000) as never,
-        reserved: h.reserved,
+        reservedUntil: (this.now + 6000) as never,
+        withoutPreemption: h.reserved,
       });
     for (const u of plan.unplaced) u.job.waitingSince ??= this.now as never;
     return said.join('; ') || 'nothing';
--- a/test/standins/spec.ts
+++ b/test/standins/spec.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '../../src/jobs/spec.js';
 import { UNLIMITED, ZERO } from '../../src/model/resources.js';
 import type { Team } from '../../src/settings/settings.js';
-import type { TeamId } from '../../src/units.js';
+import type { TeamId } from '../../src/model/units.js';
 
 /** The team red as its settings say it: a guarantee or limit that is left out is none. */
 export function plainTeam(
--- a/test/standins/world.ts
+++ b/test/standins/world.ts
@@ -3,7 +3,7 @@
 import type { Call, Outcome } from '../../src/http/client.js';
 import type { Answer, Handler } from '../../src/http/server.js';
 import type { Settings } from '../../src/settings/settings.js';
-import type { Incarnation } from '../../src/units.js';
+import type { Incarnation } from '../../src/model/units.js';
 import { WORKING, type Build } from './builds.js';
 import { clockAt, SimClock, settle } from './clock.js';
 import { GangStandin } from './gangs.js';
--- a/test/sums.test.ts
+++ b/test/sums.test.ts
@@ -4,11 +4,11 @@
 import { seededRandom } from '../src/overflow/peer-ranking.js';
 import { fits, type Resources } from '../src/model/resources.js';
 import {
-  attach,
+  addToMachine,
   allocate,
   newMachine,
   Shard,
-  roomOn,
+  freeResources,
   release,
   usageOf,
   type Allocation,
@@ -66,17 +66,20 @@
 function kept(shard: Shard): unknown {
   const amounts = (of: Resources): number[] => KINDS.map((kind) => round(of[kind]));
   const teams: Record<string, number[]> = {};
-  for (const [team, u] of usageOf(shard).teams) if (amounts(u).some((n) => n !== 0)) teams[team] = amounts(u);
+  for (const [team, u] of usageOf(shard).byTeam)
+    if (amounts(u).some((n) => n !== 0)) teams[team] = amounts(u);
   const free: Record<string, number[]> = {};
   const lesser: Record<string, number[]> = {};
   for (const m of shard.machines.values()) {
-    free[m.id] = amounts(roomOn(m, TYPES.get(m.type) as never));
+    free[m.id] = amounts(freeResources(m, TYPES.get(m.type) as never));
     lesser[m.id] = amounts(m.preemptible);
   }
-  const holders = [...shard.totals.images()].flatMap(([i, ms]) => [...ms].map((m) => `${i}@${m.id}`)).sort();
+  const holders = [...shard.totals.imageHolders()]
+    .flatMap(([i, ms]) => [...ms].map((m) => `${i}@${m.id}`))
+    .sort();
   let bound = 0;
   for (const set of shard.allocationsByJob.values()) bound += set.size;
-  return { teams, unclear: amounts(usageOf(shard).anybody), free, lesser, holders, bound };
+  return { teams, unclear: amounts(usageOf(shard).unattributed), free, lesser, holders, bound };
 }
 
 test('sums kept with every change are what a full recount finds', () => {
@@ -90,7 +93,7 @@
     if (action === 0 || !m) {
       const type = random(2) === 0 ? 'small' : 'large';
       const id = `m-${names++}` as never;
-      shard.add(
+      shard.addMachine(
         newMachine(
           id,
           '10.0.0.1:1' as never,
@@ -103,8 +106,8 @@
       );
     } else if (action === 1 && shard.machines.size > 12) {
       for (const b of [...m.allocations.values()]) release(shard, m, b);
-      shard.drop(m);
-    } else if (action === 2) shard.settle(m);
+      shard.removeMachine(m);
+    } else if (action === 2) shard.markReconciled(m);
     else if (action < 7) {
       const spec = pick(SPECS) ?? null;
       const index = names++;
@@ -119,21 +122,24 @@
         stop: null,
       } as unknown as Allocation;
       allocate(shard, m, b);
-      if (random(8) === 0) attach(shard, m, b);
-      if (spec && random(2) === 0) shard.sawImage(m, spec.image, spec.imageGb);
+      if (random(8) === 0) addToMachine(shard, m, b);
+      if (spec && random(2) === 0) shard.recordImage(m, spec.image, spec.imageGb);
     } else {
       const b = pick([...m.allocations.values()]);
       if (b) release(shard, m, b);
     }
     if (step % 7 === 0) assert.deepEqual(kept(shard), recount(shard), `after ${step} steps`);
     for (const need of NEEDS) {
-      const found = new Set(shard.totals.withFree(need, TYPES as never));
+      const found = new Set(shard.totals.machinesWithFree(need, TYPES as never));
       for (const w of shard.machines.values())
-        if (fits(need, roomOn(w, TYPES.get(w.type) as never)))
+        if (fits(need, freeResources(w, TYPES.get(w.type) as never)))
           assert.ok(found.has(w), 'no machine is left out');
       const kind = need.gpus > 0 ? 'gpus' : need.memoryGb > 8 ? 'memoryGb' : 'cpus';
       for (const w of found)
-        assert.ok(roomOn(w, TYPES.get(w.type) as never)[kind] > need[kind] - 1e-6, `few others, by ${kind}`);
+        assert.ok(
+          freeResources(w, TYPES.get(w.type) as never)[kind] > need[kind] - 1e-6,
+          `few others, by ${kind}`,
+        );
     }
   }
 });
--- a/test/takeover-meetings.test.ts
+++ b/test/takeover-meetings.test.ts
@@ -6,9 +6,9 @@
 import { test } from 'node:test';
 import type { Call, Outcome } from '../src/http/client.js';
 import type { JobRecord } from '../src/jobs/record.js';
-import { accountFor } from '../src/shards/accounting.js';
+import { requeueAccountedTasks } from '../src/shards/unaccounted-tasks.js';
 import { Shard, syncJob } from '../src/shards/model.js';
-import { RangeSet } from '../src/ranges.js';
+import { RangeSet } from '../src/model/ranges.js';
 import { plainSpec } from './standins/spec.js';
 import type { StateStandin } from './standins/state.js';
 import type { WorkerStandin } from './standins/worker.js';
@@ -461,14 +461,14 @@
     done: RangeSet.empty(),
   });
   syncJob(shard, record(2), 5 as never, 0 as never, true);
-  accountFor(shard);
+  requeueAccountedTasks(shard);
   const job = shard.jobs.get('req-1' as never);
   assert.deepEqual(job?.waiting.ranges(), [[0, 2]], 'the part has no machine on which they could be');
   syncJob(shard, record(4), 9 as never, 0 as never, false);
   assert.deepEqual(job?.unaccounted.ranges(), [[2, 4]]);
   syncJob(shard, record(6), 11 as never, 0 as never, false);
   assert.deepEqual(job?.unaccounted.ranges(), [[2, 4]]);
-  accountFor(shard);
+  requeueAccountedTasks(shard);
   assert.deepEqual(job?.waiting.ranges(), [[0, 6]], 'accounted for anew');
 });
 
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,16 +1,15 @@
 /** The version in production and the working sources side by side, each on the other's records, leases and messages. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type * as Machines from '../src/shards/records.js';
 import * as records from '../src/jobs/codec.js';
 import type { JobRecord } from '../src/jobs/record.js';
 import { recordBytes, withDone } from '../src/jobs/stored-size.js';
-import * as machines from '../src/shards/records.js';
+import * as machines from '../src/shards/codec.js';
 import type * as Mesh from '../src/mesh/mesh.js';
 import * as mesh from '../src/mesh/mesh.js';
 import type * as Shares from '../src/quota/shares.js';
 import * as shares from '../src/quota/shares.js';
-import { RangeSet } from '../src/ranges.js';
+import { RangeSet } from '../src/model/ranges.js';
 import {
   productionBuild,
   productionModule,
@@ -18,6 +17,7 @@
   WORKING,
   type Build,
   type ProductionRecords,
+  type ProductionShardRecords,
 } from './standins/builds.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
 import { SMALL, World, type Shape } from './standins/world.js';
@@ -164,11 +164,15 @@
     assert.deepEqual({ ...decoded, done: decoded.done.ranges() }, { ...rest, done: done.ranges() });
   }
   assert.deepEqual(records.encodeFinal('done'), old.encodeFinal('done'));
-  const oldMachines = await productionModule<typeof Machines>('parts/records.js');
+  const oldMachines = await productionModule<ProductionShardRecords>('parts/records.js');
   const shard = { owner: 'n1', incarnation: 'x', token: 9 };
-  assert.deepEqual(machines.decodePart(shard), oldMachines.decodePart(shard));
+  const decodedShard = machines.decodeShardRecord(shard);
+  assert.ok(decodedShard);
+  assert.deepEqual(machines.encodeShardRecord(decodedShard), oldMachines.decodePart(shard));
   const machine = { part: 1, address: '10.0.0.1:1', type: 't', zone: 'z', spot: true };
-  assert.deepEqual(machines.decodeMachine(machine), oldMachines.decodeMachine(machine));
+  const decodedMachine = machines.decodeMachineRecord(machine);
+  assert.ok(decodedMachine);
+  assert.deepEqual(machines.encodeMachineRecord(decodedMachine), oldMachines.decodeMachine(machine));
   const oldShares = await productionModule<typeof Shares>('quota/shares.js');
   const team = plainTeam({ cpus: 4, cpusMax: 10 });
   assert.deepEqual(
--- a/test/user-meetings.test.ts
+++ b/test/user-meetings.test.ts
@@ -10,8 +10,8 @@
 import { serve } from '../src/http/server.js';
 import { silentLog } from '../src/log.js';
 import { StoreCache } from '../src/store/cache.js';
-import type { Address, Revision, StateKey, SteadyMs } from '../src/units.js';
-import { millis } from '../src/units.js';
+import type { Address, Revision, StoreKey, SteadyMs } from '../src/model/units.js';
+import { millis } from '../src/model/units.js';
 import type { TxnBody } from './standins/state.js';
 import { Users, type Told } from './standins/users.js';
 import { SMALL, World, type JobOptions, type Shape } from './standins/world.js';
@@ -111,16 +111,16 @@
   });
 }
 
-const key = (text: string): StateKey => text as StateKey;
+const key = (text: string): StoreKey => text as StoreKey;
 const revision = (n: number): Revision => n as Revision;
 const at = (ms: number): SteadyMs => ms as SteadyMs;
 
 test('a write or a read that is answered late brings nothing back that the watch has shown to be gone', () => {
   const view = new StoreCache(() => undefined);
   const job = key('c/live/req-1');
-  view.load([{ key: job, value: 'accepted', version: revision(3) }], revision(3), at(0));
+  view.loadSnapshot([{ key: job, value: 'accepted', version: revision(3) }], revision(3), at(0));
   // The watch shows a write of ours, and that the job is over; the write is answered only then.
-  view.follow(
+  view.applyEvents(
     [
       { key: job, value: 'progress', version: revision(4) },
       { key: job, value: undefined, version: revision(5) },
@@ -128,12 +128,12 @@
     revision(5),
     at(10),
   );
-  view.learn(job, 'progress', revision(4));
+  view.apply(job, 'progress', revision(4));
   assert.equal(view.get(job), undefined);
-  view.learn(job, 'accepted', revision(3));
+  view.apply(job, 'accepted', revision(3));
   assert.equal(view.get(job), undefined);
   // What the watch has not reached yet is news.
-  view.learn(key('c/live/req-2'), 'accepted', revision(6));
+  view.apply(key('c/live/req-2'), 'accepted', revision(6));
   assert.equal(view.version(key('c/live/req-2')), 6);
 });
 
--- a/test/waiting.test.ts
+++ b/test/waiting.test.ts
@@ -16,8 +16,8 @@
 import { newMachine, Shard, syncJob, type ShardJob } from '../src/shards/model.js';
 import { planRound } from '../src/placement/plan.js';
 import { OVERDUE_AFTER, type PlanContext } from '../src/placement/round.js';
-import { RangeSet } from '../src/ranges.js';
-import type { ShardId, SteadyMs, TeamId, ZoneId } from '../src/units.js';
+import { RangeSet } from '../src/model/ranges.js';
+import type { ShardId, SteadyMs, TeamId, ZoneId } from '../src/model/units.js';
 import { settle } from './standins/clock.js';
 import { deskOf } from './standins/desk.js';
 import { IdleWatch } from './standins/idle-watch.js';
@@ -51,8 +51,8 @@
   shard.reconciled = true;
   for (let i = 0; i < machines; i += 1) {
     const m = newMachine(`m-${i}` as never, '' as never, 'large' as never, EAST, false, 0 as never, true);
-    m.lastHeard = NOW;
-    shard.add(m);
+    m.lastHeardAt = NOW;
+    shard.addMachine(m);
   }
   const record = {
     spec: plainSpec(spec),
@@ -69,7 +69,7 @@
     settings: { parts: [], zone: EAST, zones: [EAST, WEST], valueBytes: 4000 },
     tuning: { announceExpiry: 10_000 },
     clock: { now: () => NOW },
-    reportMs: 1500,
+    heartbeatIntervalMs: 1500,
     gangWaitMs: 30_000,
     types: TYPES,
     freeCapacity: new Map(offers.map((o) => [o.part, o])),
@@ -148,7 +148,7 @@
   assert.equal(capacityFor(freeCapacityOf(core([]), elsewhere.part), ask, null), 8);
   const here = partWith(2, { tasks: 50, spread: true }, [[0, 50, 0, 'east']]);
   assert.equal(capacityFor(freeCapacityOf(core([]), here.part), ask, null), 0);
-  here.job.notBefore = (NOW + 20_000) as SteadyMs;
+  here.job.backoffUntil = (NOW + 20_000) as SteadyMs;
   assert.equal(capacityFor(freeCapacityOf(core([]), here.part), ask, null), 8);
 });
 
@@ -302,7 +302,7 @@
 
 test('an overdue task that needs more of its team’s limit than is free keeps smaller ones of the team from it', () => {
   const { part: shard, job } = partWith(3, { id: 'req-small', tasks: 20, cpus: 2 }, [[0, 20, 0, null]]);
-  (job as { firstSeen: SteadyMs }).firstSeen = NOW;
+  (job as { acceptedAt: SteadyMs }).acceptedAt = NOW;
   const record = {
     spec: plainSpec({ id: 'req-large', cpus: 8 }),
     home: 0,
--- a/test/work-counts.test.ts
+++ b/test/work-counts.test.ts
@@ -120,12 +120,12 @@
     const { part: shard } = rounds;
     const core = {
       clock: { now: () => 1_004_000 },
-      reportMs: 1500,
+      heartbeatIntervalMs: 1500,
       types: shard.types,
       tuning: { announceExpiry: 10_000 },
       settings: { parts: [{ part: 0, zone: 'east' }], zone: 'east' },
     } as unknown as Core;
-    for (const machine of shard.machines.values()) machine.lastHeard = 1_003_900 as never;
+    for (const machine of shard.machines.values()) machine.lastHeardAt = 1_003_900 as never;
     const offer = freeCapacityOf(core, shard);
     assert.equal(
       offer.machines.reduce((sum, shape) => sum + shape.count, 0),
