--- a/src/controller.ts
+++ b/src/controller.ts
@@ -9,9 +9,9 @@
 import { seededRandom } from './overflow/peer-ranking.js';
 import { HttpClient, Sockets } from './http/client.js';
 import { serve, type Answer, type Handler, type Request } from './http/server.js';
-import { decodeTime, SharedTime, TimeKeeper } from './jobs/age.js';
+import { decodeClusterTime, ClusterClock, ClusterClockWriter } from './jobs/cluster-clock.js';
 import { ProgressWriter } from './jobs/progress.js';
-import { LIVE } from './jobs/codec.js';
+import { ACTIVE_JOBS_PREFIX } from './jobs/codec.js';
 import type { Assignment } from './jobs/record.js';
 import { JobService } from './jobs/service.js';
 import { Priority, type JobSpec } from './jobs/spec.js';
@@ -50,7 +50,7 @@
   TeamId,
 } from './model/units.js';
 import { millis } from './model/units.js';
-import { DIRECT_CALL_SHARE, type WorkerLink } from './workers/clients.js';
+import { DIRECT_CALL_SHARE, type WorkerClient } from './workers/clients.js';
 import { WorkerService } from './workers/service.js';
 
 const TICK_INTERVAL = millis(200);
@@ -72,7 +72,7 @@
   readonly state: Caller;
   readonly stateWatch: Caller;
   readonly cloud: Caller;
-  readonly worker: (address: Address) => WorkerLink;
+  readonly worker: (address: Address) => WorkerClient;
   readonly mesh: (receive: (message: unknown) => void) => Mesh;
   readonly listen: (handler: Handler) => Promise<void>;
   readonly incarnation: () => Incarnation;
@@ -116,7 +116,7 @@
   private readonly quotaTransfers: QuotaTransferService;
   private readonly autoscaler: Autoscaler;
   private readonly progress: ProgressWriter;
-  private readonly timeKeeper: TimeKeeper;
+  private readonly timeKeeper: ClusterClockWriter;
   private readonly storeWatcher: StoreWatcher;
   private cutOffSince: SteadyMs | null = null;
   private lastAnnouncementAt = -1e12;
@@ -132,7 +132,7 @@
     private readonly ports: Ports,
   ) {
     const random = seededRandom(tuning.seed + settings.part);
-    this.core = new Core(settings, tuning, clock, new SharedTime(), log, ports.incarnation(), random);
+    this.core = new Core(settings, tuning, clock, new ClusterClock(), log, ports.incarnation(), random);
     const { core } = this;
     const randomFraction = (): number => random(10_000) / 10_000;
     core.store = new KeyValueClient(ports.state, ports.stateWatch, clock, settings, randomFraction);
@@ -151,7 +151,7 @@
     );
     core.storeHealthy = () => this.storeWatcher.healthy;
     const runtimeEstimator = new RuntimeEstimator();
-    this.leadership = new ShardLeadership(core, (p) => this.workers.workersAnswer(p));
+    this.leadership = new ShardLeadership(core, (p) => this.workers.areWorkersReachable(p));
     this.workers = new WorkerService(core, this.leadership, runtimeEstimator, ports.worker);
     this.jobs = new JobService(
       core,
@@ -166,7 +166,7 @@
     this.autoscaler = new Autoscaler(
       core,
       runtimeEstimator,
-      (shard, machine) => this.workers.remove(shard, machine),
+      (shard, machine) => this.workers.removeMachine(shard, machine),
       (id) => this.workers.isCandidate(id),
     );
     this.scheduler = new Scheduler(
@@ -177,7 +177,7 @@
       runtimeEstimator,
     );
     this.progress = new ProgressWriter(core, (id) => this.jobs.rememberFinal(id, 'done'));
-    this.timeKeeper = new TimeKeeper(core);
+    this.timeKeeper = new ClusterClockWriter(core);
     core.requestCycle = () => this.scheduler.wake();
   }
 
@@ -223,7 +223,7 @@
     if (now - this.lastStatisticsAt < STATISTICS_INTERVAL_MS) return;
     this.lastStatisticsAt = now;
     for (const shard of core.shards.values()) {
-      const shardQuota = (team: TeamId): Resources => this.quotaTransfers.share(shard.id, team);
+      const shardQuota = (team: TeamId): Resources => this.quotaTransfers.shardQuota(shard.id, team);
       core.log.info(
         { part: shard.id, ...statisticsOf(shard, now, core.heartbeatIntervalMs, shardQuota) },
         'figures',
@@ -244,7 +244,7 @@
     this.borrowStoreLimits();
     const announcement = composeAnnouncement(
       this.core,
-      (shard) => this.quotaTransfers.spare(shard),
+      (shard) => this.quotaTransfers.unusedQuota(shard),
       this.leadership.redirectedHeartbeatCounts(),
     );
     this.core.peerTransport.broadcast(encodePeerMessage(announcement));
@@ -252,22 +252,23 @@
 
   private onMessage(raw: unknown): void {
     const request = receive(this.core, raw);
-    if (request?.kind === 'quotaTransferRequest') void this.quotaTransfers.answer(request);
+    if (request?.kind === 'quotaTransferRequest') void this.quotaTransfers.handleRequest(request);
     if (request?.kind === 'machineRequest') this.scheduler.transfers.answer(request);
     this.core.requestCycle();
   }
 
   private onChange(key: string, value: unknown, version: Revision): void {
-    if (key.startsWith(LIVE)) this.onJobRecord(key, value, version);
+    if (key.startsWith(ACTIVE_JOBS_PREFIX)) this.onJobRecord(key, value, version);
     else if (key.startsWith(SHARDS_PREFIX)) this.leadership.onShardRecord(key, value, version);
     else if (key.startsWith(MACHINES_PREFIX)) {
       const id = key.slice(MACHINES_PREFIX.length) as MachineId;
       const record = value === undefined ? null : decodeMachineRecord(value);
       this.core.registeredMachines.update(id, record);
       if (record) this.autoscaler.forget(id);
-      this.workers.onMachine(id, record, version);
+      this.workers.onMachineChanged(id, record, version);
     } else if (key.startsWith(ALIVE_PREFIX)) this.divideStoreLimits();
-    else if (key === TIME_KEY) this.core.clusterClock.reached(decodeTime(value), this.core.clock.now());
+    else if (key === TIME_KEY)
+      this.core.clusterClock.reached(decodeClusterTime(value), this.core.clock.now());
     this.core.requestCycle();
   }
 
@@ -275,10 +276,10 @@
     const record = this.core.updateActiveJob(key, value);
     const now = this.core.clock.now();
     if (record === 'unreadable') return;
-    const id = key.slice(LIVE.length) as JobId;
+    const id = key.slice(ACTIVE_JOBS_PREFIX.length) as JobId;
     this.scheduler.onRecord(id, record === 'over' ? null : record);
     if (record === 'over') return this.scheduler.stopJob(id);
-    const age = this.core.clusterClock.age(record.accepted, now);
+    const age = this.core.clusterClock.age(record.acceptedAt, now);
     for (const shard of this.core.shards.values()) syncJob(shard, record, version, now, false, age);
     if (record.spec.priority === Priority.critical) this.scheduler.hurry();
   }
@@ -330,10 +331,11 @@
     const { method } = request;
     const path = request.path.split('?', 1)[0] ?? '';
     if (path === '/up') return method === 'GET' ? this.health() : notAllowed();
-    if (path === HEARTBEAT_PATH) return method === 'POST' ? this.workers.report(request.body) : notAllowed();
+    if (path === HEARTBEAT_PATH)
+      return method === 'POST' ? this.workers.handleHeartbeat(request.body) : notAllowed();
     if (path === '/v2/runs') return method === 'POST' ? this.jobs.submit(request.body) : notAllowed();
     const job = /^\/v2\/runs\/([^/]+)(\/abort)?$/.exec(path);
-    if (job?.[2]) return method === 'POST' ? this.jobs.abort(job[1] ?? '') : notAllowed();
+    if (job?.[2]) return method === 'POST' ? this.jobs.cancel(job[1] ?? '') : notAllowed();
     if (job) return method === 'GET' ? this.jobs.status(job[1] ?? '') : notAllowed();
     return { status: 404, body: { error: 'no such path' } };
   }
--- a/src/core.ts
+++ b/src/core.ts
@@ -2,7 +2,7 @@
 import { Mutex } from 'async-mutex';
 import type { CloudClient } from './cloud/client.js';
 import type { MachineType } from './cloud/wire.js';
-import { decodeRecord, LIVE } from './jobs/codec.js';
+import { decodeRecord, ACTIVE_JOBS_PREFIX } from './jobs/codec.js';
 import type { JobRecord } from './jobs/record.js';
 import type { JobSpec } from './jobs/spec.js';
 import type { Log } from './log.js';
@@ -179,7 +179,7 @@
 
   /** The view's copy of live job records, decoded once per version. */
   updateActiveJob(key: string, value: unknown): JobRecord | 'over' | 'unreadable' {
-    const id = key.slice(LIVE.length) as JobId;
+    const id = key.slice(ACTIVE_JOBS_PREFIX.length) as JobId;
     const record = value === undefined ? null : decodeRecord(value);
     if (!record && value !== undefined) {
       // Written by a version that we do not understand. The job is not over: whoever runs it goes on.
@@ -188,7 +188,7 @@
     }
     if (record) {
       this.activeJobs.set(id, record);
-      this.clusterClock.reached(record.accepted ?? 0, this.clock.now());
+      this.clusterClock.reached(record.acceptedAt ?? 0, this.clock.now());
     } else {
       const previous = this.activeJobs.get(id);
       this.activeJobs.delete(id);
--- a/src/fleet/plan.ts
+++ b/src/fleet/plan.ts
@@ -72,7 +72,7 @@
 function afterTurnover(d: Demand, ctx: RentContext, running: number): number {
   if (d.spec.priority === Priority.critical) return d.count;
   const bootS = Math.min(...ctx.types.map((t) => t.bootS), 60);
-  const runS = Math.max(5, d.spec.estimateS * ctx.correction(d.spec.lane));
+  const runS = Math.max(5, d.spec.estimateS * ctx.correction(d.spec.jobClass));
   return d.count - Math.floor(running * Math.min(1, bootS / runS) * TURNOVER);
 }
 
--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -10,21 +10,21 @@
 import { FIELDS } from './wire.js';
 
 /** Sums of a service's tasks may be off by so much. */
-const ROUNDING = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
 
 /** An array's tasks may run one after the other; others need all of theirs at once. */
-function aboveLimit(spec: JobSpec, { name, limit }: Team): string | null {
-  const tasks = spec.shape === 'array' ? 1 : spec.tasks;
+function quotaRejection(spec: JobSpec, { name, limit }: Team): string | null {
+  const tasks = spec.kind === 'array' ? 1 : spec.tasks;
   for (const kind of RESOURCE_KINDS) {
     const need = spec[kind] * tasks;
-    if (need > limit[kind] + ROUNDING)
+    if (need > limit[kind] + ROUNDING_TOLERANCE)
       return `${FIELDS[kind]}: needs ${need} at once, more than the limit of ${limit[kind]} of team ${name}`;
   }
   return null;
 }
 
 /** Why no machine type can take a task, or null. */
-function fitsNoType(spec: JobSpec, types: readonly MachineType[]): string | null {
+function machineTypeRejection(spec: JobSpec, types: readonly MachineType[]): string | null {
   const named = types.filter((type) => spec.types?.includes(type.name) ?? true);
   if (named.length === 0)
     return `${FIELDS.types}: ${spec.types?.join(', ')} not in the catalog, which has ${namesOf(types)}`;
@@ -45,12 +45,12 @@
 const namesOf = (types: readonly MachineType[]): string => types.map((type) => type.name).join(', ');
 
 /** Why a job can never run here, or null. */
-export function impossible(
+export function rejectionReason(
   spec: JobSpec,
   types: Iterable<MachineType>,
   { settings }: { readonly settings: Pick<Settings, 'teams'> },
 ): string | null {
   const team = settings.teams.get(spec.team);
   if (!team) return `unknown team ${spec.team}`;
-  return aboveLimit(spec, team) ?? fitsNoType(spec, [...types]);
+  return quotaRejection(spec, team) ?? machineTypeRejection(spec, [...types]);
 }
--- a/src/jobs/cancellation.ts
+++ b/src/jobs/cancellation.ts
@@ -4,11 +4,11 @@
 import { RequestPriority } from '../store/rate-limiter.js';
 import type { JobId, Revision } from '../model/units.js';
 import { NO_REVISION } from '../model/units.js';
-import type { ActiveJobs, StateAccess } from './dependencies.js';
-import { endChanges, type FinalStateCache } from './final-states.js';
+import type { ActiveJobs, StoreAccess } from './dependencies.js';
+import { endJobChanges, type FinalStateCache } from './final-states.js';
 import type { JobReader } from './lookup.js';
-import { finalKey, liveKey } from './codec.js';
-import { accepted, NOT_FOUND, UNAVAILABLE } from './responses.js';
+import { finalStateKey, activeJobKey } from './codec.js';
+import { existingJobAnswer, NOT_FOUND, UNAVAILABLE } from './responses.js';
 
 /** How often a cancellation is tried when the record changes under it or an outcome is unknown. */
 const MAX_TRIES = 5;
@@ -16,7 +16,7 @@
 /** Answers users' requests to cancel a job. */
 export class JobCancellation {
   constructor(
-    private readonly access: StateAccess,
+    private readonly access: StoreAccess,
     private readonly activeJobs: ActiveJobs,
     private readonly finalStates: FinalStateCache,
     private readonly reader: JobReader,
@@ -27,9 +27,9 @@
 
   /** 200 only once the final state is committed, also when the job had ended before. */
   async cancel(id: JobId): Promise<Answer> {
-    for (let i = 0; i < MAX_TRIES; i += 1) {
-      const viewed = this.activeJobs.has(id) && i === 0;
-      const version = viewed ? this.access.storeCache.version(liveKey(id)) : NO_REVISION;
+    for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
+      const useCachedVersion = this.activeJobs.has(id) && attempt === 0;
+      const version = useCachedVersion ? this.access.storeCache.version(activeJobKey(id)) : NO_REVISION;
       const answer =
         version === NO_REVISION ? await this.readAndCancel(id) : await this.cancelAt(id, version);
       if (answer) return answer;
@@ -41,9 +41,9 @@
     const lookup = await this.reader.read(id);
     if (lookup.kind === 'unknown') return UNAVAILABLE;
     if (lookup.kind === 'absent') return NOT_FOUND;
-    if (lookup.kind === 'ended') return accepted(id, lookup.state);
+    if (lookup.kind === 'ended') return existingJobAnswer(id, lookup.state);
     // The job ended while the answer was on its way: a drop of a key that is gone would overwrite its final state.
-    const version = this.access.storeCache.version(liveKey(id));
+    const version = this.access.storeCache.version(activeJobKey(id));
     return version === NO_REVISION ? null : this.cancelAt(id, version);
   }
 
@@ -52,18 +52,20 @@
     // The view may have dropped the job after our read found it live: its end must not be overwritten then.
     const result = await this.access.store.compareAndSwap(
       [
-        { key: liveKey(id), version },
-        { key: finalKey(id), version: NO_REVISION },
+        { key: activeJobKey(id), version },
+        { key: finalStateKey(id), version: NO_REVISION },
       ],
-      endChanges(id, 'cancelled'),
+      endJobChanges(id, 'cancelled'),
       RequestPriority.cancellation,
     );
     if (result.kind === 'conflict' || result.kind === 'unknown') return null;
     if (result.kind === 'refused') return UNAVAILABLE;
     this.finalStates.remember(id, 'cancelled');
-    await this.access.exclusive(() => this.access.storeCache.apply(liveKey(id), undefined, result.revision));
+    await this.access.exclusive(() =>
+      this.access.storeCache.apply(activeJobKey(id), undefined, result.revision),
+    );
     this.announce(id, result.revision);
     this.log.info({ job: id }, 'job cancelled');
-    return accepted(id, 'cancelled');
+    return existingJobAnswer(id, 'cancelled');
   }
 }
--- a/src/jobs/age.ts
+++ b/src/jobs/cluster-clock.ts
@@ -8,13 +8,13 @@
 import { RequestPriority } from '../store/rate-limiter.js';
 import type { Clock, Millis, ClusterMs, SteadyMs } from '../model/units.js';
 import { millis, steady } from '../model/units.js';
-import type { Authority, StateAccess } from './dependencies.js';
+import type { LeadershipView, StoreAccess } from './dependencies.js';
 
 /** The count is written this often, in milliseconds. */
 const WRITE_INTERVAL_MS = 5000;
 
 /** The count as this controller knows it, continued by its own clock. */
-export class SharedTime {
+export class ClusterClock {
   private latest: { readonly count: number; readonly at: SteadyMs } | null = null;
 
   /** The count has reached this: read from the state service, or from a job that was accepted then. */
@@ -30,8 +30,8 @@
   }
 
   /** How long ago a job was accepted; 0 for records of earlier versions, which do not say when they came. */
-  age(accepted: ClusterMs | null, now: SteadyMs): Millis {
-    return accepted === null ? millis(0) : millis(Math.max(0, this.now(now) - accepted));
+  age(acceptedAt: ClusterMs | null, now: SteadyMs): Millis {
+    return acceptedAt === null ? millis(0) : millis(Math.max(0, this.now(now) - acceptedAt));
   }
 }
 
@@ -39,29 +39,29 @@
 export const encodeTime = (count: ClusterMs): unknown => ({ ms: count });
 
 /** The count in the value of `TIME_KEY`, in milliseconds; NaN when it cannot be read. */
-export const decodeTime = (value: unknown): number =>
+export const decodeClusterTime = (value: unknown): number =>
   Number((value as { ms?: unknown } | null | undefined)?.ms ?? NaN);
 
 /** What the writer of the count uses of the controller. */
-export interface TimeKeeperContext extends StateAccess, Authority {
+export interface ClusterClockWriterContext extends StoreAccess, LeadershipView {
   readonly clock: Clock;
-  readonly clusterClock: Pick<SharedTime, 'now'>;
+  readonly clusterClock: Pick<ClusterClock, 'now'>;
   readonly settings: Pick<Settings, 'node' | 'parts'>;
 }
 
 /** Writes the count: the first of the controllers that are alive does, on condition that nobody else has. */
-export class TimeKeeper {
-  private lastWrite = steady(-1e12);
+export class ClusterClockWriter {
+  private lastWriteAt = steady(-1e12);
 
-  constructor(private readonly context: TimeKeeperContext) {}
+  constructor(private readonly context: ClusterClockWriterContext) {}
 
   /** Called every few hundred milliseconds. */
   tick(): void {
     const { context } = this;
     const now = context.clock.now();
     if (!context.mayCommand(now) || !context.storeHealthy()) return;
-    if (now - this.lastWrite < WRITE_INTERVAL_MS || !this.isFirst()) return;
-    this.lastWrite = now;
+    if (now - this.lastWriteAt < WRITE_INTERVAL_MS || !this.isFirstActiveController()) return;
+    this.lastWriteAt = now;
     void this.write(encodeTime(context.clusterClock.now(now)));
   }
 
@@ -77,7 +77,7 @@
     await this.context.exclusive(() => view.apply(TIME_KEY, value, result.revision));
   }
 
-  private isFirst(): boolean {
+  private isFirstActiveController(): boolean {
     const { settings, storeCache: view } = this.context;
     const first = settings.parts.find((shard) => view.get(aliveKey(shard.node)) !== undefined);
     return first?.node === settings.node;
--- a/src/jobs/codec.ts
+++ b/src/jobs/codec.ts
@@ -9,18 +9,18 @@
 import type { JobSpec } from './spec.js';
 
 /** Prefix of the records of all jobs that are not over. */
-export const LIVE = 'c/live/';
+export const ACTIVE_JOBS_PREFIX = 'c/live/';
 /** Where a job's record stands while it is not over. */
-export const liveKey = (id: JobId): StoreKey => `${LIVE}${id}` as StoreKey;
+export const activeJobKey = (id: JobId): StoreKey => `${ACTIVE_JOBS_PREFIX}${id}` as StoreKey;
 /** Where a job's final state stands: kept for good, outside the prefix that start-up lists. */
-export const finalKey = (id: JobId): StoreKey => `over/${id}` as StoreKey;
+export const finalStateKey = (id: JobId): StoreKey => `over/${id}` as StoreKey;
 
 /** What the store calls the fields of a specification, in the order in which they are written. */
 const STORED_SPEC_FIELDS = {
   id: 'id',
-  lane: 'lane',
+  jobClass: 'lane',
   team: 'team',
-  shape: 'shape',
+  kind: 'shape',
   priority: 'priority',
   tasks: 'tasks',
   cpus: 'cpus',
@@ -34,8 +34,8 @@
   image: 'image',
   imageGb: 'imageGb',
   estimateS: 'estimateS',
-  checkpointS: 'checkpointS',
-  saveS: 'saveS',
+  checkpointIntervalS: 'checkpointS',
+  checkpointDurationS: 'saveS',
   deadlineS: 'deadlineS',
 } as const satisfies Record<Exclude<keyof JobSpec, 'unknownFields'>, string>;
 
@@ -43,12 +43,12 @@
   Object.entries(STORED_SPEC_FIELDS).map(([field, stored]) => [stored, field]),
 );
 
-const range = v.pipe(
+const rangeSchema = v.pipe(
   v.tuple([v.number(), v.number()]),
   v.check(([from, to]) => from < to),
 );
-const assignment = v.tuple([v.number(), v.number(), v.number(), v.nullable(v.string())]);
-const storedRecord = v.object({
+const assignmentSchema = v.tuple([v.number(), v.number(), v.number(), v.nullable(v.string())]);
+const recordSchema = v.object({
   // Written by ourselves from a checked submission: its presence is what must hold here.
   spec: v.custom<Record<string, unknown>>(
     (spec) => typeof spec === 'object' && spec !== null && 'id' in spec && 'tasks' in spec,
@@ -57,10 +57,10 @@
   // Absent in records of earlier versions.
   born: v.optional(v.number(), 0),
   at: v.optional(v.nullable(v.number()), null),
-  parts: v.array(assignment),
-  done: v.array(range),
+  parts: v.array(assignmentSchema),
+  done: v.array(rangeSchema),
 });
-const storedFinalState = v.object({ state: v.picklist(['done', 'cancelled']) });
+const finalStateSchema = v.object({ state: v.picklist(['done', 'cancelled']) });
 
 /** A job's record as the store keeps it. */
 interface StoredRecord {
@@ -76,28 +76,33 @@
 export function encodeRecord(record: JobRecord): StoredRecord {
   return {
     spec: encodeSpec(record.spec),
-    home: record.home,
-    born: record.born,
-    at: record.accepted,
-    parts: record.assignments.map((assigned) => [assigned.from, assigned.to, assigned.part, assigned.zone]),
+    home: record.homeShard,
+    born: record.acceptedRevision,
+    at: record.acceptedAt,
+    parts: record.assignments.map((assignment) => [
+      assignment.from,
+      assignment.to,
+      assignment.shard,
+      assignment.zone,
+    ]),
     done: record.done.ranges(),
   };
 }
 
 /** null: the value was written by a version that this one does not understand. */
 export function decodeRecord(value: unknown): JobRecord | null {
-  const result = v.safeParse(storedRecord, value);
+  const result = v.safeParse(recordSchema, value);
   if (!result.success) return null;
   const stored = result.output;
   return {
     spec: decodeSpec(stored.spec),
-    home: stored.home as ShardId,
-    born: stored.born as Revision,
-    accepted: stored.at as ClusterMs | null,
+    homeShard: stored.home as ShardId,
+    acceptedRevision: stored.born as Revision,
+    acceptedAt: stored.at as ClusterMs | null,
     assignments: stored.parts.map(([from, to, shard, zone]) => ({
       from,
       to,
-      part: shard as ShardId,
+      shard: shard as ShardId,
       zone: zone as ZoneId | null,
     })),
     done: RangeSet.of(stored.done as Range[]),
@@ -128,10 +133,10 @@
 }
 
 /** The value of `finalKey`. */
-export const encodeFinal = (state: FinalState): { readonly state: FinalState } => ({ state });
+export const encodeFinalState = (state: FinalState): { readonly state: FinalState } => ({ state });
 
 /** null: the value cannot be read. */
-export function decodeFinal(value: unknown): FinalState | null {
-  const result = v.safeParse(storedFinalState, value);
+export function decodeFinalState(value: unknown): FinalState | null {
+  const result = v.safeParse(finalStateSchema, value);
   return result.success ? result.output.state : null;
 }
--- a/src/jobs/dependencies.ts
+++ b/src/jobs/dependencies.ts
@@ -20,17 +20,17 @@
   /** How long a submission would wait for its turn in the request budget. */
   readonly submitWait: Millis;
   /** Reads one key from the store, not from the view. */
-  get(key: StoreKey, rank: RequestPriority): Promise<ReadResult>;
+  get(key: StoreKey, priority: RequestPriority): Promise<ReadResult>;
   /** Applies the changes if every condition holds, and otherwise nothing. */
   compareAndSwap(
     conditions: readonly Condition[],
     changes: readonly Change[],
-    rank: RequestPriority,
+    priority: RequestPriority,
   ): Promise<CompareAndSwapResult>;
 }
 
 /** This controller's copy of what the state service holds. It may be behind the store. */
-export interface JobView {
+export interface JobStoreCache {
   /** The first complete list has been read. */
   readonly loaded: boolean;
   /** A time at which nothing newer existed than the view shows. */
@@ -46,9 +46,9 @@
 }
 
 /** Access to the state service and to the state that all slices share. */
-export interface StateAccess {
+export interface StoreAccess {
   readonly store: JobStore;
-  readonly storeCache: JobView;
+  readonly storeCache: JobStoreCache;
   /** False while the state service does not answer this controller. */
   readonly storeHealthy: () => boolean;
   /** Runs a short change of shared state under the lock, without I/O. */
@@ -56,7 +56,7 @@
 }
 
 /** Whether this controller may still act for what it owns. */
-export interface Authority {
+export interface LeadershipView {
   /** False once the view was last confirmed too long ago. */
   mayCommand(now: SteadyMs): boolean;
 }
--- a/src/jobs/final-states.ts
+++ b/src/jobs/final-states.ts
@@ -1,15 +1,15 @@
 /** Final states: the changes that end a job, and a cache. A final state never changes, so memory may answer for it. */
 import type { Change } from '../store/wire.js';
 import type { JobId } from '../model/units.js';
-import { encodeFinal, finalKey, liveKey } from './codec.js';
+import { encodeFinalState, finalStateKey, activeJobKey } from './codec.js';
 import type { FinalState } from './record.js';
 
 const MAX_ENTRIES = 20_000;
 
 /** The changes of the transaction that ends a job: its record goes, its final state stays for good. */
-export const endChanges = (id: JobId, state: FinalState): Change[] => [
-  { op: 'drop', key: liveKey(id) },
-  { op: 'put', key: finalKey(id), value: encodeFinal(state) },
+export const endJobChanges = (id: JobId, state: FinalState): Change[] => [
+  { op: 'drop', key: activeJobKey(id) },
+  { op: 'put', key: finalStateKey(id), value: encodeFinalState(state) },
 ];
 
 /** Remembers how the jobs that ended last have ended; the oldest entries are dropped. */
--- a/src/jobs/lookup-batcher.ts
+++ b/src/jobs/lookup-batcher.ts
@@ -6,10 +6,10 @@
 import type { Condition } from '../store/wire.js';
 import type { JobId, Millis, StoreKey, SteadyMs } from '../model/units.js';
 import { millis, NO_REVISION } from '../model/units.js';
-import type { ActiveJobs, StateAccess, Timers } from './dependencies.js';
+import type { ActiveJobs, StoreAccess, Timers } from './dependencies.js';
 import type { FinalStateCache } from './final-states.js';
 import type { JobLookup, JobReader } from './lookup.js';
-import { finalKey, liveKey } from './codec.js';
+import { finalStateKey, activeJobKey } from './codec.js';
 
 /** Queries that come within this time share one transaction; at a small request budget more of them do. */
 const BATCH_INTERVAL_MS = 60;
@@ -24,9 +24,9 @@
 /** Everybody who asks about one job, until a transaction goes out that answers them all. */
 interface Query {
   readonly id: JobId;
-  readonly resolve: ((lookup: JobLookup) => void)[];
+  readonly resolvers: ((lookup: JobLookup) => void)[];
   /** When the last of them asked. */
-  asked: SteadyMs;
+  askedAt: SteadyMs;
   tries: number;
 }
 
@@ -34,13 +34,13 @@
   const queued = queue.get(query.id);
   if (!queued) queue.set(query.id, query);
   else {
-    queued.resolve.push(...query.resolve);
-    queued.asked = query.asked;
+    queued.resolvers.push(...query.resolvers);
+    queued.askedAt = query.askedAt;
   }
 }
 
 function respond(query: Query, lookup: JobLookup): void {
-  for (const resolve of query.resolve) resolve(lookup);
+  for (const resolve of query.resolvers) resolve(lookup);
 }
 
 /** Collects queries and answers them in batches. */
@@ -52,7 +52,7 @@
 
   /** `transactionLimit`: changes that one transaction may hold. */
   constructor(
-    private readonly context: StateAccess & Timers,
+    private readonly context: StoreAccess & Timers,
     private readonly activeJobs: ActiveJobs,
     private readonly finalStates: FinalStateCache,
     private readonly reader: JobReader,
@@ -74,7 +74,7 @@
     if (queue === this.otherQueries && !queue.has(id) && this.expectedWait() > MAX_QUERY_WAIT)
       return Promise.resolve({ kind: 'unknown' });
     return new Promise((resolve) => {
-      enqueue(queue, { id, resolve: [resolve], asked: this.context.clock.now(), tries: 0 });
+      enqueue(queue, { id, resolvers: [resolve], askedAt: this.context.clock.now(), tries: 0 });
       void this.runBatches();
     });
   }
@@ -117,7 +117,7 @@
       if (batch.length >= this.batchSize) break;
       this.otherQueries.delete(query.id);
       // The store was slow: nobody waits for this answer any more.
-      if (this.context.clock.now() - query.asked > MAX_QUERY_WAIT) respond(query, { kind: 'unknown' });
+      if (this.context.clock.now() - query.askedAt > MAX_QUERY_WAIT) respond(query, { kind: 'unknown' });
       else batch.push(query);
     }
     return batch;
@@ -127,9 +127,9 @@
   private async answerActive(batch: readonly Query[]): Promise<void> {
     if (batch.length === 0) return;
     this.activeQueries.clear();
-    const asked = Math.max(...batch.map((query) => query.asked));
+    const lastAskedAt = Math.max(...batch.map((query) => query.askedAt));
     const { storeCache: view } = this.context;
-    const fresh = (): boolean => view.loaded && view.confirmedAt >= asked;
+    const fresh = (): boolean => view.loaded && view.confirmedAt >= lastAskedAt;
     const certain = fresh() || ((await this.refresh()) && fresh());
     for (const query of batch) {
       const record = this.activeJobs.get(query.id);
@@ -142,19 +142,25 @@
   private lookupFromView(id: JobId): JobLookup {
     const record = this.activeJobs.get(id);
     if (record) return { kind: 'active', record };
-    return { kind: this.context.storeCache.version(liveKey(id)) === NO_REVISION ? 'absent' : 'unknown' };
+    return { kind: this.context.storeCache.version(activeJobKey(id)) === NO_REVISION ? 'absent' : 'unknown' };
   }
 
   private conditionsFor(id: JobId): Condition[] {
-    const live = { key: liveKey(id), version: this.context.storeCache.version(liveKey(id)) };
-    return live.version === NO_REVISION ? [live, { key: finalKey(id), version: NO_REVISION }] : [live];
+    const activeCondition = {
+      key: activeJobKey(id),
+      version: this.context.storeCache.version(activeJobKey(id)),
+    };
+    return activeCondition.version === NO_REVISION
+      ? [activeCondition, { key: finalStateKey(id), version: NO_REVISION }]
+      : [activeCondition];
   }
 
   /** One transaction without changes: where its conditions hold, the view was right when the store compared. */
   private async checkBatch(batch: readonly Query[]): Promise<void> {
     const lookups = new Map(batch.map((query) => [query.id, this.lookupFromView(query.id)] as const));
     const conditions = new Map<StoreKey, Condition>();
-    for (const query of batch) for (const c of this.conditionsFor(query.id)) conditions.set(c.key, c);
+    for (const query of batch)
+      for (const condition of this.conditionsFor(query.id)) conditions.set(condition.key, condition);
     const result = await this.context.store.compareAndSwap(
       [...conditions.values()],
       [],
@@ -181,8 +187,9 @@
       const { id } = query;
       query.tries += 1;
       // A final state stands for good: it need not be asked whether the job is active.
-      if (failed.has(finalKey(id))) answer(query, this.reader.readFinal(id));
-      else if (failed.has(liveKey(id)) || query.tries >= MAX_BATCH_TRIES) answer(query, this.reader.read(id));
+      if (failed.has(finalStateKey(id))) answer(query, this.reader.readFinal(id));
+      else if (failed.has(activeJobKey(id)) || query.tries >= MAX_BATCH_TRIES)
+        answer(query, this.reader.read(id));
       else enqueue(this.otherQueries, query);
     }
     await Promise.all(reads);
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -6,23 +6,23 @@
 import { RequestPriority } from '../store/rate-limiter.js';
 import type { Change } from '../store/wire.js';
 import type { Clock, JobId, ShardId, SteadyMs } from '../model/units.js';
-import type { ActiveJobs, StateAccess } from './dependencies.js';
-import { endChanges } from './final-states.js';
-import { encodeRecord, liveKey } from './codec.js';
-import { recordBytes, withDone } from './stored-size.js';
+import type { ActiveJobs, StoreAccess } from './dependencies.js';
+import { endJobChanges } from './final-states.js';
+import { encodeRecord, activeJobKey } from './codec.js';
+import { storedSizeBytes, withFinishedTasks } from './stored-size.js';
 import { isComplete, type JobRecord } from './record.js';
 
 /** Progress of a job is written at most this often; its part's last task at once. */
 const PROGRESS_INTERVAL_MS = 1500;
 /** Share of this controller's changes a second. Results that are not written yet stay with their workers. */
-const PROGRESS_SHARE = 0.3;
+const PROGRESS_WRITE_FRACTION = 0.3;
 /** Writes that may be on their way at once. */
 const MAX_WRITES = 4;
 /** Times of last writes that are kept; all are dropped beyond it, which costs at most one early write a job. */
 const MAX_WRITE_TIMES = 5000;
 
 /** What the writer uses of the controller. */
-export interface ProgressContext extends StateAccess {
+export interface ProgressContext extends StoreAccess {
   readonly clock: Clock;
   readonly log: Log;
   readonly settings: Pick<Settings, 'valueBytes'>;
@@ -39,92 +39,99 @@
   readonly record: JobRecord;
   readonly finished: RangeSet;
   /** Nothing of the job is left to do here. */
-  readonly last: boolean;
+  readonly lastOfShard: boolean;
 }
 
 /** Collects finished tasks of the pools owned here, and writes them job by job. */
 export class ProgressWriter {
-  private readonly writing = new Set<JobId>();
-  private readonly lastWrite = new Map<JobId, SteadyMs>();
+  private readonly writesInProgress = new Set<JobId>();
+  private readonly lastWriteAt = new Map<JobId, SteadyMs>();
 
   constructor(
     private readonly context: ProgressContext,
     /** A job has ended: the state service has confirmed it. */
-    private readonly onFinal: (id: JobId) => void,
+    private readonly onJobEnded: (id: JobId) => void,
   ) {}
 
   /** Starts the writes that are due, jobs with their last tasks first. */
   tick(): void {
     const now = this.context.clock.now();
-    const due = [...this.collect(now).values()].sort((a, b) => Number(b.last) - Number(a.last));
-    for (const pending of due) {
-      if (this.writing.size >= MAX_WRITES) return;
-      this.writing.add(pending.id);
-      void this.write(pending).finally(() => this.writing.delete(pending.id));
+    const pendingWrites = [...this.collectPendingWrites(now).values()].sort(
+      (a, b) => Number(b.lastOfShard) - Number(a.lastOfShard),
+    );
+    for (const pending of pendingWrites) {
+      if (this.writesInProgress.size >= MAX_WRITES) return;
+      this.writesInProgress.add(pending.id);
+      void this.write(pending).finally(() => this.writesInProgress.delete(pending.id));
     }
   }
 
-  private collect(now: SteadyMs): Map<JobId, PendingWrite> {
-    const out = new Map<JobId, PendingWrite>();
+  private collectPendingWrites(now: SteadyMs): Map<JobId, PendingWrite> {
+    const pendingWrites = new Map<JobId, PendingWrite>();
     for (const shard of this.context.shards.values()) {
       for (const job of shard.jobsWithUnrecordedEnds) {
         const record = this.context.activeJobs.get(job.id);
         if (job.finished.isEmpty || !record || shard.jobs.get(job.id) !== job)
           shard.jobsWithUnrecordedEnds.delete(job);
-        if (job.finished.isEmpty || !record || this.writing.has(job.id)) continue;
-        const finished = out.get(job.id)?.finished ?? RangeSet.empty();
+        if (job.finished.isEmpty || !record || this.writesInProgress.has(job.id)) continue;
+        const finished = pendingWrites.get(job.id)?.finished ?? RangeSet.empty();
         finished.addAll(job.finished);
-        const last = this.isLast(job, finished, record);
-        if (!last && now - (this.lastWrite.get(job.id) ?? -1e12) < this.interval()) continue;
-        out.set(job.id, { id: job.id, record, finished, last });
+        const lastOfShard = this.isLast(job, finished, record);
+        if (!lastOfShard && now - (this.lastWriteAt.get(job.id) ?? -1e12) < this.writeIntervalMs()) continue;
+        pendingWrites.set(job.id, { id: job.id, record, finished, lastOfShard: lastOfShard });
       }
     }
-    return out;
+    return pendingWrites;
   }
 
   /** How far apart the writes of one job are, in milliseconds: all jobs share the budget meant for progress. */
-  private interval(): number {
+  private writeIntervalMs(): number {
     let jobs = 0;
     for (const shard of this.context.shards.values()) jobs += shard.jobsWithUnrecordedEnds.size;
-    return Math.max(PROGRESS_INTERVAL_MS, (jobs * 1000) / (PROGRESS_SHARE * this.context.store.writeRate));
+    return Math.max(
+      PROGRESS_INTERVAL_MS,
+      (jobs * 1000) / (PROGRESS_WRITE_FRACTION * this.context.store.writeRate),
+    );
   }
 
   /** Nothing of the job is left to do here: other parts may be waiting for this word to end it. */
   private isLast(job: ShardJob, finished: RangeSet, record: JobRecord): boolean {
     if (!job.waiting.isEmpty || !job.unaccounted.isEmpty || !job.handingOver.isEmpty) return false;
-    const open = RangeSet.of(
-      record.assignments.filter((a) => this.context.shards.has(a.part)).map((a) => [a.from, a.to] as const),
+    const unfinished = RangeSet.of(
+      record.assignments
+        .filter((assignment) => this.context.shards.has(assignment.shard))
+        .map((assignment) => [assignment.from, assignment.to] as const),
     );
-    open.removeAll(record.done);
-    open.removeAll(finished);
-    return open.isEmpty;
+    unfinished.removeAll(record.done);
+    unfinished.removeAll(finished);
+    return unfinished.isEmpty;
   }
 
   /** The job's end is the same transaction that writes its last task. */
   private async write(pending: PendingWrite): Promise<void> {
     const { store: state, storeCache: view, settings, clock, log } = this.context;
-    const key = liveKey(pending.id);
+    const key = activeJobKey(pending.id);
     const version = view.version(key);
-    const record = withDone(pending.record, pending.finished, settings.valueBytes);
+    const record = withFinishedTasks(pending.record, pending.finished, settings.valueBytes);
     const complete = isComplete(record);
     const value = encodeRecord(record);
     // Stored by a version with a larger limit: it stays as it is until its tasks' ranges have grown together. Their
     // results stay with the workers.
-    if (!complete && recordBytes(record) > settings.valueBytes) {
-      this.lastWrite.set(pending.id, clock.now());
+    if (!complete && storedSizeBytes(record) > settings.valueBytes) {
+      this.lastWriteAt.set(pending.id, clock.now());
       return;
     }
-    const changes: Change[] = complete ? endChanges(pending.id, 'done') : [{ op: 'put', key, value }];
+    const changes: Change[] = complete ? endJobChanges(pending.id, 'done') : [{ op: 'put', key, value }];
     const result = await state.compareAndSwap(
       [{ key, version }],
       changes,
-      pending.last ? RequestPriority.finalState : RequestPriority.progress,
+      pending.lastOfShard ? RequestPriority.finalState : RequestPriority.progress,
     );
-    this.lastWrite.set(pending.id, clock.now());
-    if (this.lastWrite.size > MAX_WRITE_TIMES) this.lastWrite.clear();
+    this.lastWriteAt.set(pending.id, clock.now());
+    if (this.lastWriteAt.size > MAX_WRITE_TIMES) this.lastWriteAt.clear();
     if (result.kind !== 'done') return;
     if (complete) {
-      this.onFinal(pending.id);
+      this.onJobEnded(pending.id);
       log.info({ job: pending.id }, 'job done');
     }
     await this.context.exclusive(() => view.apply(key, complete ? undefined : value, result.revision));
--- a/src/jobs/record.ts
+++ b/src/jobs/record.ts
@@ -7,7 +7,7 @@
 export interface Assignment {
   readonly from: number;
   readonly to: number;
-  readonly part: ShardId;
+  readonly shard: ShardId;
   readonly zone: ZoneId | null;
 }
 
@@ -15,11 +15,11 @@
 export interface JobRecord {
   readonly spec: JobSpec;
   /** The part that accepted it and hands its tasks to others. */
-  readonly home: ShardId;
+  readonly homeShard: ShardId;
   /** The store's revision known when it was accepted: the order in which jobs came, near enough. */
-  readonly born: Revision;
+  readonly acceptedRevision: Revision;
   /** When it was accepted. null: by an earlier version, which did not say. */
-  readonly accepted: ClusterMs | null;
+  readonly acceptedAt: ClusterMs | null;
   /** Which part each task is entrusted to. */
   readonly assignments: readonly Assignment[];
   /** Finished tasks. */
@@ -30,44 +30,44 @@
 export type FinalState = 'done' | 'cancelled';
 
 /** All tasks are finished; a service never is. */
-export const isComplete = (r: JobRecord): boolean =>
-  r.spec.shape !== 'service' && r.done.size === r.spec.tasks;
+export const isComplete = (record: JobRecord): boolean =>
+  record.spec.kind !== 'service' && record.done.size === record.spec.tasks;
 
 /** Gives the tasks in `moved` to another part (and zone); neighbours that agree are joined. */
 export function reassign(
-  r: JobRecord,
+  record: JobRecord,
   moved: RangeSet,
   shard: ShardId,
-  zone: (was: ZoneId | null) => ZoneId | null,
+  zoneFor: (currentZone: ZoneId | null) => ZoneId | null,
 ): JobRecord {
-  const out: Assignment[] = [];
-  const push = (from: number, to: number, p: ShardId, z: ZoneId | null): void => {
-    const last = out.at(-1);
-    if (last && last.to === from && last.part === p && last.zone === z) {
-      out[out.length - 1] = { ...last, to };
-    } else out.push({ from, to, part: p, zone: z });
+  const reassigned: Assignment[] = [];
+  const push = (from: number, to: number, shardId: ShardId, zone: ZoneId | null): void => {
+    const last = reassigned.at(-1);
+    if (last && last.to === from && last.shard === shardId && last.zone === zone) {
+      reassigned[reassigned.length - 1] = { ...last, to };
+    } else reassigned.push({ from, to, shard: shardId, zone: zone });
   };
-  for (const a of r.assignments) {
-    let at = a.from;
+  for (const assignment of record.assignments) {
+    let position = assignment.from;
     for (const [from, to] of moved.ranges()) {
-      const lo = Math.max(from, a.from);
-      const hi = Math.min(to, a.to);
-      if (lo >= hi) continue;
-      if (at < lo) push(at, lo, a.part, a.zone);
-      push(lo, hi, shard, zone(a.zone));
-      at = hi;
+      const start = Math.max(from, assignment.from);
+      const end = Math.min(to, assignment.to);
+      if (start >= end) continue;
+      if (position < start) push(position, start, assignment.shard, assignment.zone);
+      push(start, end, shard, zoneFor(assignment.zone));
+      position = end;
     }
-    if (at < a.to) push(at, a.to, a.part, a.zone);
+    if (position < assignment.to) push(position, assignment.to, assignment.shard, assignment.zone);
   }
-  return { ...r, assignments: out };
+  return { ...record, assignments: reassigned };
 }
 
 /** The tasks entrusted to a part. */
-export function assignedTo(r: JobRecord, shard: ShardId): RangeSet {
-  return RangeSet.of(r.assignments.filter((a) => a.part === shard).map((a) => [a.from, a.to] as const));
+export function assignedTo(record: JobRecord, shard: ShardId): RangeSet {
+  return RangeSet.of(record.assignments.filter((a) => a.shard === shard).map((a) => [a.from, a.to] as const));
 }
 
 /** The zone that a constrained job's task must be in; null: any. */
-export function zoneOf(r: JobRecord, index: number): ZoneId | null {
-  return r.assignments.find((a) => a.from <= index && index < a.to)?.zone ?? null;
+export function requiredZoneOf(record: JobRecord, index: number): ZoneId | null {
+  return record.assignments.find((a) => a.from <= index && index < a.to)?.zone ?? null;
 }
--- a/src/jobs/responses.ts
+++ b/src/jobs/responses.ts
@@ -16,19 +16,19 @@
 export const NOT_FOUND: Answer = { status: 404, body: { error: 'no such job' } };
 
 /** 503 that says when the user's turn can come; `waitMs` is the expected wait in milliseconds. */
-export function unavailableFor(waitMs: number): Answer {
+export function unavailableAnswer(waitMs: number): Answer {
   const wait = Math.ceil(waitMs / 1000);
   return { ...UNAVAILABLE, retryAfterS: Math.min(MAX_RETRY_AFTER_S, Math.max(1, wait)) };
 }
 
 /** A request that is refused for what it asks. */
-export const rejected = (status: 400 | 422, error: string): Answer => ({ status, body: { error } });
+export const rejectedAnswer = (status: 400 | 422, error: string): Answer => ({ status, body: { error } });
 
 /** 201: the job has been created by this request. */
-export const created = (id: JobId): Answer => ({ status: 201, body: encodeAccepted(id, 'pending') });
+export const createdAnswer = (id: JobId): Answer => ({ status: 201, body: encodeAccepted(id, 'pending') });
 
 /** 200: the job exists, in this state. */
-export const accepted = (id: JobId, state: JobStatus['state']): Answer => ({
+export const existingJobAnswer = (id: JobId, state: JobStatus['state']): Answer => ({
   status: 200,
   body: encodeAccepted(id, state),
 });
--- a/src/jobs/service.ts
+++ b/src/jobs/service.ts
@@ -37,11 +37,18 @@
     refresh: () => Promise<boolean>,
     announceCancelled: (id: JobId, version: Revision) => void,
   ) {
-    const { activeJobs: live, settings, log } = context;
+    const { activeJobs: activeJobs, settings, log } = context;
     const reader = new JobReader(context, this.finalStates);
-    this.lookups = new LookupBatcher(context, live, this.finalStates, reader, settings.txnOps, refresh);
-    this.submission = new JobSubmission(context, live, this.finalStates, this.lookups, assign);
-    this.cancellation = new JobCancellation(context, live, this.finalStates, reader, log, announceCancelled);
+    this.lookups = new LookupBatcher(context, activeJobs, this.finalStates, reader, settings.txnOps, refresh);
+    this.submission = new JobSubmission(context, activeJobs, this.finalStates, this.lookups, assign);
+    this.cancellation = new JobCancellation(
+      context,
+      activeJobs,
+      this.finalStates,
+      reader,
+      log,
+      announceCancelled,
+    );
   }
 
   /** Takes a submission, given as the request's body. */
@@ -61,7 +68,7 @@
   }
 
   /** Cancels a job; `id` is text from the request's path. */
-  async abort(id: string): Promise<Answer> {
+  async cancel(id: string): Promise<Answer> {
     return isJobId(id) ? this.cancellation.cancel(id) : NOT_FOUND;
   }
 
--- a/src/jobs/spec.ts
+++ b/src/jobs/spec.ts
@@ -9,13 +9,13 @@
 export interface JobSpec {
   readonly id: JobId;
   /** Jobs of one lane are alike: their run times are learned together. */
-  readonly lane: string;
+  readonly jobClass: string;
   readonly team: TeamId;
   /**
    * An array's tasks complete, each by itself; a gang's only when all run together; a service's replicas run
    * until the job is cancelled.
    */
-  readonly shape: 'array' | 'gang' | 'service';
+  readonly kind: 'array' | 'gang' | 'service';
   readonly priority: Priority;
   readonly tasks: number;
   /** Of one task, like the other amounts. */
@@ -37,9 +37,9 @@
   /** Run time of a task as its owner expects it, without fetching the image; often wrong. */
   readonly estimateS: Seconds;
   /** A running task saves its work after this much progress; 0: it never saves. */
-  readonly checkpointS: Seconds;
+  readonly checkpointIntervalS: Seconds;
   /** How long a task needs to save when it is told to stop. */
-  readonly saveS: Seconds;
+  readonly checkpointDurationS: Seconds;
   /** When the job should be done, counted from its submission; null: no deadline. */
   readonly deadlineS: Seconds | null;
   /** What a later version stored beside these fields: kept when the record is written again. */
--- a/src/jobs/status.ts
+++ b/src/jobs/status.ts
@@ -4,7 +4,7 @@
 import type { JobStatus } from './wire.js';
 
 /** The tasks that one pool of this controller knows of. */
-interface PoolTasks {
+interface ShardTasks {
   /** By job: tasks that are done and not yet in the job's record. */
   readonly jobs: { get(id: JobId): { readonly finished: { readonly size: number } } | undefined };
   /** By job: its tasks that are allocated to machines. */
@@ -19,7 +19,7 @@
 
 /** Where the tasks of active jobs are counted. */
 export interface TaskSources {
-  readonly shards: { values(): Iterable<PoolTasks> };
+  readonly shards: { values(): Iterable<ShardTasks> };
   readonly peers: { values(): Iterable<PeerTasks> };
 }
 
@@ -27,9 +27,9 @@
 export function activeStatus(id: JobId, record: JobRecord, sources: TaskSources): JobStatus {
   let running = 0;
   let done = record.done.size;
-  for (const pool of sources.shards.values()) {
-    done += pool.jobs.get(id)?.finished.size ?? 0;
-    for (const allocation of pool.allocationsByJob.get(id) ?? [])
+  for (const shard of sources.shards.values()) {
+    done += shard.jobs.get(id)?.finished.size ?? 0;
+    for (const allocation of shard.allocationsByJob.get(id) ?? [])
       if (allocation.phase === 'running') running += 1;
   }
   for (const peer of sources.peers.values()) running += peer.runningTasks.get(id) ?? 0;
--- a/src/jobs/wire.ts
+++ b/src/jobs/wire.ts
@@ -4,7 +4,7 @@
 import { Priority, type JobSpec } from './spec.js';
 
 const MAX_TASKS = 100_000;
-const ID = /^req-[0-9A-Za-z_-]{1,64}$/;
+const JOB_ID_PATTERN = /^req-[0-9A-Za-z_-]{1,64}$/;
 
 const MAX_AMOUNT = 1e9;
 
@@ -17,8 +17,8 @@
 const name = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 const maybe = <S extends v.GenericSchema>(schema: S) => v.optional(v.nullable(schema), null);
 
-const submission = v.object({
-  uid: v.pipe(v.string(), v.regex(ID)),
+const submissionSchema = v.object({
+  uid: v.pipe(v.string(), v.regex(JOB_ID_PATTERN)),
   lane: name,
   crew: name,
   shape: v.picklist(['batch', 'standing', 'gang']),
@@ -47,7 +47,7 @@
   memoryGb: 'memoryGb',
   types: 'hulls',
   zone: 'harbor',
-} as const satisfies Partial<Record<keyof JobSpec, keyof typeof submission.entries>>;
+} as const satisfies Partial<Record<keyof JobSpec, keyof typeof submissionSchema.entries>>;
 
 const PRIORITIES: Record<string, Priority> = {
   critical: Priority.critical,
@@ -63,9 +63,9 @@
   | { readonly kind: 'malformed'; readonly error: string; readonly id: JobId | null };
 
 /** Has the text the form of a job's id? */
-export const isJobId = (text: string): text is JobId => ID.test(text);
+export const isJobId = (text: string): text is JobId => JOB_ID_PATTERN.test(text);
 
-function idIn(data: unknown): JobId | null {
+function readJobId(data: unknown): JobId | null {
   const id = typeof data === 'object' && data !== null ? (data as Record<string, unknown>)['uid'] : null;
   return typeof id === 'string' && isJobId(id) ? id : null;
 }
@@ -78,37 +78,37 @@
   } catch {
     return { kind: 'malformed', error: 'the body is not JSON', id: null };
   }
-  const result = v.safeParse(submission, data, { abortEarly: true });
+  const result = v.safeParse(submissionSchema, data, { abortEarly: true });
   if (!result.success) {
     const issue = result.issues[0];
     const field = issue.path?.map((p) => String(p.key)).join('.') ?? 'body';
-    return { kind: 'malformed', error: `${field}: ${issue.message}`, id: idIn(data) };
+    return { kind: 'malformed', error: `${field}: ${issue.message}`, id: readJobId(data) };
   }
   return { kind: 'spec', spec: toSpec(result.output) };
 }
 
-function toSpec(s: v.InferOutput<typeof submission>): JobSpec {
+function toSpec(submission: v.InferOutput<typeof submissionSchema>): JobSpec {
   return {
-    id: s.uid as JobId,
-    lane: s.lane,
-    team: s.crew as TeamId,
-    shape: s.shape === 'standing' ? 'service' : s.shape === 'gang' ? 'gang' : 'array',
-    priority: PRIORITIES[s.rank] as Priority,
-    tasks: s.legs,
-    cpus: s.vcpus,
-    gpus: s.cards,
-    memoryGb: s.memoryGb,
-    types: s.hulls as InstanceTypeId[] | null,
-    zone: s.harbor as ZoneId | null,
-    oneZone: s.samePlace,
-    spread: s.apart,
-    spot: s.driftboats,
-    image: s.cargo as ImageId,
-    imageGb: s.sizeGb,
-    estimateS: s.passageS as Seconds,
-    checkpointS: s.moorS as Seconds,
-    saveS: s.stowS as Seconds,
-    deadlineS: s.tideS as Seconds | null,
+    id: submission.uid as JobId,
+    jobClass: submission.lane,
+    team: submission.crew as TeamId,
+    kind: submission.shape === 'standing' ? 'service' : submission.shape === 'gang' ? 'gang' : 'array',
+    priority: PRIORITIES[submission.rank] as Priority,
+    tasks: submission.legs,
+    cpus: submission.vcpus,
+    gpus: submission.cards,
+    memoryGb: submission.memoryGb,
+    types: submission.hulls as InstanceTypeId[] | null,
+    zone: submission.harbor as ZoneId | null,
+    oneZone: submission.samePlace,
+    spread: submission.apart,
+    spot: submission.driftboats,
+    image: submission.cargo as ImageId,
+    imageGb: submission.sizeGb,
+    estimateS: submission.passageS as Seconds,
+    checkpointIntervalS: submission.moorS as Seconds,
+    checkpointDurationS: submission.stowS as Seconds,
+    deadlineS: submission.tideS as Seconds | null,
   };
 }
 
@@ -124,9 +124,9 @@
 export const encodeAccepted = (id: JobId, state: JobStatus['state']): unknown => ({ uid: id, status: state });
 
 /** Body of the answer to a poll. */
-export const encodeStatus = (s: JobStatus): unknown => ({
-  uid: s.id,
-  status: s.state,
-  done: s.done,
-  running: s.running,
+export const encodeStatus = (status: JobStatus): unknown => ({
+  uid: status.id,
+  status: status.state,
+  done: status.done,
+  running: status.running,
 });
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -378,7 +378,7 @@
     }
     core.shards.set(id, shard);
     for (const record of core.activeJobs.values()) {
-      const age = core.clusterClock.age(record.accepted, now);
+      const age = core.clusterClock.age(record.acceptedAt, now);
       syncJob(shard, record, core.storeCache.version(`c/live/${record.spec.id}` as never), now, true, age);
     }
     core.log.info(
--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -1,6 +1,6 @@
 /** Composes what a controller announces to its peers, and takes in what they announce. */
 import type { Core } from '../core.js';
-import { liveKey } from '../jobs/codec.js';
+import { activeJobKey } from '../jobs/codec.js';
 import { add, addTo, ZERO, type MutableResources, type Resources } from '../model/resources.js';
 import { decodePeerMessage } from '../peers/codec.js';
 import type {
@@ -166,7 +166,7 @@
  * are not. It is learned like the answer to a write of our own; a late copy is older than the view and changes nothing.
  */
 function learnCancellation(core: Core, { job, version }: CancellationNotice): void {
-  void core.exclusive(() => core.storeCache.apply(liveKey(job), undefined, version));
+  void core.exclusive(() => core.storeCache.apply(activeJobKey(job), undefined, version));
 }
 
 /** A peer's message; a request for quota, or for machines, is returned to the caller. */
--- a/src/overflow/assignment.ts
+++ b/src/overflow/assignment.ts
@@ -54,7 +54,7 @@
 /** Critical tasks go where their image is, to one part if it can take all, else split by what each could start. */
 function whereReady(ctx: AssignContext, spec: JobSpec): Assignment[] {
   const one = readyPart(ctx, spec, null, spec.tasks);
-  if (one !== null) return [{ from: 0, to: spec.tasks, part: one, zone: null }];
+  if (one !== null) return [{ from: 0, to: spec.tasks, shard: one, zone: null }];
   if (spec.priority !== Priority.critical) return [];
   const slots = (p: ShardId): number =>
     Math.floor(Math.min(Number.MAX_SAFE_INTEGER, fittingRatio(readyFor(ctx, spec, p), spec)) + TOLERANCE);
@@ -65,7 +65,7 @@
   let at = 0;
   for (const { part: shard } of order) {
     const to = Math.min(spec.tasks, at + slots(shard));
-    if (to > at) out.push({ from: at, to, part: shard, zone: null });
+    if (to > at) out.push({ from: at, to, shard: shard, zone: null });
     at = to;
   }
   return out;
@@ -87,7 +87,7 @@
   const shard = partFor(ctx, spec, zone, to - from);
   const offer = ctx.freeCapacity.get(shard);
   if (offer) reserve(offer, spec, zone, to - from);
-  return { from, to, part: shard, zone };
+  return { from, to, shard: shard, zone };
 }
 
 const byRoom = (ctx: AssignContext, spec: JobSpec, zones: readonly ZoneId[]): ZoneId[] =>
@@ -105,7 +105,7 @@
     if (to > at) out.push(pinned(ctx, spec, at, to, zone));
     at = to;
   }
-  if (at < spec.tasks) out.push({ from: at, to: spec.tasks, part: ctx.home, zone: NOWHERE });
+  if (at < spec.tasks) out.push({ from: at, to: spec.tasks, shard: ctx.home, zone: NOWHERE });
   return out;
 }
 
@@ -116,17 +116,17 @@
   const own = ctx.freeCapacity.get(ctx.home);
   const here = own ? Math.min(spec.tasks - at, capacityFor(own, spec, null)) : spec.tasks - at;
   if (own) reserve(own, spec, null, here);
-  if (here > 0) out.push({ from: at, to: at + here, part: ctx.home, zone: null });
+  if (here > 0) out.push({ from: at, to: at + here, shard: ctx.home, zone: null });
   at += here;
   const others = [...ctx.freeCapacity.values()].filter((o) => o.part !== ctx.home);
   for (const { offer, capacity } of rankPeers(others, ctx.homeZone, spec, null, ctx.now, ctx.random)) {
     if (at >= spec.tasks) break;
     const to = Math.min(spec.tasks, at + capacity);
     reserve(offer, spec, null, to - at);
-    out.push({ from: at, to, part: offer.part, zone: null });
+    out.push({ from: at, to, shard: offer.part, zone: null });
     at = to;
   }
-  if (at < spec.tasks) out.push({ from: at, to: spec.tasks, part: ctx.home, zone: null });
+  if (at < spec.tasks) out.push({ from: at, to: spec.tasks, shard: ctx.home, zone: null });
   return out;
 }
 
@@ -136,7 +136,7 @@
   const list = rankPeers(ctx.freeCapacity.values(), ctx.homeZone, spec, spec.zone, ctx.now, ctx.random);
   const fitting = list.find((o) => o.capacity >= spec.tasks);
   const home = !own || capacityFor(own, spec, spec.zone) >= spec.tasks || !fitting;
-  return { from: 0, to: spec.tasks, part: home ? ctx.home : fitting.offer.part, zone: spec.zone };
+  return { from: 0, to: spec.tasks, shard: home ? ctx.home : fitting.offer.part, zone: spec.zone };
 }
 
 /** Zones in which the cloud has machines that can take a task; all zones while no type is known to. */
@@ -157,10 +157,10 @@
   if (spec.spread && spec.tasks > 1) {
     const placed = spread(ctx, spec, spec.oneZone ? byRoom(ctx, spec, zones).slice(0, 1) : zones);
     // A gang has one owner, also where its tasks are in several zones.
-    return spec.shape === 'gang' ? placed.map((a) => ({ ...a, part: ctx.home })) : placed;
+    return spec.kind === 'gang' ? placed.map((a) => ({ ...a, shard: ctx.home })) : placed;
   }
   if (spec.oneZone) return [pinned(ctx, spec, 0, spec.tasks, byRoom(ctx, spec, zones)[0] ?? ctx.homeZone)];
-  if (spec.shape === 'gang') return [whole(ctx, spec)];
+  if (spec.kind === 'gang') return [whole(ctx, spec)];
   if (spec.zone !== null) return [pinned(ctx, spec, 0, spec.tasks, spec.zone)];
   return overflow(ctx, spec);
 }
--- a/src/overflow/hand-over.ts
+++ b/src/overflow/hand-over.ts
@@ -1,6 +1,6 @@
 /** Hands waiting tasks to a peer's part that announced room: one conditional write naming the lender. */
 import type { Core } from '../core.js';
-import { encodeRecord, liveKey } from '../jobs/codec.js';
+import { encodeRecord, activeJobKey } from '../jobs/codec.js';
 import { reassign } from '../jobs/record.js';
 import { Priority, type JobSpec } from '../jobs/spec.js';
 import { requiredZone, type Shard, type ShardJob } from '../shards/model.js';
@@ -42,7 +42,7 @@
     const { job } = u;
     if (u.reason !== 'room' || !job.handingOver.isEmpty) continue;
     const rest = job.spec.priority === Priority.critical ? REST_CRITICAL : REST;
-    const rested = job.record.home === shard.id ? 0 : rest;
+    const rested = job.record.homeShard === shard.id ? 0 : rest;
     if (now - job.arrivedAt < rested || now - job.arrivedAt < 30) continue;
     const pins = u.indices === 'all' ? [null] : new Set(u.indices.map((i) => requiredZone(job, i)));
     for (const pin of pins) {
@@ -71,7 +71,7 @@
     refused.add(shape);
     return pin === null ? null : moveZone(core, shard, job, pin, now);
   }
-  const gang = job.spec.shape === 'gang';
+  const gang = job.spec.kind === 'gang';
   const same =
     gang || indices === 'all'
       ? [...job.waiting].filter((i) => requiredZone(job, i) === pin)
@@ -139,7 +139,7 @@
     const { core } = this;
     job.waiting.removeAll(tasks);
     job.handingOver.addAll(tasks);
-    const key = liveKey(job.id);
+    const key = activeJobKey(job.id);
     const result = await core.compareAndSwapUntilCertain(
       [{ key, version: job.version }, core.leaderCondition(shard)],
       [{ op: 'put', key, value }],
@@ -156,7 +156,7 @@
   }
 
   /** A conflict says that the record is newer than what we know: reads it before deciding anything. */
-  private async look(key: ReturnType<typeof liveKey>): Promise<void> {
+  private async look(key: ReturnType<typeof activeJobKey>): Promise<void> {
     for (;;) {
       const read = await this.core.store.get(key, RequestPriority.handOver);
       if (read.kind === 'found') {
@@ -174,7 +174,7 @@
   private takeBack(shard: Shard, job: ShardJob): void {
     if (shard.jobs.get(job.id) !== job) return;
     for (const i of job.handingOver) {
-      const ours = job.record.assignments.some((a) => a.part === shard.id && a.from <= i && i < a.to);
+      const ours = job.record.assignments.some((a) => a.shard === shard.id && a.from <= i && i < a.to);
       if (ours && !job.record.done.has(i) && !job.finished.has(i)) job.waiting.add(i);
     }
     job.handingOver.removeAll(job.handingOver.clone());
--- a/src/overflow/zone-reassignment.ts
+++ b/src/overflow/zone-reassignment.ts
@@ -48,7 +48,7 @@
  */
 function collectingPart({ record }: ShardJob): ShardId | null {
   if (!record.done.isEmpty) return null;
-  return Math.min(...record.assignments.map((a) => a.part)) as ShardId;
+  return Math.min(...record.assignments.map((a) => a.shard)) as ShardId;
 }
 
 /**
@@ -56,7 +56,7 @@
  * that is spread: its tasks would come to different pools.
  */
 const mayMove = (spec: JobSpec): boolean =>
-  spec.zone === null && spec.spread !== spec.oneZone && !(spec.shape === 'gang' && spec.spread);
+  spec.zone === null && spec.spread !== spec.oneZone && !(spec.kind === 'gang' && spec.spread);
 
 /** The best move for the tasks that wait in `fromZone`, or null: nowhere else is room that the job may use. */
 export function chooseZoneReassignment(
--- a/src/placement/consolidation.ts
+++ b/src/placement/consolidation.ts
@@ -76,7 +76,7 @@
 }
 
 const settled = (b: Allocation, ctx: Context): boolean =>
-  b.spec?.shape === 'service' &&
+  b.spec?.kind === 'service' &&
   b.stop === null &&
   b.runningSince !== null &&
   ctx.now - b.runningSince > SETTLED_FOR;
--- a/src/placement/places.ts
+++ b/src/placement/places.ts
@@ -62,7 +62,7 @@
     }
     this.groups ??= grouped(this.find());
     // Batch work fills the best machine before the next; replicas take turns among machines of the best kind.
-    const fill = job.spec.shape === 'array';
+    const fill = job.spec.kind === 'array';
     for (let group = this.groups[0]; group; this.groups.shift(), group = this.groups[0], this.at = 0) {
       for (let tried = 0; tried < group.length; tried += 1) {
         const place = group[this.at % group.length] as Place;
@@ -93,15 +93,15 @@
     const failed = this.job.failedMachines.has(m.id) ? 1 : 0;
     const holder = m.images.has(spec.image);
     const capacity = this.types.get(m.type) ?? ZERO;
-    const crowd = spec.shape === 'service' ? crowding(m, room, spec, capacity) : 0;
+    const crowd = spec.kind === 'service' ? crowding(m, room, spec, capacity) : 0;
     // Only a fetch that another machine would need too: replicas rather bring the image to one more machine.
     const coming = !holder && m.requiredImages.has(spec.image) && crowd < CROWD_STEPS;
     // Among holders batch work fills the fullest machine first: idle ones can be returned, and large gaps stay.
-    const pack = (holder || coming) && spec.shape === 'array';
+    const pack = (holder || coming) && spec.kind === 'array';
     // What would lose its work with a machine that may be taken goes to one that may not, while there is room.
-    const risky = m.spot && spec.checkpointS === 0 ? 1 : 0;
+    const risky = m.spot && spec.checkpointIntervalS === 0 ? 1 : 0;
     // Replicas stay together: machines without any come free when batch work ends, and are returned.
-    const lonely = spec.shape === 'service' && isZero(criticalOn(m)) ? 1 : 0;
+    const lonely = spec.kind === 'service' && isZero(criticalOn(m)) ? 1 : 0;
     const free = freeAsCpus(room, capacity, spec);
     const order = pack ? free : -(free + free / Math.max(1, capacity.cpus));
     return [failed, holder ? 0 : coming ? 1 : 2, risky, crowd, lonely, order];
@@ -141,7 +141,7 @@
   type: MachineType | undefined,
   now: SteadyMs,
 ): boolean {
-  if (spec.shape !== 'service' || now - m.addedAt > JUST_COME || m.images.has(spec.image)) return false;
+  if (spec.kind !== 'service' || now - m.addedAt > JUST_COME || m.images.has(spec.image)) return false;
   return crowding(m, room, spec, type ?? ZERO) >= CROWD_STEPS;
 }
 
--- a/src/placement/plan.ts
+++ b/src/placement/plan.ts
@@ -56,7 +56,7 @@
  */
 function rank(shard: Shard, job: ShardJob, ctx: PlanContext): Ranked {
   const spec = job.spec;
-  const estimate = spec.estimateS * ctx.correction(spec.lane) * 1000;
+  const estimate = spec.estimateS * ctx.correction(spec.jobClass) * 1000;
   const size = sizeOf(spec, ctx.types.values());
   const due = deadlineAt(job);
   const late = lateness(job, estimate, ctx);
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -53,7 +53,7 @@
   const size = sizeOf(b.spec, ctx.types.values());
   if (b.runningSince === null) return 0.5 * size * 1000;
   const run = ctx.now - b.runningSince;
-  return size * (b.spec.checkpointS > 0 ? Math.min(run, b.spec.saveS * 1000) : run);
+  return size * (b.spec.checkpointIntervalS > 0 ? Math.min(run, b.spec.checkpointDurationS * 1000) : run);
 }
 
 /** What the users lose with a task besides its work: 2 when its job's deadline can still be kept, 0 when none can. */
@@ -61,14 +61,14 @@
   const job = shard.jobs.get(b.job);
   if (!b.spec || b.spec.deadlineS === null || !job) return 0;
   const run = b.runningSince === null ? 0 : ctx.now - b.runningSince;
-  const estimate = b.spec.estimateS * ctx.correction(b.spec.lane) * 1000;
+  const estimate = b.spec.estimateS * ctx.correction(b.spec.jobClass) * 1000;
   return 2 - lateness(job, Math.max(0, estimate - run), ctx);
 }
 
 function preemptionCost(shard: Shard, b: Allocation, ctx: PlanContext): number {
   const size = b.spec ? sizeOf(b.spec, ctx.types.values()) : 0;
   // A gang stops as a whole.
-  const tasks = b.spec?.shape === 'gang' ? b.spec.tasks : 1;
+  const tasks = b.spec?.kind === 'gang' ? b.spec.tasks : 1;
   return tasks * (lostWork(b, ctx) + deadlineStanding(shard, b, ctx) * DEADLINE_STANDING_WORTH * size);
 }
 
@@ -76,7 +76,7 @@
 function withTheirGangs(shard: Shard, list: readonly Allocation[]): Set<Allocation> {
   const all = new Set(list);
   for (const b of list) {
-    if (b.spec?.shape !== 'gang') continue;
+    if (b.spec?.kind !== 'gang') continue;
     for (const member of shard.allocationsByJob.get(b.job) ?? []) if (!member.stop) all.add(member);
   }
   return all;
@@ -155,7 +155,7 @@
 }
 
 const criticalPatience = (shard: Shard, job: ShardJob, ctx: PlanContext): number =>
-  job.record.home === shard.id && ctx.peerHasRoom(job.spec) ? CRITICAL_PATIENCE : 0;
+  job.record.homeShard === shard.id && ctx.peerHasRoom(job.spec) ? CRITICAL_PATIENCE : 0;
 
 export function makeRoom(
   shard: Shard,
@@ -262,5 +262,5 @@
 
 /** Time to save for a task that can; none for others. */
 export function graceFor(b: Allocation): number {
-  return b.spec && b.spec.checkpointS > 0 ? Math.ceil(b.spec.saveS + 1) : 0;
+  return b.spec && b.spec.checkpointIntervalS > 0 ? Math.ceil(b.spec.checkpointDurationS + 1) : 0;
 }
--- a/src/placement/round.ts
+++ b/src/placement/round.ts
@@ -144,7 +144,7 @@
   if (job.spec.deadlineS === null) return 0;
   const left = ctx.now + estimate - job.acceptedAt;
   const due = job.spec.deadlineS * 1000;
-  return left < due ? 0 : left < due * ctx.latest(job.spec.lane) ? 1 : 2;
+  return left < due ? 0 : left < due * ctx.latest(job.spec.jobClass) ? 1 : 2;
 }
 
 export function usable(m: Machine, ctx: Pick<PlanContext, 'now' | 'reportMs'>): boolean {
--- a/src/placement/scheduler.ts
+++ b/src/placement/scheduler.ts
@@ -15,7 +15,7 @@
   type Shard,
   type ShardJob,
 } from '../shards/model.js';
-import { Guarantees } from '../quota/guarantee.js';
+import { GuaranteedJobs } from '../quota/guaranteed-jobs.js';
 import type { QuotaTransferService } from '../quota/transfer-service.js';
 import type { Attempt, JobId, SteadyMs, TaskIndex, TeamId } from '../model/units.js';
 import { millis, plus, taskId } from '../model/units.js';
@@ -55,7 +55,7 @@
   private dueAt = 0;
   /** Jobs that found no room in a part's last round. */
   private readonly short = new WeakMap<Shard, ReadonlySet<ShardJob>>();
-  private readonly guarantees: Guarantees;
+  private readonly guarantees: GuaranteedJobs;
   private lastMove = -1e12;
   readonly overflow: Overflow;
   readonly transfers: MachineTransfer;
@@ -69,7 +69,7 @@
   ) {
     this.overflow = new Overflow(core);
     this.transfers = new MachineTransfer(core);
-    this.guarantees = new Guarantees(core.settings.teams);
+    this.guarantees = new GuaranteedJobs(core.settings.teams);
   }
 
   wake(): void {
@@ -101,7 +101,7 @@
 
   /** A live record is new, has changed or is over. */
   onRecord(id: JobId, record: JobRecord | null): void {
-    this.guarantees.learn(id, record);
+    this.guarantees.update(id, record);
   }
 
   private round(shard: Shard): void {
@@ -112,7 +112,7 @@
     const plan = planRound(shard, context);
     this.apply(shard, plan, now);
     if (plan.starts.length + plan.stops.length + plan.unplaced.length === 0) this.consolidate(shard, context);
-    this.workers.dispatch(shard);
+    this.workers.dispatchCommands(shard);
     this.overflow.consider(shard, plan.unplaced);
     this.askForShares(shard, plan);
     if (plan.oversized) this.transfers.request(shard, plan.oversized);
@@ -147,7 +147,7 @@
       now,
       types: core.types,
       teams: core.settings.teams,
-      share: (team) => this.quota.share(shard.id, team),
+      share: (team) => this.quota.shardQuota(shard.id, team),
       usedElsewhere: (team) => elsewhere.get(team) ?? ZERO,
       guaranteed: remembered((job) => this.guarantees.has(job)),
       peerHasRoom: (spec) => this.peerHasRoom(shard, spec, now),
@@ -217,7 +217,7 @@
 
   /** Stops a task; of a gang all tasks, with the same grace: only together can they save their work. */
   stop(shard: Shard, b: Allocation, grace: number): void {
-    if (b.spec?.shape !== 'gang') return this.stopTask(shard, b, grace);
+    if (b.spec?.kind !== 'gang') return this.stopTask(shard, b, grace);
     for (const member of [...(shard.allocationsByJob.get(b.job) ?? [])]) this.stopTask(shard, member, grace);
   }
 
@@ -255,8 +255,9 @@
       for (const b of [...m.allocations.values()]) {
         if (b.stop || !b.spec) continue;
         // Before its gang has started, another machine can take its place.
-        if (b.spec.shape === 'gang' && b.runningSince === null) this.stopTask(shard, b, 0);
-        else if (b.spec.shape === 'service' || b.spec.checkpointS > 0) this.stop(shard, b, graceFor(b));
+        if (b.spec.kind === 'gang' && b.runningSince === null) this.stopTask(shard, b, 0);
+        else if (b.spec.kind === 'service' || b.spec.checkpointIntervalS > 0)
+          this.stop(shard, b, graceFor(b));
         else if (!this.mayFinish(b, m)) this.stop(shard, b, 0);
       }
     }
@@ -264,7 +265,7 @@
 
   private mayFinish(b: Allocation, m: Machine): boolean {
     if (!b.spec || b.runningSince === null || m.interruptedAt === null) return false;
-    const expected = b.spec.estimateS * this.runTimes.correction(b.spec.lane) * 1000;
+    const expected = b.spec.estimateS * this.runTimes.correction(b.spec.jobClass) * 1000;
     return b.runningSince + expected < m.interruptedAt + 2000;
   }
 
@@ -276,6 +277,6 @@
       addTo(sum, u.job.spec, countOf(u));
       need.set(u.job.spec.team, sum);
     }
-    for (const [team, amount] of need) this.quota.request(shard, team, amount);
+    for (const [team, amount] of need) this.quota.requestQuota(shard, team, amount);
   }
 }
--- a/src/quota/remainder.ts
+++ b/src/quota/quota-remainder.ts
@@ -8,30 +8,34 @@
 import { fits, mapResources, RESOURCE_KINDS, type Resources } from '../model/resources.js';
 import type { ShardId } from '../model/units.js';
 
-export const fitsAny = (left: Resources, tasks: readonly Resources[]): boolean =>
-  tasks.some((task) => fits(task, left));
+export const fitsAnyTask = (remaining: Resources, tasks: readonly Resources[]): boolean =>
+  tasks.some((task) => fits(task, remaining));
 
 /**
  * What is missing for the task that comes closest to fitting, by the largest share of the limit; null: one fits, none
  * waits, or machines of unknown size may be using more than there is.
  */
-export function missingForOne(
-  left: Resources,
+export function missingForClosestTask(
+  remaining: Resources,
   tasks: readonly Resources[],
   limit: Resources,
 ): Resources | null {
-  if (fitsAny(left, tasks)) return null;
-  let least: { missing: Resources; share: number } | null = null;
+  if (fitsAnyTask(remaining, tasks)) return null;
+  let closest: { missing: Resources; share: number } | null = null;
   for (const task of tasks) {
-    const missing = mapResources((kind) => Math.max(0, task[kind] - left[kind]));
+    const missing = mapResources((kind) => Math.max(0, task[kind] - remaining[kind]));
     const share = Math.max(
       ...RESOURCE_KINDS.map((kind) => (missing[kind] > 0 ? missing[kind] / limit[kind] : 0)),
     );
-    if (!least || share < least.share) least = { missing, share };
+    if (!closest || share < closest.share) closest = { missing, share };
   }
-  return least && least.share < Infinity ? least.missing : null;
+  return closest && closest.share < Infinity ? closest.missing : null;
 }
 
 /** May a remainder go from `giver` to `asker`, which misses so much for one task? */
-export const mayMove = (giver: ShardId, asker: ShardId, left: Resources, missing: Resources): boolean =>
-  asker < giver || fits(missing, left);
+export const mayTransferRemainder = (
+  fromShard: ShardId,
+  toShard: ShardId,
+  remaining: Resources,
+  missing: Resources,
+): boolean => toShard < fromShard || fits(missing, remaining);
--- a/src/shards/job.ts
+++ b/src/shards/job.ts
@@ -1,5 +1,5 @@
 /** A part's copy of a job: which of its tasks wait, are held back, or are done. */
-import { zoneOf, type Assignment, type JobRecord } from '../jobs/record.js';
+import { requiredZoneOf, type Assignment, type JobRecord } from '../jobs/record.js';
 import type { JobSpec } from '../jobs/spec.js';
 import { newGangHistory, type GangHistory } from '../model/gang.js';
 import { scale, type Resources } from '../model/resources.js';
@@ -70,7 +70,7 @@
     successes: 0,
     failedMachines: new Set(),
     arrivedAt: now,
-    gangHistory: record.spec.shape === 'gang' ? newGangHistory() : null,
+    gangHistory: record.spec.kind === 'gang' ? newGangHistory() : null,
   };
 }
 
@@ -78,7 +78,8 @@
 export const minimumToStart = (job: ShardJob): Resources =>
   job.gangHistory ? scale(job.spec, job.waiting.size + job.unaccounted.size) : job.spec;
 
-export const requiredZone = (job: ShardJob, index: number): ZoneId | null => zoneOf(job.record, index);
+export const requiredZone = (job: ShardJob, index: number): ZoneId | null =>
+  requiredZoneOf(job.record, index);
 
 /** Consecutive waiting tasks [from, to) that must be in the same zone; `zone` null: no restriction by the record. */
 export interface WaitingRun {
--- a/src/shards/sync.ts
+++ b/src/shards/sync.ts
@@ -60,5 +60,5 @@
 export function isAssignedTo(shard: Shard, job: JobId, index: number): boolean {
   const shardJob = shard.jobs.get(job);
   if (!shardJob) return false;
-  return shardJob.record.assignments.some((a) => a.part === shard.id && a.from <= index && index < a.to);
+  return shardJob.record.assignments.some((a) => a.shard === shard.id && a.from <= index && index < a.to);
 }
--- a/src/workers/clients.ts
+++ b/src/workers/clients.ts
@@ -2,7 +2,7 @@
 import type { Caller } from '../store/client.js';
 import type { Address } from '../model/units.js';
 import { millis } from '../model/units.js';
-import { decodeReport, type Heartbeat } from './wire.js';
+import { decodeHeartbeat, type Heartbeat } from './wire.js';
 
 /**
  * Share of our sockets: calls to workers at once, and as many again that are kept open after a call. The rest is for
@@ -13,18 +13,18 @@
 const STATUS_CALL = { method: 'GET', path: '/status', timeout: millis(1000) } as const;
 
 /** A way to one worker's own address. */
-export interface WorkerLink extends Caller {
+export interface WorkerClient extends Caller {
   close(): void;
 }
 
 /** The clients of all workers that were called lately. */
 export class WorkerClients {
-  private readonly clients = new Map<Address, WorkerLink>();
+  private readonly clients = new Map<Address, WorkerClient>();
 
-  constructor(private readonly dial: (address: Address) => WorkerLink) {}
+  constructor(private readonly dial: (address: Address) => WorkerClient) {}
 
   /** The client for an address, opened when it is first asked for. */
-  at(address: Address): WorkerLink {
+  clientFor(address: Address): WorkerClient {
     let client = this.clients.get(address);
     if (!client) {
       client = this.dial(address);
@@ -46,15 +46,15 @@
    * Does the machine answer at its own address? What reports and cannot be reached takes no orders; and a late copy
    * of a report from a machine that was deleted, perhaps before this process began, finds nobody there.
    */
-  async isReached(report: Heartbeat): Promise<boolean> {
-    const outcome = await this.at(report.address).call(STATUS_CALL);
+  async isReachable(heartbeat: Heartbeat): Promise<boolean> {
+    const outcome = await this.clientFor(heartbeat.address).call(STATUS_CALL);
     if (outcome.kind !== 'answer' || outcome.status !== 200) return false;
-    return decodeReport(outcome.body)?.machine === report.machine;
+    return decodeHeartbeat(outcome.body)?.machine === heartbeat.machine;
   }
 
   /** How many of these addresses answer a status call. */
-  async countAnswers(addresses: readonly Address[]): Promise<number> {
-    const outcomes = await Promise.all(addresses.map((address) => this.at(address).call(STATUS_CALL)));
+  async countReachable(addresses: readonly Address[]): Promise<number> {
+    const outcomes = await Promise.all(addresses.map((address) => this.clientFor(address).call(STATUS_CALL)));
     return outcomes.filter((outcome) => outcome.kind === 'answer' && outcome.status === 200).length;
   }
 }
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -7,83 +7,85 @@
 import type { ShardId, SteadyMs } from '../model/units.js';
 import { millis, steady } from '../model/units.js';
 import type { MachineRegistration } from './registration.js';
-import { ordersInAnswer } from './orders.js';
-import type { PoolUpdates } from './pool-updates.js';
+import { commandsInReply } from './commands.js';
+import type { ShardUpdates } from './shard-updates.js';
 import { reconcileHeartbeat } from './reconciliation.js';
-import { encodeRedirect, encodeReply, parseReport, type Heartbeat } from './wire.js';
+import { encodeRedirect, encodeReply, parseHeartbeat, type Heartbeat } from './wire.js';
 
 /** A worker waits 4 s for its answer. */
 const MAX_ANSWER_DELAY_MS = 2500;
 /** The token is not raised again sooner, however many workers have seen a higher one. */
-const RAISE_INTERVAL_MS = 3000;
+const TOKEN_RAISE_INTERVAL_MS = 3000;
 /** Workers are redirected only to an owner that we heard from within this time. */
-const OWNER_HEARD = millis(2500);
-const NOT_ENTITLED: Answer = { status: 503, body: { error: 'not entitled now' }, retryAfterS: 1 };
+const LEADER_LIVENESS_TIMEOUT = millis(2500);
+const MAY_NOT_COMMAND: Answer = { status: 503, body: { error: 'not entitled now' }, retryAfterS: 1 };
 
 /** Answers reports with 200 and orders, 421 and the owner, or 503. */
 export class HeartbeatHandler {
-  private raisedAt = steady(-1e12);
+  private tokenRaisedAt = steady(-1e12);
 
   constructor(
     private readonly core: Core,
-    private readonly ownership: ShardLeadership,
-    private readonly naming: MachineRegistration,
-    private readonly updates: PoolUpdates,
+    private readonly leadership: ShardLeadership,
+    private readonly registration: MachineRegistration,
+    private readonly shardUpdates: ShardUpdates,
   ) {}
 
   /** Handles a report, given as the request's body. */
   async handle(body: Buffer): Promise<Answer> {
-    const report = parseReport(body);
-    if (!report) return { status: 400, body: { error: 'not a report' } };
-    if (!this.core.storeCache.loaded) return NOT_ENTITLED;
-    const from = this.core.clock.now();
-    const named = await this.partOf(report);
+    const heartbeat = parseHeartbeat(body);
+    if (!heartbeat) return { status: 400, body: { error: 'not a report' } };
+    if (!this.core.storeCache.loaded) return MAY_NOT_COMMAND;
+    const receivedAt = this.core.clock.now();
+    const shardId = await this.shardOf(heartbeat);
     // Named too late for this answer to reach the worker: its lease would run out under what we start there.
-    if (named === null || this.core.clock.now() - from > MAX_ANSWER_DELAY_MS) return NOT_ENTITLED;
-    return this.core.exclusive(() => this.answer(report, named));
+    if (shardId === null || this.core.clock.now() - receivedAt > MAX_ANSWER_DELAY_MS) return MAY_NOT_COMMAND;
+    return this.core.exclusive(() => this.reply(heartbeat, shardId));
   }
 
-  private async partOf(report: Heartbeat): Promise<ShardId | null> {
-    for (const shard of this.core.shards.values()) if (shard.machines.has(report.machine)) return shard.id;
-    const entry = this.core.storeCache.get(machineKey(report.machine));
+  private async shardOf(heartbeat: Heartbeat): Promise<ShardId | null> {
+    for (const shard of this.core.shards.values()) if (shard.machines.has(heartbeat.machine)) return shard.id;
+    const entry = this.core.storeCache.get(machineKey(heartbeat.machine));
     const record = entry ? decodeMachineRecord(entry.value) : null;
-    return record ? record.shard : this.naming.adopt(report);
+    return record ? record.shard : this.registration.registerOnHeartbeat(heartbeat);
   }
 
-  private answer(report: Heartbeat, named: ShardId): Answer {
-    const shard = this.core.shards.get(named);
-    const machine = shard?.machines.get(report.machine);
-    if (!shard || !machine) return this.redirect(report, named);
+  private reply(heartbeat: Heartbeat, shardId: ShardId): Answer {
+    const shard = this.core.shards.get(shardId);
+    const machine = shard?.machines.get(heartbeat.machine);
+    if (!shard || !machine) return this.redirect(heartbeat, shardId);
     const now = this.core.clock.now();
     // Its worker has seen a higher token: somebody else commands it. A 200 would be dropped, and would keep the
     // worker here while its lease runs out.
-    if (report.token > shard.fencingToken) {
-      this.outranked(shard, now);
+    if (heartbeat.fencingToken > shard.fencingToken) {
+      this.onHigherToken(shard, now);
       return { status: 421, body: encodeRedirect(null) };
     }
-    if (!this.core.mayCommand(now)) return NOT_ENTITLED;
-    if (this.isUnreachable(shard, machine, report, now)) {
+    if (!this.core.mayCommand(now)) return MAY_NOT_COMMAND;
+    if (this.isUnreachable(shard, machine, heartbeat, now)) {
       machine.refusedUnreachableAt = now;
-      return NOT_ENTITLED;
+      return MAY_NOT_COMMAND;
     }
-    if (!reconcileHeartbeat(shard, machine, report, 'report', this.updates.reportContext(now)))
-      return NOT_ENTITLED;
-    const orders = ordersInAnswer(shard, machine);
+    if (
+      !reconcileHeartbeat(shard, machine, heartbeat, 'report', this.shardUpdates.reconciliationContext(now))
+    )
+      return MAY_NOT_COMMAND;
+    const commands = commandsInReply(shard, machine);
     if (!machine.reconciled) {
       shard.machinesWithPendingCommands.add(machine);
       machine.answeredUnreconciledAt ??= now;
     }
-    this.updates.changed(shard);
-    return { status: 200, body: encodeReply(shard.fencingToken, orders) };
+    this.shardUpdates.onShardChanged(shard);
+    return { status: 200, body: encodeReply(shard.fencingToken, commands) };
   }
 
   /**
    * It reports and never shows the token that our answers carry: they do not reach it. Each further answer might
    * renew its lease, and the part would wait for it for ever; refused, its lease ends for certain.
    */
-  private isUnreachable(shard: Shard, machine: Machine, report: Heartbeat, now: SteadyMs): boolean {
+  private isUnreachable(shard: Shard, machine: Machine, heartbeat: Heartbeat, now: SteadyMs): boolean {
     if (
-      report.token >= shard.fencingToken ||
+      heartbeat.fencingToken >= shard.fencingToken ||
       machine.reconciled ||
       machine.answeredUnreconciledAt === null ||
       shard.reconciled
@@ -93,17 +95,19 @@
   }
 
   /** If the store still says that the part is ours, a new token goes above what the worker has seen. */
-  private outranked(shard: Shard, now: SteadyMs): void {
-    if (now - this.raisedAt < RAISE_INTERVAL_MS) return;
-    this.raisedAt = now;
-    void this.ownership.raiseFencingToken(shard);
+  private onHigherToken(shard: Shard, now: SteadyMs): void {
+    if (now - this.tokenRaisedAt < TOKEN_RAISE_INTERVAL_MS) return;
+    this.tokenRaisedAt = now;
+    void this.leadership.raiseFencingToken(shard);
   }
 
-  private redirect(report: Heartbeat, named: ShardId): Answer {
-    this.ownership.recordRedirectedHeartbeat(named, report.machine);
-    const owner = this.core.shardRecord(named)?.leader ?? null;
+  private redirect(heartbeat: Heartbeat, shardId: ShardId): Answer {
+    this.leadership.recordRedirectedHeartbeat(shardId, heartbeat.machine);
+    const leader = this.core.shardRecord(shardId)?.leader ?? null;
     const reachable =
-      owner !== null && owner !== this.core.settings.node && this.core.heardWithin(owner, OWNER_HEARD);
-    return { status: 421, body: encodeRedirect(reachable ? owner : null) };
+      leader !== null &&
+      leader !== this.core.settings.node &&
+      this.core.heardWithin(leader, LEADER_LIVENESS_TIMEOUT);
+    return { status: 421, body: encodeRedirect(reachable ? leader : null) };
   }
 }
--- a/src/workers/lease-expiry.ts
+++ b/src/workers/lease-expiry.ts
@@ -3,18 +3,18 @@
 import type { UnacknowledgedLaunch, Machine, Shard } from '../shards/model.js';
 import type { ShardLeadership } from '../leadership/leadership.js';
 import type { AgentEpoch, SteadyMs } from '../model/units.js';
-import type { PoolUpdates } from './pool-updates.js';
-import { endSession } from './reconciliation.js';
+import type { ShardUpdates } from './shard-updates.js';
+import { endAgentEpoch } from './reconciliation.js';
 
 /** A direct launch without an answer is settled by a higher token after this time. */
-const UNRESOLVED_LAUNCH_MS = 3000;
+const UNACKNOWLEDGED_LAUNCH_TIMEOUT_MS = 3000;
 
 /** Looks through a pool's machines at intervals. */
 export class LeaseExpiry {
   constructor(
     private readonly core: Core,
-    private readonly ownership: ShardLeadership,
-    private readonly updates: PoolUpdates,
+    private readonly leadership: ShardLeadership,
+    private readonly shardUpdates: ShardUpdates,
   ) {}
 
   /** Leases that certainly ran out, and unresolved launches that only a higher token can end. */
@@ -23,10 +23,10 @@
     for (const machine of shard.machines.values()) this.expireLease(shard, machine, now);
     if (this.hasOverdueLaunch(shard, now)) {
       this.core.log.info({ part: shard.id }, 'raising the token to settle direct orders without an answer');
-      void this.ownership.raiseFencingToken(shard);
+      void this.leadership.raiseFencingToken(shard);
     }
-    if (shard.needsNewFencingToken) void this.ownership.raiseFencingToken(shard);
-    this.updates.changed(shard);
+    if (shard.needsNewFencingToken) void this.leadership.raiseFencingToken(shard);
+    this.shardUpdates.onShardChanged(shard);
   }
 
   private hasOverdueLaunch(shard: Shard, now: SteadyMs): boolean {
@@ -36,8 +36,8 @@
       if (silent || machine.fencingToken > shard.fencingToken) continue;
       for (const allocation of machine.allocations.values())
         if (isOverdue(allocation.unacknowledged, shard, now)) return true;
-      for (const exited of machine.exitedTasks.values())
-        if (isOverdue(exited.unacknowledged, shard, now)) return true;
+      for (const exitedTask of machine.exitedTasks.values())
+        if (isOverdue(exitedTask.unacknowledged, shard, now)) return true;
     }
     return false;
   }
@@ -48,19 +48,19 @@
     // Until then an owner before us may have answered it: that one stops when its view is too old. A machine that
     // answers calls and whose reports do not arrive has shown our token, and not when its lease was last renewed.
     const reported = machine.reconciled && machine.lastHeartbeatAt !== null;
-    const before = reported ? 0 : shard.acquiredAt + this.core.settings.cancelS * 1001;
+    const earliestEnd = reported ? 0 : shard.acquiredAt + this.core.settings.cancelS * 1001;
     // A direct answer may have shown a new session before any report of it: that one has a lease of its own, and what
     // was started in it since does not end with the old one.
-    const renewed = Math.max(machine.lastHeartbeatAt ?? 0, machine.agentEpochSeenAt ?? 0);
-    const over = Math.max(before, renewed + this.core.leaseDurationMs);
+    const renewedAt = Math.max(machine.lastHeartbeatAt ?? 0, machine.agentEpochSeenAt ?? 0);
+    const leaseEnd = Math.max(earliestEnd, renewedAt + this.core.leaseDurationMs);
     // Not before we know that we were still the owner then: a successor may be renewing that lease.
-    if (now < over || this.core.storeCache.confirmedAt < over) return;
+    if (now < leaseEnd || this.core.storeCache.confirmedAt < leaseEnd) return;
     if (machine.reconciled && machine.allocations.size === 0 && machine.exitedTasks.size === 0) return;
     this.core.log.info(
       { machine: machine.id, part: shard.id, bound: machine.allocations.size },
       'lease certainly over',
     );
-    endSession(shard, machine, this.core);
+    endAgentEpoch(shard, machine, this.core);
     machine.minimumAgentEpoch = Math.max(machine.minimumAgentEpoch, machine.agentEpoch + 1) as AgentEpoch;
     shard.markReconciled(machine);
   }
@@ -68,6 +68,8 @@
 
 function isOverdue(launch: UnacknowledgedLaunch | null, shard: Shard, now: SteadyMs): boolean {
   return (
-    launch !== null && launch.fencingToken >= shard.fencingToken && now - launch.sentAt > UNRESOLVED_LAUNCH_MS
+    launch !== null &&
+    launch.fencingToken >= shard.fencingToken &&
+    now - launch.sentAt > UNACKNOWLEDGED_LAUNCH_TIMEOUT_MS
   );
 }
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -24,10 +24,10 @@
 export interface ReconciliationContext {
   readonly now: SteadyMs;
   /** Of jobs that are over but may still have tasks on machines. */
-  readonly pastSpec: (task: TaskStatus) => JobSpec | null;
-  readonly onDone: (b: Allocation) => void;
+  readonly endedJobSpec: (task: TaskStatus) => JobSpec | null;
+  readonly onTaskDone: (allocation: Allocation) => void;
   /** A worker that heard our answer reports again within this time. */
-  readonly reportsWithin: Millis;
+  readonly heartbeatTimeout: Millis;
   readonly log: Log;
 }
 
@@ -35,61 +35,78 @@
 export function reconcileHeartbeat(
   shard: Shard,
   machine: Machine,
-  report: Heartbeat,
+  heartbeat: Heartbeat,
   channel: Channel,
-  ctx: ReconciliationContext,
+  context: ReconciliationContext,
 ): boolean {
   const older =
-    report.session < machine.minimumAgentEpoch ||
-    report.session < machine.agentEpoch ||
-    (report.session === machine.agentEpoch && report.sequence <= machine.sequence);
+    heartbeat.agentEpoch < machine.minimumAgentEpoch ||
+    heartbeat.agentEpoch < machine.agentEpoch ||
+    (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence <= machine.sequence);
   // A held report may arrive minutes late, with a list as old as itself.
   if (older) return false;
-  if (channel === 'report' && leftUnanswered(machine, report, ctx)) {
+  if (channel === 'report' && wentUnanswered(machine, heartbeat, context)) {
     // To be reached directly before anything new is placed there.
-    machine.unreachableSince ??= ctx.now;
+    machine.unreachableSince ??= context.now;
     shard.machinesWithPendingCommands.add(machine);
   }
-  if (report.session > machine.agentEpoch) {
-    endSession(shard, machine, ctx);
-    machine.agentEpochSeenAt = ctx.now;
+  if (heartbeat.agentEpoch > machine.agentEpoch) {
+    endAgentEpoch(shard, machine, context);
+    machine.agentEpochSeenAt = context.now;
   }
-  machine.agentEpoch = report.session;
-  machine.sequence = report.sequence;
-  machine.fencingToken = report.token;
-  machine.address = report.address;
-  machine.lastHeardAt = ctx.now;
-  machine.interruptedAt = report.noticeS === null ? null : plus(ctx.now, toMillis(report.noticeS));
+  machine.agentEpoch = heartbeat.agentEpoch;
+  machine.sequence = heartbeat.sequence;
+  machine.fencingToken = heartbeat.fencingToken;
+  machine.address = heartbeat.address;
+  machine.lastHeardAt = context.now;
+  machine.interruptedAt =
+    heartbeat.interruptionNoticeS === null
+      ? null
+      : plus(context.now, toMillis(heartbeat.interruptionNoticeS));
   if (machine.interruptedAt === null) shard.interruptionNoticed.delete(machine);
   else shard.interruptionNoticed.add(machine);
   if (channel === 'report') {
-    if (machine.lastHeartbeatAt === null || elapsed(ctx.now, machine.lastHeartbeatAt) > ctx.reportsWithin)
-      machine.continuouslyHeardSince = ctx.now;
-    machine.lastHeartbeatAt = ctx.now;
-    machine.lastHeartbeatSequence = report.sequence;
+    if (
+      machine.lastHeartbeatAt === null ||
+      elapsed(context.now, machine.lastHeartbeatAt) > context.heartbeatTimeout
+    )
+      machine.continuouslyHeardSince = context.now;
+    machine.lastHeartbeatAt = context.now;
+    machine.lastHeartbeatSequence = heartbeat.sequence;
   }
-  settleDoubts(machine, report);
+  resolveUnacknowledgedLaunches(machine, heartbeat);
   const seen = new Set<TaskId>();
-  machine.exitedTasks = applyExits(shard, machine, report, seen, ctx);
-  for (const task of report.tasks) if (task.state !== 'exited') applyActive(shard, machine, task, seen, ctx);
-  for (const b of [...machine.allocations.values()]) {
-    if (!seen.has(b.id)) applyAbsent(shard, machine, b, channel, ctx);
+  machine.exitedTasks = reconcileExited(shard, machine, heartbeat, seen, context);
+  for (const task of heartbeat.tasks)
+    if (task.state !== 'exited') reconcileActive(shard, machine, task, seen, context);
+  for (const allocation of [...machine.allocations.values()]) {
+    if (!seen.has(allocation.id)) reconcileAbsent(shard, machine, allocation, channel, context);
   }
-  if (report.token >= shard.fencingToken) shard.markReconciled(machine);
+  if (heartbeat.fencingToken >= shard.fencingToken) shard.markReconciled(machine);
   return true;
 }
 
 /** Hearing is not reaching: a new session, or a longer silence than between reports that we answered. */
-function leftUnanswered(machine: Machine, report: Heartbeat, ctx: ReconciliationContext): boolean {
+function wentUnanswered(machine: Machine, heartbeat: Heartbeat, context: ReconciliationContext): boolean {
   if (machine.lastHeartbeatAt === null || !machine.reconciled) return false;
-  return report.session > machine.agentEpoch || elapsed(ctx.now, machine.lastHeartbeatAt) > ctx.reportsWithin;
+  return (
+    heartbeat.agentEpoch > machine.agentEpoch ||
+    elapsed(context.now, machine.lastHeartbeatAt) > context.heartbeatTimeout
+  );
 }
 
 /** The worker's lease ran out: it killed and forgot every task, and takes no order of that session. */
-export function endSession(shard: Shard, machine: Machine, ctx: Pick<ReconciliationContext, 'log'>): void {
-  for (const b of [...machine.allocations.values()]) {
-    ctx.log.debug({ task: b.id, machine: machine.id, attempt: b.attempt }, 'lost with its session');
-    release(shard, machine, b);
+export function endAgentEpoch(
+  shard: Shard,
+  machine: Machine,
+  context: Pick<ReconciliationContext, 'log'>,
+): void {
+  for (const allocation of [...machine.allocations.values()]) {
+    context.log.debug(
+      { task: allocation.id, machine: machine.id, attempt: allocation.attempt },
+      'lost with its session',
+    );
+    release(shard, machine, allocation);
   }
   machine.exitedTasks = new Map();
 }
@@ -98,22 +115,25 @@
  * A direct launch may be executed late as long as token and session match; a newer session or a higher token
  * seen by the worker rules that out.
  */
-function settleDoubts(machine: Machine, report: Heartbeat): void {
-  const over = (d: Allocation['unacknowledged']): boolean =>
-    d !== null && (report.session > d.agentEpoch || report.token > d.fencingToken);
-  for (const b of machine.allocations.values()) if (over(b.unacknowledged)) b.unacknowledged = null;
-  for (const e of machine.exitedTasks.values()) if (over(e.unacknowledged)) e.unacknowledged = null;
+function resolveUnacknowledgedLaunches(machine: Machine, heartbeat: Heartbeat): void {
+  const over = (launch: Allocation['unacknowledged']): boolean =>
+    launch !== null &&
+    (heartbeat.agentEpoch > launch.agentEpoch || heartbeat.fencingToken > launch.fencingToken);
+  for (const allocation of machine.allocations.values())
+    if (over(allocation.unacknowledged)) allocation.unacknowledged = null;
+  for (const exitedTask of machine.exitedTasks.values())
+    if (over(exitedTask.unacknowledged)) exitedTask.unacknowledged = null;
 }
 
-function applyExits(
+function reconcileExited(
   shard: Shard,
   machine: Machine,
-  report: Heartbeat,
+  heartbeat: Heartbeat,
   seen: Set<TaskId>,
-  ctx: ReconciliationContext,
+  context: ReconciliationContext,
 ): Map<TaskId, ExitedTask> {
   const exited = new Map<TaskId, ExitedTask>();
-  for (const task of report.tasks) {
+  for (const task of heartbeat.tasks) {
     if (task.state !== 'exited' || task.cause === null) continue;
     const id = taskId(task.job, task.index);
     const before = machine.exitedTasks.get(id);
@@ -131,17 +151,17 @@
     });
     if (ours) {
       seen.add(id);
-      ended(shard, machine, ours, task, ctx);
-    } else if (!before && task.cause === 'done') finished(shard, task);
+      onTaskExited(shard, machine, ours, task, context);
+    } else if (!before && task.cause === 'done') markFinished(shard, task);
   }
   return exited;
 }
 
-function finished(shard: Shard, task: TaskStatus): void {
+function markFinished(shard: Shard, task: TaskStatus): void {
   const job = shard.jobs.get(task.job);
-  if (!job || job.spec.shape === 'service' || job.record.done.has(task.index)) return;
+  if (!job || job.spec.kind === 'service' || job.record.done.has(task.index)) return;
   if (!isAssignedTo(shard, task.job, task.index)) return;
-  if (job.gangHistory) return finishGang(shard, job);
+  if (job.gangHistory) return markGangFinished(shard, job);
   if (shard.allocations.has(taskId(task.job, task.index))) return;
   job.finished.add(task.index);
   shard.jobsWithUnrecordedEnds.add(job);
@@ -150,7 +170,7 @@
 }
 
 /** The tasks of a gang complete together: one that is done says that all are. */
-function finishGang(shard: Shard, job: ShardJob): void {
+function markGangFinished(shard: Shard, job: ShardJob): void {
   job.finished.addRange(0, job.spec.tasks);
   job.finished.removeAll(job.record.done);
   shard.jobsWithUnrecordedEnds.add(job);
@@ -165,7 +185,7 @@
 }
 
 /** Exits after which the attempt had certainly not started: the task has not been one of those that wait. */
-const NEVER_JOINED: readonly ExitCause[] = ['no-room', 'busy', 'unknown', 'alone'];
+const NEVER_STARTED_CAUSES: readonly ExitCause[] = ['no-room', 'busy', 'unknown', 'alone'];
 
 /** What the end of a gang's task says about its attempt. */
 function learnGangExit(
@@ -177,83 +197,89 @@
   gang.leftMachines.add(machine.id);
   if (cause === 'peers') gang.started = attempt;
   if (cause === 'alone') gang.failed = attempt;
-  if (cause !== null && NEVER_JOINED.includes(cause)) gang.mayHaveStarted = false;
+  if (cause !== null && NEVER_STARTED_CAUSES.includes(cause)) gang.mayHaveStarted = false;
 }
 
-function ended(
+function onTaskExited(
   shard: Shard,
   machine: Machine,
-  b: Allocation,
+  allocation: Allocation,
   task: TaskStatus,
-  ctx: ReconciliationContext,
+  context: ReconciliationContext,
 ): void {
-  release(shard, machine, b);
-  const job = shard.jobs.get(b.job);
-  ctx.log.debug({ task: b.id, machine: machine.id, attempt: b.attempt, cause: task.cause }, 'exited');
+  release(shard, machine, allocation);
+  const job = shard.jobs.get(allocation.job);
+  context.log.debug(
+    { task: allocation.id, machine: machine.id, attempt: allocation.attempt, cause: task.cause },
+    'exited',
+  );
   if (job) learnGangExit(job, machine, task);
   if (task.cause === 'done') {
     machine.taskFailures = [];
     if (job) job.successes += 1;
-    ctx.onDone(b);
-    finished(shard, task);
-  } else if (task.cause === 'error') blame(machine, b, job, ctx);
+    context.onTaskDone(allocation);
+    markFinished(shard, task);
+  } else if (task.cause === 'error') recordFailure(machine, allocation, job, context);
   else if (task.cause === 'no-room' || task.cause === 'busy')
-    machine.quarantinedUntil = plus(ctx.now, toMillis(2 as never));
-  else if (task.cause === 'unknown' && job) job.backoffUntil = plus(ctx.now, toMillis(1 as never));
+    machine.quarantinedUntil = plus(context.now, toMillis(2 as never));
+  else if (task.cause === 'unknown' && job) job.backoffUntil = plus(context.now, toMillis(1 as never));
 }
 
 /** Many jobs failing on one machine: the machine. One job failing on many machines: the job. */
-function blame(
+function recordFailure(
   machine: Machine,
-  b: Allocation,
+  allocation: Allocation,
   job: ReturnType<Shard['jobs']['get']>,
-  ctx: ReconciliationContext,
+  context: ReconciliationContext,
 ): void {
   if (job) {
     job.errors += 1;
     job.failedMachines.add(machine.id);
   }
-  const jobIsBad = job !== undefined && job.successes === 0 && job.failedMachines.size >= 3;
-  if (jobIsBad) {
+  const failsEverywhere = job !== undefined && job.successes === 0 && job.failedMachines.size >= 3;
+  if (failsEverywhere) {
     const backoffS = Math.min(60, 2 ** Math.min(6, job.failedMachines.size - 2));
-    job.backoffUntil = plus(ctx.now, toMillis(backoffS as never));
-    ctx.log.info({ job: b.job, machines: job.failedMachines.size, backoffS }, 'job fails wherever it starts');
+    job.backoffUntil = plus(context.now, toMillis(backoffS as never));
+    context.log.info(
+      { job: allocation.job, machines: job.failedMachines.size, backoffS },
+      'job fails wherever it starts',
+    );
     return;
   }
-  machine.taskFailures.push({ at: ctx.now, job: b.job });
+  machine.taskFailures.push({ at: context.now, job: allocation.job });
   machine.taskFailures = machine.taskFailures.slice(-20);
-  const jobs = new Set(machine.taskFailures.map((f) => f.job)).size;
-  const avoidS = machine.taskFailures.length >= 2 || jobs >= 2 ? 45 : 5;
-  machine.quarantinedUntil = plus(ctx.now, toMillis(avoidS as never));
-  ctx.log.info(
-    { machine: machine.id, faults: machine.taskFailures.length, jobs, avoidS },
+  const jobs = new Set(machine.taskFailures.map((fault) => fault.job)).size;
+  const quarantineS = machine.taskFailures.length >= 2 || jobs >= 2 ? 45 : 5;
+  machine.quarantinedUntil = plus(context.now, toMillis(quarantineS as never));
+  context.log.info(
+    { machine: machine.id, faults: machine.taskFailures.length, jobs, avoidS: quarantineS },
     'tasks fail on machine',
   );
 }
 
-function applyActive(
+function reconcileActive(
   shard: Shard,
   machine: Machine,
   task: TaskStatus,
   seen: Set<TaskId>,
-  ctx: ReconciliationContext,
+  context: ReconciliationContext,
 ): void {
   if (task.state === 'exited') return;
   const id = taskId(task.job, task.index);
   seen.add(id);
   const known = machine.allocations.get(id);
   if (known && known.attempt === task.attempt) {
-    progress(shard, machine, known, task.state, ctx);
+    updatePhase(shard, machine, known, task.state, context);
     return;
   }
   const elsewhere = shard.allocations.get(id);
   const job = shard.jobs.get(task.job);
-  const wanted = !elsewhere && !known && job !== undefined && isAssignedTo(shard, task.job, task.index);
-  const open = wanted && !job.record.done.has(task.index) && !job.finished.has(task.index);
+  const assignedHere = !elsewhere && !known && job !== undefined && isAssignedTo(shard, task.job, task.index);
+  const shouldRun = assignedHere && !job.record.done.has(task.index) && !job.finished.has(task.index);
   // Seen on a machine without our having started it: adopted if it is ours to run, else stopped and counted
   // until it is gone.
-  const spec = job?.spec ?? ctx.pastSpec(task);
-  const found: Allocation = {
+  const spec = job?.spec ?? context.endedJobSpec(task);
+  const observed: Allocation = {
     id,
     job: task.job,
     index: task.index,
@@ -261,21 +287,21 @@
     machine: machine.id,
     spec,
     phase: task.state,
-    allocatedAt: ctx.now,
-    runningSince: hasBegun(task.state) ? ctx.now : null,
-    gatheringSince: task.state === 'gathering' ? ctx.now : null,
-    stop: open ? null : { grace: 0, direct: 'due' },
+    allocatedAt: context.now,
+    runningSince: hasBegun(task.state) ? context.now : null,
+    gatheringSince: task.state === 'gathering' ? context.now : null,
+    stop: shouldRun ? null : { grace: 0, direct: 'due' },
     launchInFlight: false,
     launchPending: false,
-    unacknowledged: known ? doubtOf(known, machine, shard, ctx.now) : null,
+    unacknowledged: known ? unacknowledgedLaunchOf(known, machine, shard, context.now) : null,
     answeredSequence: null,
   };
-  if (open) allocate(shard, machine, found);
+  if (shouldRun) allocate(shard, machine, observed);
   else {
-    addToMachine(shard, machine, found);
-    if (!elsewhere || elsewhere === known) shard.allocations.set(id, found);
+    addToMachine(shard, machine, observed);
+    if (!elsewhere || elsewhere === known) shard.allocations.set(id, observed);
     job?.waiting.remove(task.index);
-    ctx.log.info({ task: id, machine: machine.id, attempt: task.attempt }, 'not ours to run, stopping');
+    context.log.info({ task: id, machine: machine.id, attempt: task.attempt }, 'not ours to run, stopping');
   }
   if (task.state !== 'fetching' && spec) shard.recordImage(machine, spec.image, spec.imageGb);
 }
@@ -284,7 +310,7 @@
  * Another attempt is on the machine than the one we sent there. Ours may still arrive, and would start once this
  * one has ended: until a newer session or a higher token rules that out, the task stays bound to this machine.
  */
-function doubtOf(
+function unacknowledgedLaunchOf(
   known: Allocation,
   machine: Machine,
   shard: Shard,
@@ -297,38 +323,42 @@
 
 const hasBegun = (state: TaskStatus['state']): boolean => state === 'running' || state === 'saving';
 
-function progress(
+function updatePhase(
   shard: Shard,
   machine: Machine,
-  b: Allocation,
+  allocation: Allocation,
   state: Exclude<TaskStatus['state'], 'exited'>,
-  ctx: ReconciliationContext,
+  context: ReconciliationContext,
 ): void {
-  if (b.phase !== state) ctx.log.debug({ task: b.id, machine: machine.id, state }, 'task moves on');
-  b.phase = state;
-  b.launchPending = false;
-  const gang = shard.jobs.get(b.job)?.gangHistory;
-  if (gang) learnGangState(gang, b.attempt, state);
+  if (allocation.phase !== state)
+    context.log.debug({ task: allocation.id, machine: machine.id, state }, 'task moves on');
+  allocation.phase = state;
+  allocation.launchPending = false;
+  const gang = shard.jobs.get(allocation.job)?.gangHistory;
+  if (gang) learnGangState(gang, allocation.attempt, state);
   if (state === 'fetching') return;
-  if (state === 'gathering') b.gatheringSince ??= ctx.now;
-  else b.runningSince ??= ctx.now;
-  if (b.spec) shard.recordImage(machine, b.spec.image, b.spec.imageGb);
+  if (state === 'gathering') allocation.gatheringSince ??= context.now;
+  else allocation.runningSince ??= context.now;
+  if (allocation.spec) shard.recordImage(machine, allocation.spec.image, allocation.spec.imageGb);
 }
 
 /** Not in the worker's list. Only certain when nothing that could still start it is on its way. */
-function applyAbsent(
+function reconcileAbsent(
   shard: Shard,
   machine: Machine,
-  b: Allocation,
+  allocation: Allocation,
   channel: Channel,
-  ctx: ReconciliationContext,
+  context: ReconciliationContext,
 ): void {
-  if (b.launchInFlight || b.unacknowledged) return;
-  if (b.answeredSequence !== null) {
+  if (allocation.launchInFlight || allocation.unacknowledged) return;
+  if (allocation.answeredSequence !== null) {
     // Launched in the answer to a report: settled only by the worker's next report, which it sends after it
     // has executed or dropped that answer.
-    if (channel !== 'report' || machine.sequence <= b.answeredSequence) return;
-  } else if (b.phase === 'ordered' && b.launchPending) return;
-  ctx.log.debug({ task: b.id, machine: machine.id, attempt: b.attempt }, 'not on its machine');
-  release(shard, machine, b);
+    if (channel !== 'report' || machine.sequence <= allocation.answeredSequence) return;
+  } else if (allocation.phase === 'ordered' && allocation.launchPending) return;
+  context.log.debug(
+    { task: allocation.id, machine: machine.id, attempt: allocation.attempt },
+    'not on its machine',
+  );
+  release(shard, machine, allocation);
 }
--- a/src/workers/pool-updates.ts
+++ b/src/workers/shard-updates.ts
@@ -8,31 +8,31 @@
 import type { ReconciliationContext } from './reconciliation.js';
 
 /** Effects of changes to a pool outside of it. */
-export class PoolUpdates {
+export class ShardUpdates {
   constructor(
     private readonly core: Core,
-    private readonly runTimes: RuntimeEstimator,
+    private readonly runtimeEstimator: RuntimeEstimator,
   ) {}
 
   /** What applying a report at this time needs to know, and whom it tells of finished tasks. */
-  reportContext(now: SteadyMs): ReconciliationContext {
+  reconciliationContext(now: SteadyMs): ReconciliationContext {
     return {
       now,
       log: this.core.log,
-      pastSpec: (task) => this.core.recentlyEndedJobs.get(task.job) ?? null,
-      onDone: (allocation) => this.learnRunTime(allocation, now),
-      reportsWithin: millis(1.25 * this.core.heartbeatIntervalMs + 3000),
+      endedJobSpec: (task) => this.core.recentlyEndedJobs.get(task.job) ?? null,
+      onTaskDone: (allocation) => this.learnRuntime(allocation, now),
+      heartbeatTimeout: millis(1.25 * this.core.heartbeatIntervalMs + 3000),
     };
   }
 
   /** To be called after every change of the pool's machines or allocations. */
-  changed(shard: Shard): void {
+  onShardChanged(shard: Shard): void {
     if (requeueAccountedTasks(shard)) this.core.log.info({ part: shard.id }, 'part accounted for');
     this.core.requestCycle();
   }
 
-  private learnRunTime({ spec, runningSince }: Allocation, now: SteadyMs): void {
+  private learnRuntime({ spec, runningSince }: Allocation, now: SteadyMs): void {
     if (spec && runningSince !== null)
-      this.runTimes.learn(spec.lane, spec.estimateS, (now - runningSince) / 1000);
+      this.runtimeEstimator.learn(spec.jobClass, spec.estimateS, (now - runningSince) / 1000);
   }
 }
--- a/src/workers/wire.ts
+++ b/src/workers/wire.ts
@@ -31,10 +31,10 @@
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
-  readonly session: AgentEpoch;
+  readonly agentEpoch: AgentEpoch;
   readonly sequence: Sequence;
-  readonly token: FencingToken;
-  readonly noticeS: Seconds | null;
+  readonly fencingToken: FencingToken;
+  readonly interruptionNoticeS: Seconds | null;
   readonly tasks: readonly TaskStatus[];
 }
 
@@ -51,14 +51,14 @@
 
 const whole = v.pipe(v.number(), v.integer(), v.minValue(0));
 // A state we do not know is taken for running: it holds room, and may be stopped.
-const STATES: Record<string, TaskStatus['state']> = {
+const TASK_STATES: Record<string, TaskStatus['state']> = {
   pulling: 'fetching',
   gathering: 'gathering',
   running: 'running',
   saving: 'saving',
   exited: 'exited',
 };
-const CAUSES: Record<string, ExitCause> = {
+const EXIT_CAUSES: Record<string, ExitCause> = {
   done: 'done',
   halted: 'stopped',
   error: 'error',
@@ -69,7 +69,7 @@
   alone: 'alone',
 };
 
-const report = v.object({
+const heartbeatSchema = v.object({
   berth: v.pipe(v.string(), v.regex(/^[\x21-\x7e]{1,100}$/)),
   endpoint: v.pipe(v.string(), v.regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/)),
   hull: v.string(),
@@ -94,64 +94,64 @@
   ),
 });
 
-export function decodeReport(body: unknown): Heartbeat | null {
-  const result = v.safeParse(report, body);
+export function decodeHeartbeat(body: unknown): Heartbeat | null {
+  const result = v.safeParse(heartbeatSchema, body);
   if (!result.success) return null;
-  const r = result.output;
+  const fields = result.output;
   const tasks: TaskStatus[] = [];
-  for (const t of r.legs ?? []) {
-    const name = splitTaskId(t.leg);
+  for (const task of fields.legs ?? []) {
+    const name = splitTaskId(task.leg);
     if (!name) return null;
-    const state = STATES[t.status] ?? 'running';
+    const state = TASK_STATES[task.status] ?? 'running';
     // A cause we do not know ends the task like an error: it is not running, and not done.
-    const cause = state === 'exited' ? (CAUSES[t.cause ?? ''] ?? 'error') : null;
-    tasks.push({ ...name, attempt: t.sailing as Attempt, state, cause });
+    const cause = state === 'exited' ? (EXIT_CAUSES[task.cause ?? ''] ?? 'error') : null;
+    tasks.push({ ...name, attempt: task.sailing as Attempt, state, cause });
   }
   return {
-    machine: r.berth as MachineId,
-    address: r.endpoint as Address,
-    type: r.hull as InstanceTypeId,
-    zone: r.harbor as ZoneId,
-    spot: r.driftboats,
-    session: r.watch as AgentEpoch,
-    sequence: r.logNo as Sequence,
-    token: r.helm as FencingToken,
-    noticeS: r.recallS as Seconds | null,
+    machine: fields.berth as MachineId,
+    address: fields.endpoint as Address,
+    type: fields.hull as InstanceTypeId,
+    zone: fields.harbor as ZoneId,
+    spot: fields.driftboats,
+    agentEpoch: fields.watch as AgentEpoch,
+    sequence: fields.logNo as Sequence,
+    fencingToken: fields.helm as FencingToken,
+    interruptionNoticeS: fields.recallS as Seconds | null,
     tasks,
   };
 }
 
-export function parseReport(body: Buffer): Heartbeat | null {
+export function parseHeartbeat(body: Buffer): Heartbeat | null {
   try {
-    return decodeReport(JSON.parse(body.toString('utf8')));
+    return decodeHeartbeat(JSON.parse(body.toString('utf8')));
   } catch {
     return null;
   }
 }
 
-function encodeOrder(o: WorkerCommand): unknown {
-  const task = { leg: taskId(o.job, o.index), sailing: o.attempt };
-  if (o.op === 'start') return { order: 'launch', ...task };
-  if (o.op === 'stop') return { order: 'kill', ...task, ebbS: o.grace };
+function encodeCommand(command: WorkerCommand): unknown {
+  const task = { leg: taskId(command.job, command.index), sailing: command.attempt };
+  if (command.op === 'start') return { order: 'launch', ...task };
+  if (command.op === 'stop') return { order: 'kill', ...task, ebbS: command.grace };
   return { order: 'clear', ...task };
 }
 
 /** The answer to a report. */
-export const encodeReply = (token: FencingToken, orders: readonly WorkerCommand[]): unknown => ({
+export const encodeReply = (token: FencingToken, commands: readonly WorkerCommand[]): unknown => ({
   helm: token,
-  orders: orders.map(encodeOrder),
+  orders: commands.map(encodeCommand),
 });
 
 /** Orders sent straight to a worker. */
-export const encodeDirect = (
+export const encodeDirectCommands = (
   token: FencingToken,
-  session: AgentEpoch,
-  orders: readonly WorkerCommand[],
+  agentEpoch: AgentEpoch,
+  commands: readonly WorkerCommand[],
 ): unknown => ({
   helm: token,
-  watch: session,
-  orders: orders.map(encodeOrder),
+  watch: agentEpoch,
+  orders: commands.map(encodeCommand),
 });
 
-export const encodeRedirect = (owner: ControllerId | null): unknown =>
-  owner === null ? {} : { harbormaster: owner };
+export const encodeRedirect = (leader: ControllerId | null): unknown =>
+  leader === null ? {} : { harbormaster: leader };
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -5,17 +5,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeCatalog, encodeCatalog } from '../src/autoscaling/codec.js';
-import { decodeTime, encodeTime } from '../src/jobs/age.js';
+import { decodeClusterTime, encodeTime } from '../src/jobs/cluster-clock.js';
 import {
-  decodeFinal,
+  decodeFinalState,
   decodeRecord,
-  encodeFinal,
+  encodeFinalState,
   encodeRecord,
-  finalKey,
-  liveKey,
+  finalStateKey,
+  activeJobKey,
 } from '../src/jobs/codec.js';
 import { decodePeerMessage, encodePeerMessage } from '../src/peers/codec.js';
-import { quotaKey } from '../src/quota/shares.js';
+import { quotaKey } from '../src/quota/shard-quota.js';
 import {
   aliveKey,
   CATALOG_KEY,
@@ -42,8 +42,8 @@
 
 test('keys of stored records', () => {
   const keys = [
-    liveKey('req-1' as never),
-    finalKey('req-1' as never),
+    activeJobKey('req-1' as never),
+    finalStateKey('req-1' as never),
     shardKey(2 as never),
     machineKey('m-7' as never),
     aliveKey('n1' as never),
@@ -171,12 +171,12 @@
 
 test('final states', () => {
   for (const state of ['done', 'cancelled'] as const) {
-    assert.equal(JSON.stringify(encodeFinal(state)), `{"state":"${state}"}`);
-    assert.deepEqual(production.encodeFinal(state), encodeFinal(state));
-    assert.equal(decodeFinal({ state }), state);
+    assert.equal(JSON.stringify(encodeFinalState(state)), `{"state":"${state}"}`);
+    assert.deepEqual(production.encodeFinal(state), encodeFinalState(state));
+    assert.equal(decodeFinalState({ state }), state);
     assert.equal(production.decodeFinal({ state }), state);
   }
-  for (const value of [{ state: 'lost' }, {}, null, 'done']) assert.equal(decodeFinal(value), null);
+  for (const value of [{ state: 'lost' }, {}, null, 'done']) assert.equal(decodeFinalState(value), null);
 });
 
 test('records of shards, machines, controllers, the token, the clock and the instance types', () => {
@@ -196,7 +196,7 @@
   assert.equal(JSON.stringify(encodeFencingToken(9 as never)), '{"token":9}');
   assert.equal(decodeFencingToken({ token: 9 }), 9);
   assert.equal(JSON.stringify(encodeTime(1234 as never)), '{"ms":1234}');
-  assert.equal(decodeTime({ ms: 1234 }), 1234);
+  assert.equal(decodeClusterTime({ ms: 1234 }), 1234);
   const catalog =
     '{"types":[{"name":"c4","cpus":4,"gpus":0,"memoryGb":16,"cacheGb":50,"fetchGbPerS":0.5,"price":2,"spotPrice":1,' +
     '"bootS":30,"zones":["east","west"]}]}';
@@ -222,7 +222,8 @@
   assert.equal(decodeMembership({}), null);
   assert.equal(decodeMembership({ incarnation: 7 }), null);
   for (const value of [undefined, {}, { token: 'x' }]) assert.equal(decodeFencingToken(value), 0);
-  for (const value of [undefined, null, {}, { ms: 'soon' }]) assert.ok(Number.isNaN(decodeTime(value)));
+  for (const value of [undefined, null, {}, { ms: 'soon' }])
+    assert.ok(Number.isNaN(decodeClusterTime(value)));
   const type = { name: 'c4', cpus: 4, gpus: 0, memoryGb: 16 };
   assert.equal(decodeCatalog({ types: [type] })?.length, 1, 'written by a version that kept less');
   for (const value of [null, {}, { types: 'none' }, { types: [{ ...type, gpus: undefined }] }])
--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -31,7 +31,7 @@
   shard.reconciled = true;
   const service = plainSpec({
     id: 'req-s',
-    shape: 'service',
+    kind: 'service',
     priority: Priority.critical,
     cpus: 1,
     memoryGb: 1,
@@ -39,11 +39,11 @@
   const batch = plainSpec({ id: 'req-b', cpus: 1, memoryGb: 1 });
   const next = { 'req-s': 0, 'req-b': 0 };
   for (const spec of [service, batch]) {
-    const assignments = [{ from: 0, to: 50, part: shard.id, zone: null }];
+    const assignments = [{ from: 0, to: 50, shard: shard.id, zone: null }];
     const record = {
       spec: { ...spec, tasks: 50 },
-      home: shard.id,
-      born: 0,
+      homeShard: shard.id,
+      acceptedRevision: 0,
       assignments,
       done: RangeSet.empty(),
     };
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -6,15 +6,21 @@
 import { planRentals, type Demand, type RentContext } from '../src/fleet/plan.js';
 import { chooseHandOver } from '../src/overflow/hand-over.js';
 import { reserve, seededRandom, rankPeers, type FreeCapacity } from '../src/overflow/peer-ranking.js';
-import { decodeTime, SharedTime } from '../src/jobs/age.js';
+import { decodeClusterTime, ClusterClock } from '../src/jobs/cluster-clock.js';
 import type { JobRecord } from '../src/jobs/record.js';
 import type { JobSpec } from '../src/jobs/spec.js';
 import { ZERO, type Resources } from '../src/model/resources.js';
 import { Shard, syncJob, type ShardJob } from '../src/shards/model.js';
 import { decideFailover, type FailoverFacts } from '../src/leadership/leadership.js';
 import { QuotaTransferService } from '../src/quota/transfer-service.js';
-import { guaranteedOf } from '../src/quota/guarantee.js';
-import { decodeShares, encodeShares, evenShares, transferableQuota, moveShare } from '../src/quota/shares.js';
+import { selectGuaranteedJobs } from '../src/quota/guaranteed-jobs.js';
+import {
+  decodeQuotas,
+  encodeQuotas,
+  evenQuotas,
+  transferableQuota,
+  moveQuota,
+} from '../src/quota/shard-quota.js';
 import { RangeSet } from '../src/model/ranges.js';
 import { RateLimiter, RequestPriority } from '../src/store/rate-limiter.js';
 import { StoreCache } from '../src/store/cache.js';
@@ -103,20 +109,20 @@
 test('shares never add up to more than the limit, and a giver keeps what it uses and needs', () => {
   const team = plainTeam({ cpus: 10, cpusMax: 112 });
   const cpus = (amount: number): Resources => ({ ...ZERO, cpus: amount });
-  const even = evenShares(team, 3);
+  const even = evenQuotas(team, 3);
   assert.deepEqual(
     even.map((s) => s.cpus),
     [38, 37, 37],
   );
-  const moved = moveShare(even, 0 as never, 2 as never, cpus(8));
+  const moved = moveQuota(even, 0 as never, 2 as never, cpus(8));
   assert.equal(
     moved.reduce((n, s) => n + s.cpus, 0),
     112,
   );
-  assert.deepEqual(decodeShares(encodeShares(team, moved), team, 3), moved);
+  assert.deepEqual(decodeQuotas(encodeQuotas(team, moved), team, 3), moved);
   assert.deepEqual(
-    decodeShares(encodeShares(team, moved), plainTeam({ cpus: 10, cpusMax: 100 }), 3),
-    evenShares(plainTeam({ cpus: 10, cpusMax: 100 }), 3),
+    decodeQuotas(encodeQuotas(team, moved), plainTeam({ cpus: 10, cpusMax: 100 }), 3),
+    evenQuotas(plainTeam({ cpus: 10, cpusMax: 100 }), 3),
   );
   assert.deepEqual(transferableQuota(cpus(38), cpus(20), cpus(10), cpus(50)), cpus(8));
 });
@@ -126,13 +132,13 @@
   const job = (id: string, born: number, tasks: number, done = 0): JobRecord =>
     ({
       spec: spec({ id, tasks } as Partial<JobSpec>),
-      born,
+      acceptedRevision: born,
       done: RangeSet.of([[0, done]]),
     }) as unknown as JobRecord;
   const jobs = [job('req-c', 3, 1), job('req-a', 1, 4), job('req-b', 2, 3)];
-  assert.deepEqual([...guaranteedOf(jobs, team)], ['req-a']);
+  assert.deepEqual([...selectGuaranteedJobs(jobs, team)], ['req-a']);
   jobs[1] = job('req-a', 1, 4, 3);
-  assert.deepEqual([...guaranteedOf(jobs, team)], ['req-a', 'req-b', 'req-c']);
+  assert.deepEqual([...selectGuaranteedJobs(jobs, team)], ['req-a', 'req-b', 'req-c']);
 });
 
 test('rentals: cheapest allowed kind first, refused kinds skipped, machines on their way counted', () => {
@@ -221,16 +227,16 @@
 });
 
 test('shared time goes on from what was written, never back, and gives a job its age in a new life', () => {
-  const time = new SharedTime();
+  const time = new ClusterClock();
   assert.equal(time.age(null, 5000 as SteadyMs), 0, 'a record of an earlier version');
   time.reached(90_000, 1000 as SteadyMs);
   assert.equal(time.now(3000 as SteadyMs), 92_000);
   time.reached(91_000, 3000 as SteadyMs);
   assert.equal(time.now(3000 as SteadyMs), 92_000, 'an older count changes nothing');
-  time.reached(decodeTime({ ms: 'soon' }), 3000 as SteadyMs);
+  time.reached(decodeClusterTime({ ms: 'soon' }), 3000 as SteadyMs);
   assert.equal(time.age(32_000 as ClusterMs, 4000 as SteadyMs), 61_000);
   const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 4000 as SteadyMs, new Map());
-  const assignments = [{ from: 0, to: 3, part: shard.id, zone: null }];
+  const assignments = [{ from: 0, to: 3, shard: shard.id, zone: null }];
   const record = { spec: plainSpec({ tasks: 3 }), assignments, done: RangeSet.empty() } as never;
   syncJob(shard, record, 1 as never, 4000 as SteadyMs, true, time.age(32_000 as ClusterMs, 4000 as SteadyMs));
   // What is overdue stays overdue, and what has waited goes first, whoever owns the part now.
@@ -249,10 +255,10 @@
   } as unknown as Core);
   const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
   shard.reconciled = true;
-  const assignments = [{ from: 0, to: 10, part: shard.id, zone: null }];
+  const assignments = [{ from: 0, to: 10, shard: shard.id, zone: null }];
   const record = { spec: plainSpec({ tasks: 10 }), assignments, done: RangeSet.empty() } as never;
   syncJob(shard, record, 1 as never, 0 as SteadyMs, false);
-  const spare = (): number => desk.spare(shard).get(red.name)?.cpus ?? 0;
+  const spare = (): number => desk.unusedQuota(shard).get(red.name)?.cpus ?? 0;
   assert.equal(spare(), 0, 'its own tasks may start at once');
   shard.teamsBlockedByCapacity = new Set([red.name]);
   assert.equal(spare(), 7, 'of 8; a little stays for what comes free');
@@ -271,10 +277,15 @@
       i === 0
         ? Array.from({ length: 200 }, (_, k) => [k, k + 1, 2 * (k % 2)] as const)
         : [[0, 200, 0] as const];
-    const assignments = pieces.map(([from, to, owner]) => ({ from, to, part: owner as ShardId, zone: null }));
+    const assignments = pieces.map(([from, to, owner]) => ({
+      from,
+      to,
+      shard: owner as ShardId,
+      zone: null,
+    }));
     const record = {
       spec: plainSpec({ id, tasks: 200 }),
-      home: 0,
+      homeShard: 0,
       assignments,
       done: RangeSet.empty(),
     } as never;
--- a/test/dominant.test.ts
+++ b/test/dominant.test.ts
@@ -15,12 +15,12 @@
 import { allocate, newMachine, Shard, syncJob, type Allocation } from '../src/shards/model.js';
 import { chooseMove } from '../src/placement/consolidation.js';
 import { QuotaTransferService } from '../src/quota/transfer-service.js';
-import { quotaKey } from '../src/quota/shares.js';
+import { quotaKey } from '../src/quota/shard-quota.js';
 import { RangeSet } from '../src/model/ranges.js';
 import { StoreCache } from '../src/store/cache.js';
 import type { ShardId, SteadyMs, TeamId, InstanceTypeId } from '../src/model/units.js';
 import { RegisteredMachines } from '../src/shards/registered-machines.js';
-import { choosePart } from '../src/workers/registration.js';
+import { chooseShard } from '../src/workers/registration.js';
 import { Rounds, type RoundsOptions } from './standins/rounds.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
 import { checkTrace } from './standins/trace.js';
@@ -30,7 +30,7 @@
 const GPU_TYPE = { ...GPU_MACHINE, name: 'gpu', zones: ['east'], price: 17, spotPrice: 8, bootS: 40 };
 const TYPES = new Map([['gpu' as InstanceTypeId, GPU_TYPE as unknown as MachineType]]);
 const NOW = 1_000_000 as SteadyMs;
-const SERVICE = { shape: 'service', priority: 0, cpus: 5, gpus: 1, memoryGb: 38 };
+const SERVICE = { kind: 'service', priority: 0, cpus: 5, gpus: 1, memoryGb: 38 };
 
 /** Teams that may use everything, with no guarantee. */
 const onGpuMachines = (o: RoundsOptions = {}): RoundsOptions => ({
@@ -148,8 +148,8 @@
   const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
   shard.reconciled = true;
   const spec = plainSpec({ id: 'req-s', ...SERVICE, tasks: 50, image: 'img', ...o });
-  const assignments = [{ from: 0, to: 50, part: shard.id, zone: null }];
-  const record = { spec, home: shard.id, born: 0, assignments, done: RangeSet.empty() };
+  const assignments = [{ from: 0, to: 50, shard: shard.id, zone: null }];
+  const record = { spec, homeShard: shard.id, acceptedRevision: 0, assignments, done: RangeSet.empty() };
   syncJob(shard, record as never, 1 as never, 0 as SteadyMs, false);
   let index = 0;
   for (const [name, replicas] of Object.entries(load)) {
@@ -275,7 +275,7 @@
   } as unknown as AssignContext;
   const parts = (tasks: number): string =>
     assignJob(plainSpec({ ...SERVICE, tasks, image: 'img' }), ctx)
-      .map((a) => `${a.from}-${a.to} at ${a.part}`)
+      .map((a) => `${a.from}-${a.to} at ${a.shard}`)
       .join(', ');
   assert.equal(parts(4), '0-4 at 1');
   assert.equal(parts(14), '0-1 at 0, 1-9 at 1, 9-14 at 2');
@@ -299,7 +299,7 @@
     peerTransport: { send: (_: string, ask: QuotaTransferRequest) => sent.push(ask) },
   } as unknown as Core;
   core.storeCache.apply(quotaKey(red.name), undefined, 1 as never);
-  new QuotaTransferService(core).request(shard, red.name, waiting);
+  new QuotaTransferService(core).requestQuota(shard, red.name, waiting);
   return sent.map((a) => `${a.cpus} CPUs, ${a.gpus} GPUs of ${a.to}`).join('; ');
 }
 
@@ -368,7 +368,7 @@
     machines.forEach(([shard, type], i) => named.update(`m-${i}` as never, { shard, type } as never));
     const parts = [0, 1].map((shard) => ({ part: shard, zone: 'east' }));
     const core = { settings: { parts }, registeredMachines: named, types } as unknown as Core;
-    return choosePart(core, { zone: 'east' as never, machine: 'm-7' as never });
+    return chooseShard(core, { zone: 'east' as never, machine: 'm-7' as never });
   };
   const of = (shard: number, type: string, count: number) =>
     Array.from({ length: count }, () => [shard, type] as const);
--- a/test/gang-reports.test.ts
+++ b/test/gang-reports.test.ts
@@ -4,7 +4,7 @@
 import { silentLog } from '../src/log.js';
 import type { Machine, Shard } from '../src/shards/model.js';
 import { reconcileHeartbeat, type ReconciliationContext } from '../src/workers/reconciliation.js';
-import { decodeReport } from '../src/workers/wire.js';
+import { decodeHeartbeat } from '../src/workers/wire.js';
 import { Rounds } from './standins/rounds.js';
 
 interface Leg {
@@ -17,9 +17,9 @@
 const context = {
   now: 1_100_000,
   log: silentLog(),
-  pastSpec: () => null,
-  onDone: () => undefined,
-  reportsWithin: 5000,
+  endedJobSpec: () => null,
+  onTaskDone: () => undefined,
+  heartbeatTimeout: 5000,
 } as unknown as ReconciliationContext;
 
 let sequence = 0;
@@ -32,7 +32,7 @@
 
 function report(shard: Shard, machine: string, legs: readonly Leg[]): Machine {
   sequence += 1;
-  const decoded = decodeReport({
+  const decoded = decodeHeartbeat({
     berth: machine,
     endpoint: '10.0.0.1:1',
     hull: 't',
@@ -52,7 +52,7 @@
 /** A gang of two on two machines of two CPUs each. */
 function gang(): { part: Shard; attempt: number } {
   const rounds = new Rounds(2, { capacity: { cpus: 2, gpus: 0, memoryGb: 8 } });
-  rounds.job('req-g', { shape: 'gang', tasks: 2, cpus: 2 });
+  rounds.job('req-g', { kind: 'gang', tasks: 2, cpus: 2 });
   assert.equal(rounds.round().split('start').length - 1, 2);
   const shard = inSession(rounds.part);
   return { part: shard, attempt: [...shard.allocations.values()][0]?.attempt ?? 0 };
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -30,7 +30,7 @@
   w.job('req-batch', { tasks: 4, image: 'b', priority: 3 });
   w.holds('m-0', 'b');
   assert.match(w.round(), /^start req-batch\/0 on m-0; .*on m-0; .*on m-0; .*on m-0$/);
-  w.job('req-web', { shape: 'service', priority: 0, image: 'web', team: 'blue' });
+  w.job('req-web', { kind: 'service', priority: 0, image: 'web', team: 'blue' });
   assert.equal(w.round(), 'stop req-batch/0');
   assert.match(w.round(), /start req-web\/0 on m-0/);
 });
@@ -59,6 +59,6 @@
   w.round();
   w.job('req-kept', { tasks: 4, team: 'red', deadlineS: 600, estimateS: 60 });
   w.round();
-  w.job('req-web', { shape: 'service', priority: 0, image: 'web', team: 'blue' });
+  w.job('req-web', { kind: 'service', priority: 0, image: 'web', team: 'blue' });
   assert.equal(w.round(), 'stop req-late/0');
 });
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeRecord, encodeRecord } from '../src/jobs/codec.js';
-import { withDone } from '../src/jobs/stored-size.js';
+import { withFinishedTasks } from '../src/jobs/stored-size.js';
 import { reassign } from '../src/jobs/record.js';
 import type { JobSpec } from '../src/jobs/spec.js';
 import { RangeSet } from '../src/model/ranges.js';
@@ -9,21 +9,21 @@
 import { checkTrace } from './standins/trace.js';
 import { World } from './standins/world.js';
 
-const spec = { id: 'req-1', tasks: 100, shape: 'array' } as JobSpec;
+const spec = { id: 'req-1', tasks: 100, kind: 'array' } as JobSpec;
 const record = {
   spec,
-  home: 0 as ShardId,
-  born: 3 as never,
-  accepted: 7 as never,
-  assignments: [{ from: 0, to: 100, part: 0 as ShardId, zone: null }],
+  homeShard: 0 as ShardId,
+  acceptedRevision: 3 as never,
+  acceptedAt: 7 as never,
+  assignments: [{ from: 0, to: 100, shard: 0 as ShardId, zone: null }],
   done: RangeSet.empty(),
 };
 
 test('a record of an earlier version, without the order of arrival, is still read', () => {
   const { born, at, ...old } = encodeRecord(record);
   assert.deepEqual([born, at], [3, 7]);
-  assert.equal(decodeRecord(old)?.born, 0);
-  assert.equal(decodeRecord(old)?.accepted, null);
+  assert.equal(decodeRecord(old)?.acceptedRevision, 0);
+  assert.equal(decodeRecord(old)?.acceptedAt, null);
   assert.equal(decodeRecord({ ...old, parts: 'none' }), null);
 });
 
@@ -48,7 +48,7 @@
 test('handing tasks over splits an assignment and joins neighbours again', () => {
   const moved = reassign(record, RangeSet.of([[10, 20]]), 1 as ShardId, (z) => z);
   assert.deepEqual(
-    moved.assignments.map((a) => [a.from, a.to, a.part]),
+    moved.assignments.map((a) => [a.from, a.to, a.shard]),
     [
       [0, 10, 0],
       [10, 20, 1],
@@ -61,7 +61,7 @@
 
 test('scattered results that do not fit a value wait; the record never outgrows the store', () => {
   const even = RangeSet.of(Array.from({ length: 50 }, (_, i) => [2 * i, 2 * i + 1] as const));
-  const some = withDone(record, even, 300);
+  const some = withFinishedTasks(record, even, 300);
   assert.ok(some.done.size > 0 && some.done.size < 50);
-  assert.equal(withDone(record, even, 4096).done.size, 50);
+  assert.equal(withFinishedTasks(record, even, 4096).done.size, 50);
 });
--- a/test/remainder.test.ts
+++ b/test/remainder.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { UNLIMITED, type Resources } from '../src/model/resources.js';
 import { Shard, syncJob } from '../src/shards/model.js';
-import { missingForOne } from '../src/quota/remainder.js';
+import { missingForClosestTask } from '../src/quota/quota-remainder.js';
 import { RangeSet } from '../src/model/ranges.js';
 import type { ShardId, SteadyMs, TeamId } from '../src/model/units.js';
 import { settle } from './standins/clock.js';
@@ -52,7 +52,7 @@
 
   private wait(shard: Shard, size: number): void {
     const spec = { ...this.task(size), id: `req-${shard.id}-${size}`, tasks: 10 };
-    const assignments = [{ from: 0, to: 10, part: shard.id, zone: null }];
+    const assignments = [{ from: 0, to: 10, shard: shard.id, zone: null }];
     const record = { spec, assignments, done: RangeSet.empty() } as never;
     syncJob(shard, record, 2 as never, this.now as SteadyMs, false);
   }
@@ -63,7 +63,7 @@
       for (const id of who) {
         const before = this.shares().join();
         const waiting = { cpus: 100, gpus: 100, memoryGb: 10 };
-        this.desk.request(this.parts[id] as Shard, RED, waiting);
+        this.desk.requestQuota(this.parts[id] as Shard, RED, waiting);
         await settle();
         if (this.shares().join() !== before) this.moves += 1;
       }
@@ -72,7 +72,7 @@
   }
 
   shares(): number[] {
-    return this.parts.map((shard) => this.desk.share(shard.id, RED)[this.kind]);
+    return this.parts.map((shard) => this.desk.shardQuota(shard.id, RED)[this.kind]);
   }
 }
 
@@ -117,7 +117,7 @@
   const limit = { ...UNLIMITED, cpus: 100, gpus: 8 };
   const large = { cpus: 8, gpus: 2, memoryGb: 64 };
   const gpu = { cpus: 1, gpus: 4, memoryGb: 64 };
-  assert.deepEqual(missingForOne(left, [large, gpu], limit), { cpus: 7, gpus: 0, memoryGb: 0 });
-  assert.equal(missingForOne(left, [large, { ...gpu, gpus: 2 }], limit), null);
-  assert.equal(missingForOne({ ...left, cpus: -Infinity }, [large], limit), null);
+  assert.deepEqual(missingForClosestTask(left, [large, gpu], limit), { cpus: 7, gpus: 0, memoryGb: 0 });
+  assert.equal(missingForClosestTask(left, [large, { ...gpu, gpus: 2 }], limit), null);
+  assert.equal(missingForClosestTask({ ...left, cpus: -Infinity }, [large], limit), null);
 });
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -17,14 +17,14 @@
 import { requeueAccountedTasks } from '../src/shards/unaccounted-tasks.js';
 import { mayRunOn } from '../src/model/constraints.js';
 import { RangeSet } from '../src/model/ranges.js';
-import { ordersInAnswer } from '../src/workers/orders.js';
+import { commandsInReply } from '../src/workers/commands.js';
 import { reconcileHeartbeat } from '../src/workers/reconciliation.js';
 import type { Heartbeat, TaskStatus } from '../src/workers/wire.js';
 
 const spec = {
   id: 'req-1',
   team: 'red',
-  shape: 'array',
+  kind: 'array',
   priority: 2,
   tasks: 2,
   cpus: 2,
@@ -37,10 +37,10 @@
 } as unknown as JobSpec;
 const record = {
   spec,
-  home: 0,
-  born: 1,
-  accepted: null,
-  assignments: [{ from: 0, to: 2, part: 0, zone: null }],
+  homeShard: 0,
+  acceptedRevision: 1,
+  acceptedAt: null,
+  assignments: [{ from: 0, to: 2, shard: 0, zone: null }],
   done: RangeSet.empty(),
 } as unknown as JobRecord;
 
@@ -121,18 +121,18 @@
       type: 't',
       zone: 'east',
       spot: false,
-      session: 1,
+      agentEpoch: 1,
       sequence: this.sequence,
-      token: 7,
-      noticeS: null,
+      fencingToken: 7,
+      interruptionNoticeS: null,
       tasks: legs,
       ...o,
     } as unknown as Heartbeat;
     const ctx = {
       now: 1000 as never,
-      pastSpec: () => null,
-      onDone: () => undefined,
-      reportsWithin: 1e9 as never,
+      endedJobSpec: () => null,
+      onTaskDone: () => undefined,
+      heartbeatTimeout: 1e9 as never,
       log: silentLog(),
     };
     const taken = reconcileHeartbeat(this.part, machine, report, channel, ctx);
@@ -146,7 +146,7 @@
   }
 
   orders(): string {
-    return ordersInAnswer(this.part, this.machine)
+    return commandsInReply(this.part, this.machine)
       .map((o) => `${o.op} ${o.index}@${o.attempt}`)
       .join(', ');
   }
@@ -157,8 +157,11 @@
   w.start();
   assert.equal(w.hear('report', '0:5:running', { sequence: 9 }), 'taken; bound 0@5 waiting 1');
   assert.equal(w.hear('report', '', { sequence: 8 }), 'older; bound 0@5 waiting 1');
-  assert.equal(w.hear('report', '', { session: 2, sequence: 1 }), 'taken; bound - waiting 0,1');
-  assert.equal(w.hear('report', '0:5:running', { session: 1, sequence: 99 }), 'older; bound - waiting 0,1');
+  assert.equal(w.hear('report', '', { agentEpoch: 2, sequence: 1 }), 'taken; bound - waiting 0,1');
+  assert.equal(
+    w.hear('report', '0:5:running', { agentEpoch: 1, sequence: 99 }),
+    'older; bound - waiting 0,1',
+  );
 });
 
 test('a launch in an answer is settled by the next report, not by a direct message in between', () => {
@@ -176,7 +179,7 @@
   assert.equal(w.hear('report', ''), 'taken; bound 0@5 waiting 1');
   assert.equal(w.hear('report', '0:5:exited:stopped'), 'taken; bound - waiting 0,1');
   assert.equal(w.orders(), '', 'a clear now, and the late launch would start it anew');
-  assert.equal(w.hear('report', '0:5:exited:stopped', { token: 8 }), 'taken; bound - waiting 0,1');
+  assert.equal(w.hear('report', '0:5:exited:stopped', { fencingToken: 8 }), 'taken; bound - waiting 0,1');
   assert.equal(w.orders(), 'forget 0@5');
 });
 
@@ -184,7 +187,7 @@
   const w = new Bench(true);
   assert.equal(w.state(), 'bound - waiting -');
   assert.equal(usageOf(w.part).unattributed.cpus, 16, 'a machine not heard from may be full of any team');
-  assert.equal(w.hear('report', '', { token: 6 }), 'taken; bound - waiting -');
+  assert.equal(w.hear('report', '', { fencingToken: 6 }), 'taken; bound - waiting -');
   assert.equal(requeueAccountedTasks(w.part), false, 'the owner before us may still command it');
   assert.equal(w.hear('direct', '1:4:running'), 'taken; bound 1@4 waiting -');
   assert.equal(requeueAccountedTasks(w.part), true);
@@ -206,11 +209,11 @@
   w.part.addMachine(spot);
   assert.equal(requeueAccountedTasks(w.part), false);
   assert.equal(w.state(), 'bound - waiting -', 'it may be on the ordinary machine');
-  assert.equal(w.hear('report', '1:4:running', { token: 7 }), 'taken; bound 1@4 waiting -');
+  assert.equal(w.hear('report', '1:4:running', { fencingToken: 7 }), 'taken; bound 1@4 waiting -');
   assert.equal(requeueAccountedTasks(w.part), false, 'the spot machine has not spoken');
   assert.equal(w.state(), 'bound 1@4 waiting 0', 'its job does not allow spot machines');
   assert.equal(
-    w.hear('report', '', { token: 7 }),
+    w.hear('report', '', { fencingToken: 7 }),
     'taken; bound - waiting 0',
     'gone from there: frozen anew',
   );
@@ -230,16 +233,16 @@
     false,
   );
   w.part.addMachine(other);
-  assert.equal(w.hear('report', '0:3:running', { token: 6 }), 'taken; bound 0@3 waiting -');
+  assert.equal(w.hear('report', '0:3:running', { fencingToken: 6 }), 'taken; bound 0@3 waiting -');
   assert.equal(
-    w.hear('report', '0:4:running 1:4:running', { token: 7 }, other),
+    w.hear('report', '0:4:running 1:4:running', { fencingToken: 7 }, other),
     'taken; bound 0@3,1@4 waiting -',
   );
   // What the machine of the copy says itself: the task is not there, and has not been for long.
-  w.hear('report', '', { token: 7 });
+  w.hear('report', '', { fencingToken: 7 });
   requeueAccountedTasks(w.part);
   assert.equal(w.state(), 'bound 1@4,0@4 waiting -', 'it is on the other machine, told to stop');
-  w.hear('report', '1:4:running', { token: 7 }, other);
+  w.hear('report', '1:4:running', { fencingToken: 7 }, other);
   assert.equal(w.state(), 'bound 1@4 waiting 0');
 });
 
--- a/test/resources.test.ts
+++ b/test/resources.test.ts
@@ -1,12 +1,12 @@
 /** CPUs, GPUs and memory count alike, and what has a guarantee or limit of 0 has none. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { impossible } from '../src/jobs/admission.js';
+import { rejectionReason } from '../src/jobs/admission.js';
 import type { JobRecord } from '../src/jobs/record.js';
 import type { JobSpec } from '../src/jobs/spec.js';
 import { UNLIMITED, ZERO } from '../src/model/resources.js';
-import { guaranteedOf } from '../src/quota/guarantee.js';
-import { decodeShares, encodeShares, evenShares, transferableQuota } from '../src/quota/shares.js';
+import { selectGuaranteedJobs } from '../src/quota/guaranteed-jobs.js';
+import { decodeQuotas, encodeQuotas, evenQuotas, transferableQuota } from '../src/quota/shard-quota.js';
 import { RangeSet } from '../src/model/ranges.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
 import { checkTrace } from './standins/trace.js';
@@ -89,23 +89,23 @@
 test('a limit of 0 is none: it refuses nothing, and its shares are unlimited and cannot be given', () => {
   const core = { settings: { teams: new Map([[gpuTeam.name, gpuTeam]]) } } as never;
   const types = [{ name: 'gpu', cpus: 64, gpus: 8, memoryGb: 512, zones: ['east'] }] as never;
-  const why = (o: Partial<JobSpec>): string | null => impossible(plainSpec(o), types, core);
+  const why = (o: Partial<JobSpec>): string | null => rejectionReason(plainSpec(o), types, core);
   assert.equal(why({ cpus: 64, gpus: 1 }), null);
-  assert.equal(why({ shape: 'service', tasks: 20, cpus: 60, gpus: 1 }), null);
+  assert.equal(why({ kind: 'service', tasks: 20, cpus: 60, gpus: 1 }), null);
   assert.equal(
-    why({ shape: 'service', tasks: 21, gpus: 1 }),
+    why({ kind: 'service', tasks: 21, gpus: 1 }),
     'cards: needs 21 at once, more than the limit of 20 of team red',
   );
 
-  const even = evenShares(gpuTeam, 3);
+  const even = evenQuotas(gpuTeam, 3);
   assert.deepEqual(even, [
     { ...UNLIMITED, gpus: 7 },
     { ...UNLIMITED, gpus: 7 },
     { ...UNLIMITED, gpus: 6 },
   ]);
-  const written = JSON.parse(JSON.stringify(encodeShares(gpuTeam, even))) as unknown;
+  const written = JSON.parse(JSON.stringify(encodeQuotas(gpuTeam, even))) as unknown;
   assert.deepEqual(written, { max: [0, 20], cpus: [0, 0, 0], gpus: [7, 7, 6] });
-  assert.deepEqual(decodeShares(written, gpuTeam, 3), even);
+  assert.deepEqual(decodeQuotas(written, gpuTeam, 3), even);
   const share = { ...UNLIMITED, gpus: 7 };
   const asked = { cpus: 100, gpus: 100, memoryGb: 100 };
   const used = { ...UNLIMITED, gpus: 2 };
@@ -117,20 +117,24 @@
 
 test('a guarantee of 0 is none: the resource is not counted, and nothing is guaranteed by it', () => {
   const job = (id: string, born: number, o: Partial<JobSpec>): JobRecord =>
-    ({ spec: plainSpec({ id, ...o }), born, done: RangeSet.empty() }) as unknown as JobRecord;
+    ({
+      spec: plainSpec({ id, ...o }),
+      acceptedRevision: born,
+      done: RangeSet.empty(),
+    }) as unknown as JobRecord;
   const jobs = [
     job('req-a', 1, { tasks: 6, cpus: 6, gpus: 1 }),
     job('req-b', 2, { tasks: 2, cpus: 60, gpus: 1 }),
     job('req-c', 3, { tasks: 1, cpus: 1, gpus: 0 }),
     job('req-d', 4, { tasks: 1, cpus: 1, gpus: 1 }),
   ];
-  assert.deepEqual([...guaranteedOf(jobs, gpuTeam)], ['req-a', 'req-b'], 'by GPUs alone');
+  assert.deepEqual([...selectGuaranteedJobs(jobs, gpuTeam)], ['req-a', 'req-b'], 'by GPUs alone');
   const plain = [job('req-a', 1, { tasks: 3 }), job('req-b', 2, { tasks: 2 })];
-  assert.deepEqual([...guaranteedOf(plain, cpuTeam)], ['req-a'], 'by CPUs alone, as before');
-  assert.deepEqual([...guaranteedOf(plain, plainTeam({ cpusMax: 20 }))], [], 'no guarantee at all');
+  assert.deepEqual([...selectGuaranteedJobs(plain, cpuTeam)], ['req-a'], 'by CPUs alone, as before');
+  assert.deepEqual([...selectGuaranteedJobs(plain, plainTeam({ cpusMax: 20 }))], [], 'no guarantee at all');
   const both = plainTeam({ cpus: 8, cpusMax: 20, gpus: 4, gpusMax: 10 });
   assert.deepEqual(
-    [...guaranteedOf([job('req-a', 1, { tasks: 3, gpus: 2 })], both)],
+    [...selectGuaranteedJobs([job('req-a', 1, { tasks: 3, gpus: 2 })], both)],
     [],
     'fits in CPUs alone',
   );
@@ -181,7 +185,7 @@
     { name: 'cpu', cpus: 64, gpus: 0, memoryGb: 64, zones: ['east'] },
   ] as never;
   assert.equal(
-    impossible(plainSpec({ cpus: 16, gpus: 1 }), types, core),
+    rejectionReason(plainSpec({ cpus: 16, gpus: 1 }), types, core),
     'vcpus 16, cards 1, memoryGb 1: no allowed machine type has room for all of a task',
   );
 });
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -640,8 +640,8 @@
   const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, new Map());
   shard.reconciled = true;
   const spec = plainSpec({ id: 'req-1', tasks: 2 });
-  const assignments = [{ from: 0, to: 2, part: shard.id, zone: null }];
-  const record = { spec, home: 0, assignments, done: RangeSet.empty() } as unknown as JobRecord;
+  const assignments = [{ from: 0, to: 2, shard: shard.id, zone: null }];
+  const record = { spec, homeShard: 0, assignments, done: RangeSet.empty() } as unknown as JobRecord;
   syncJob(shard, record, 1 as never, 0 as SteadyMs, false);
   const job = shard.jobs.get(spec.id) as ShardJob;
   const machines = [{ type: 't', zone: 'fjord', spot: false, cpus: 64, gpus: 0, memoryGb: 64, count: 1 }];
--- a/test/standins/builds.ts
+++ b/test/standins/builds.ts
@@ -3,7 +3,7 @@
 import { silentLog } from '../../src/log.js';
 import type { JobRecord } from '../../src/jobs/record.js';
 import type { RangeSet } from '../../src/model/ranges.js';
-import { parseSettings, parseTuning } from '../../src/settings/settings.js';
+import { parseSettings, parseTuning, type Team } from '../../src/settings/settings.js';
 
 /** What a world needs of a version to start a controller of it. */
 export interface Build {
@@ -65,15 +65,21 @@
   decodeMachine(value: unknown): unknown;
 }
 
+/** `quota/shares.ts` of the version in production. */
+export interface ProductionQuotas {
+  evenShares(team: Team, shards: number): unknown;
+  encodeShares(team: Team, shares: unknown): unknown;
+}
+
 /** A record of the working sources as the version in production holds it in memory. */
 export function toProductionRecord(record: JobRecord): ProductionRecord {
   const { spec } = record;
   return {
     spec: {
       id: spec.id,
-      lane: spec.lane,
+      lane: spec.jobClass,
       team: spec.team,
-      shape: spec.shape,
+      shape: spec.kind,
       priority: spec.priority,
       tasks: spec.tasks,
       cpus: spec.cpus,
@@ -87,14 +93,14 @@
       image: spec.image,
       imageGb: spec.imageGb,
       estimateS: spec.estimateS,
-      checkpointS: spec.checkpointS,
-      saveS: spec.saveS,
+      checkpointS: spec.checkpointIntervalS,
+      saveS: spec.checkpointDurationS,
       deadlineS: spec.deadlineS,
     },
-    home: record.home,
-    born: record.born,
-    accepted: record.accepted,
-    assignments: record.assignments.map(({ from, to, part, zone }) => ({ from, to, part, zone })),
+    home: record.homeShard,
+    born: record.acceptedRevision,
+    accepted: record.acceptedAt,
+    assignments: record.assignments.map(({ from, to, shard: part, zone }) => ({ from, to, part, zone })),
     done: record.done,
   };
 }
--- a/test/standins/desk.ts
+++ b/test/standins/desk.ts
@@ -3,7 +3,7 @@
 import type { Resources } from '../../src/model/resources.js';
 import type { Shard } from '../../src/shards/model.js';
 import { QuotaTransferService } from '../../src/quota/transfer-service.js';
-import { encodeShares, quotaKey } from '../../src/quota/shares.js';
+import { encodeQuotas, quotaKey } from '../../src/quota/shard-quota.js';
 import type { Team } from '../../src/settings/settings.js';
 import { StoreCache } from '../../src/store/cache.js';
 
@@ -17,7 +17,7 @@
 ): QuotaTransferService {
   const view = new StoreCache(() => undefined);
   const key = quotaKey(team.name);
-  if (shares) view.apply(key, encodeShares(team, shares), 1 as never);
+  if (shares) view.apply(key, encodeQuotas(team, shares), 1 as never);
   return new QuotaTransferService({
     settings: {
       teams: new Map([[team.name, team]]),
--- a/test/standins/rounds.ts
+++ b/test/standins/rounds.ts
@@ -14,7 +14,7 @@
 } from '../../src/shards/model.js';
 import { planRound } from '../../src/placement/plan.js';
 import type { PlanContext } from '../../src/placement/round.js';
-import { Guarantees } from '../../src/quota/guarantee.js';
+import { GuaranteedJobs } from '../../src/quota/guaranteed-jobs.js';
 import { RangeSet } from '../../src/model/ranges.js';
 import type { Team } from '../../src/settings/settings.js';
 import type { TeamId, InstanceTypeId } from '../../src/model/units.js';
@@ -40,7 +40,7 @@
   private readonly types: ReadonlyMap<InstanceTypeId, MachineType>;
   private readonly teams: ReadonlyMap<TeamId, Team>;
   private readonly share: Resources;
-  private readonly guarantees: Guarantees;
+  private readonly guarantees: GuaranteedJobs;
 
   constructor(machines = 1, options: RoundsOptions = {}) {
     const { capacity = { cpus: 8, gpus: 0, memoryGb: 64 }, team = { cpus: 4, cpusMax: 100 } } = options;
@@ -49,7 +49,7 @@
     ]);
     this.teams = new Map(['red', 'blue'].map((name) => [name as TeamId, plainTeam({ ...team, name })]));
     this.share = options.share ?? { ...UNLIMITED, cpus: 100 };
-    this.guarantees = new Guarantees(this.teams);
+    this.guarantees = new GuaranteedJobs(this.teams);
     this.part = new Shard(0 as never, 7 as never, 1 as never, 0 as never, this.types);
     this.part.reconciled = true;
     for (let i = 0; i < machines; i += 1) {
@@ -70,13 +70,13 @@
     const spec = plainSpec({ id, ...o });
     const record = {
       spec,
-      home: 0,
-      born: this.live.size,
+      homeShard: 0,
+      acceptedRevision: this.live.size,
       done: RangeSet.empty(),
-      assignments: [{ from: 0, to: spec.tasks, part: 0, zone: null }],
+      assignments: [{ from: 0, to: spec.tasks, shard: 0, zone: null }],
     } as unknown as JobRecord;
     this.live.set(id, record);
-    this.guarantees.learn(id as never, record);
+    this.guarantees.update(id as never, record);
     syncJob(this.part, record, (this.live.size + 1) as never, this.now as never, false);
   }
 
--- a/test/standins/spec.ts
+++ b/test/standins/spec.ts
@@ -18,9 +18,9 @@
 export const plainSpec = (o: Partial<Record<keyof JobSpec, unknown>> = {}): JobSpec =>
   ({
     id: 'req-1',
-    lane: 'l',
+    jobClass: 'l',
     team: 'red',
-    shape: 'array',
+    kind: 'array',
     priority: 2,
     tasks: 1,
     cpus: 2,
@@ -34,8 +34,8 @@
     image: 'i',
     imageGb: 1,
     estimateS: 30,
-    checkpointS: 0,
-    saveS: 0,
+    checkpointIntervalS: 0,
+    checkpointDurationS: 0,
     deadlineS: null,
     ...o,
   }) as unknown as JobSpec;
--- a/test/takeover-meetings.test.ts
+++ b/test/takeover-meetings.test.ts
@@ -451,12 +451,12 @@
   const shard = new Shard(0 as never, 7 as never, claim as never, 0 as never, new Map());
   const record = (mine: number): JobRecord => ({
     spec: plainSpec({ tasks: 6 }),
-    home: 1 as never,
-    born: 1 as never,
-    accepted: null,
+    homeShard: 1 as never,
+    acceptedRevision: 1 as never,
+    acceptedAt: null,
     assignments: [
-      { from: 0, to: mine, part: 0 as never, zone: null },
-      { from: mine, to: 6, part: 1 as never, zone: null },
+      { from: 0, to: mine, shard: 0 as never, zone: null },
+      { from: mine, to: 6, shard: 1 as never, zone: null },
     ],
     done: RangeSet.empty(),
   });
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -3,12 +3,11 @@
 import { test } from 'node:test';
 import * as records from '../src/jobs/codec.js';
 import type { JobRecord } from '../src/jobs/record.js';
-import { recordBytes, withDone } from '../src/jobs/stored-size.js';
+import { storedSizeBytes, withFinishedTasks } from '../src/jobs/stored-size.js';
 import * as machines from '../src/shards/codec.js';
 import type * as Mesh from '../src/mesh/mesh.js';
 import * as mesh from '../src/mesh/mesh.js';
-import type * as Shares from '../src/quota/shares.js';
-import * as shares from '../src/quota/shares.js';
+import * as shares from '../src/quota/shard-quota.js';
 import { RangeSet } from '../src/model/ranges.js';
 import {
   productionBuild,
@@ -17,6 +16,7 @@
   WORKING,
   type Build,
   type ProductionRecords,
+  type ProductionQuotas,
   type ProductionShardRecords,
 } from './standins/builds.js';
 import { plainSpec, plainTeam } from './standins/spec.js';
@@ -141,12 +141,12 @@
   const done = RangeSet.of(Array.from({ length: ranges }, (_, i) => [7 * i, 7 * i + 1] as const));
   return {
     spec: plainSpec({ id: 'req-large', tasks: 100_000 }),
-    home: 1 as never,
-    born: 17 as never,
-    accepted: 12_345 as never,
+    homeShard: 1 as never,
+    acceptedRevision: 17 as never,
+    acceptedAt: 12_345 as never,
     assignments: [
-      { from: 0, to: 60_000, part: 0 as never, zone: null },
-      { from: 60_000, to: 100_000, part: 2 as never, zone: 'east' as never },
+      { from: 0, to: 60_000, shard: 0 as never, zone: null },
+      { from: 60_000, to: 100_000, shard: 2 as never, zone: 'east' as never },
     ],
     done,
   };
@@ -163,7 +163,7 @@
     const { done, ...rest } = toProductionRecord(record);
     assert.deepEqual({ ...decoded, done: decoded.done.ranges() }, { ...rest, done: done.ranges() });
   }
-  assert.deepEqual(records.encodeFinal('done'), old.encodeFinal('done'));
+  assert.deepEqual(records.encodeFinalState('done'), old.encodeFinal('done'));
   const oldMachines = await productionModule<ProductionShardRecords>('parts/records.js');
   const shard = { owner: 'n1', incarnation: 'x', token: 9 };
   const decodedShard = machines.decodeShardRecord(shard);
@@ -173,10 +173,10 @@
   const decodedMachine = machines.decodeMachineRecord(machine);
   assert.ok(decodedMachine);
   assert.deepEqual(machines.encodeMachineRecord(decodedMachine), oldMachines.decodeMachine(machine));
-  const oldShares = await productionModule<typeof Shares>('quota/shares.js');
+  const oldShares = await productionModule<ProductionQuotas>('quota/shares.js');
   const team = plainTeam({ cpus: 4, cpusMax: 10 });
   assert.deepEqual(
-    shares.encodeShares(team, shares.evenShares(team, 3)),
+    shares.encodeQuotas(team, shares.evenQuotas(team, 3)),
     oldShares.encodeShares(team, oldShares.evenShares(team, 3)),
   );
 });
@@ -191,11 +191,11 @@
 test('a record that is larger than the limit to come is left as it is until it fits, and then rewritten', () => {
   const limit = 2048;
   const large = scattered(400);
-  assert.ok(recordBytes(large) > limit);
+  assert.ok(storedSizeBytes(large) > limit);
   const more = RangeSet.of([[50_000, 50_001]]);
-  assert.ok(recordBytes(withDone(large, more, limit)) > limit, 'one more task does not help');
+  assert.ok(storedSizeBytes(withFinishedTasks(large, more, limit)) > limit, 'one more task does not help');
   const nearly = RangeSet.of([[0, 99_999]]);
-  const grown = withDone(large, nearly, limit);
+  const grown = withFinishedTasks(large, nearly, limit);
   assert.deepEqual(grown.done.ranges(), [[0, 99_999]]);
-  assert.ok(recordBytes(grown) <= limit);
+  assert.ok(storedSizeBytes(grown) <= limit);
 });
--- a/test/waiting.test.ts
+++ b/test/waiting.test.ts
@@ -56,8 +56,8 @@
   }
   const record = {
     spec: plainSpec(spec),
-    home: 0,
-    assignments: assignments.map(([from, to, owner, zone]) => ({ from, to, part: owner, zone })),
+    homeShard: 0,
+    assignments: assignments.map(([from, to, owner, zone]) => ({ from, to, shard: owner, zone })),
     done: RangeSet.empty(),
   } as never;
   syncJob(shard, record, 1 as never, 0 as SteadyMs, false);
@@ -93,7 +93,7 @@
     random: seededRandom(1),
   } as unknown as AssignContext;
   const together = assignJob(plainSpec({ tasks: 4, oneZone: true, types: ['rare'] }), ctx);
-  assert.deepEqual(together, [{ from: 0, to: 4, part: 1, zone: WEST }]);
+  assert.deepEqual(together, [{ from: 0, to: 4, shard: 1, zone: WEST }]);
   const apart = assignJob(plainSpec({ tasks: 4, spread: true, types: ['rare'] }), ctx);
   assert.deepEqual(
     apart.map((a) => [a.from, a.to, a.zone]),
@@ -305,8 +305,8 @@
   (job as { acceptedAt: SteadyMs }).acceptedAt = NOW;
   const record = {
     spec: plainSpec({ id: 'req-large', cpus: 8 }),
-    home: 0,
-    assignments: [{ from: 0, to: 1, part: 0, zone: null }],
+    homeShard: 0,
+    assignments: [{ from: 0, to: 1, shard: 0, zone: null }],
     done: RangeSet.empty(),
   } as never;
   const starts = (ageMs: number): string[] => {
@@ -339,7 +339,7 @@
   const parts = [0, 1].map((id) => {
     const shard = new Shard(id as ShardId, 1 as never, 1 as never, 0 as SteadyMs, TYPES);
     shard.reconciled = true;
-    const assignments = [{ from: 0, to: 10, part: id, zone: null }];
+    const assignments = [{ from: 0, to: 10, shard: id, zone: null }];
     const spec = plainSpec({ id: `req-${id}`, tasks: 10, cpus: 9 });
     syncJob(shard, { spec, assignments, done: RangeSet.empty() } as never, 2 as never, NOW, false);
     return shard;
@@ -349,14 +349,14 @@
   const desk = deskOf(red, parts, 3, () => (now += 1000));
   const shares = async (): Promise<number[]> => {
     await settle();
-    return [first, second].map((p) => desk.share(p.id, RED).cpus);
+    return [first, second].map((p) => desk.shardQuota(p.id, RED).cpus);
   };
   const ask = { cpus: 90, gpus: 0, memoryGb: 10 };
-  desk.request(first, RED, ask);
+  desk.requestQuota(first, RED, ask);
   assert.deepEqual(await shares(), [8, 8], 'both have tasks that wait: neither gives');
   second.quotaReservations = first.quotaReservations = new Map([[RED, { cpus: 9, gpus: 0, memoryGb: 1 }]]);
-  desk.request(second, RED, ask);
+  desk.requestQuota(second, RED, ask);
   assert.deepEqual(await shares(), [8, 8], 'the first gathers itself');
-  desk.request(first, RED, ask);
+  desk.requestQuota(first, RED, ask);
   assert.deepEqual(await shares(), [9, 7]);
 });
--- a/test/work-counts.test.ts
+++ b/test/work-counts.test.ts
@@ -9,7 +9,7 @@
 import { silentLog } from '../src/log.js';
 import type { Machine } from '../src/shards/model.js';
 import { reconcileHeartbeat, type ReconciliationContext } from '../src/workers/reconciliation.js';
-import { decodeReport } from '../src/workers/wire.js';
+import { decodeHeartbeat } from '../src/workers/wire.js';
 import { Rounds } from './standins/rounds.js';
 
 const SIZES = [500, 4000] as const;
@@ -90,7 +90,7 @@
   for (const size of SIZES) {
     const { rounds, seen } = fullPool(size);
     const machine = rounds.part.machines.get('m-77' as never) as Machine;
-    const report = decodeReport({
+    const report = decodeHeartbeat({
       berth: 'm-77',
       endpoint: '10.0.0.1:1',
       hull: 't',
@@ -105,9 +105,9 @@
     const context = {
       now: 2_000_000,
       log: silentLog(),
-      pastSpec: () => null,
-      onDone: () => undefined,
-      reportsWithin: 5000,
+      endedJobSpec: () => null,
+      onTaskDone: () => undefined,
+      heartbeatTimeout: 5000,
     } as unknown as ReconciliationContext;
     assert.equal(reconcileHeartbeat(rounds.part, machine, report, 'report', context), true);
     assert.deepEqual([...seen], ['m-77']);
