--- a/src/controller.ts
+++ b/src/controller.ts
@@ -2,10 +2,15 @@
 import { randomBytes } from 'node:crypto';
 import { CloudClient } from './cloud/client.js';
 import { Core } from './core.js';
-import { InstanceTypeCatalog } from './fleet/catalog.js';
-import { Autoscaler } from './fleet/fleet.js';
+import { InstanceTypeCatalog } from './autoscaling/instance-types.js';
+import { Autoscaler } from './autoscaling/autoscaler.js';
 import { assignJob } from './overflow/assignment.js';
-import { composeAnnouncement, receive, refreshFreeCapacity, zoneOfPart } from './overflow/announcement.js';
+import {
+  composeAnnouncement,
+  receiveMessage,
+  refreshFreeCapacity,
+  zoneForShard,
+} from './overflow/announcement.js';
 import { seededRandom } from './overflow/peer-ranking.js';
 import { HttpClient, Sockets } from './http/client.js';
 import { serve, type Answer, type Handler, type Request } from './http/server.js';
@@ -31,8 +36,8 @@
   SHARDS_PREFIX,
   TIME_KEY,
 } from './shards/codec.js';
-import { RuntimeEstimator } from './placement/runtimes.js';
-import { Scheduler } from './placement/scheduler.js';
+import { RuntimeEstimator } from './scheduling/runtime-estimator.js';
+import { Scheduler } from './scheduling/scheduler.js';
 import { QuotaTransferService } from './quota/transfer-service.js';
 import type { Settings, Tuning } from './settings/settings.js';
 import { KeyValueClient, type Caller } from './store/client.js';
@@ -178,7 +183,7 @@
     );
     this.progress = new ProgressWriter(core, (id) => this.jobs.rememberFinal(id, 'done'));
     this.timeKeeper = new ClusterClockWriter(core);
-    core.requestCycle = () => this.scheduler.wake();
+    core.requestCycle = () => this.scheduler.requestCycle();
   }
 
   async run(): Promise<void> {
@@ -192,7 +197,7 @@
     void this.storeWatcher.run();
     void this.leadership.runKeepAlive();
     void new InstanceTypeCatalog(this.core).run();
-    void this.autoscaler.runList();
+    void this.autoscaler.runListing();
     const runTick = (): void => {
       void this.core.exclusive(() => this.tick());
       clock.after(TICK_INTERVAL, runTick);
@@ -204,13 +209,13 @@
     const now = this.core.clock.now();
     this.leadership.tick();
     this.progress.tick();
-    this.autoscaler.tick();
+    this.autoscaler.scaleOutShards();
     this.timeKeeper.tick();
     if (now - this.lastReviewAt >= REVIEW_INTERVAL_MS) {
       this.lastReviewAt = now;
       for (const shard of this.core.shards.values()) this.workers.expireLeases(shard);
-      this.scheduler.transfers.expirePromises();
-      this.autoscaler.review();
+      this.scheduler.machineTransfers.expireCordons();
+      this.autoscaler.scaleInShards();
       this.workers.closeUnusedClients();
     }
     this.announce(now);
@@ -251,9 +256,9 @@
   }
 
   private onMessage(raw: unknown): void {
-    const request = receive(this.core, raw);
+    const request = receiveMessage(this.core, raw);
     if (request?.kind === 'quotaTransferRequest') void this.quotaTransfers.handleRequest(request);
-    if (request?.kind === 'machineRequest') this.scheduler.transfers.answer(request);
+    if (request?.kind === 'machineRequest') this.scheduler.machineTransfers.handleRequest(request);
     this.core.requestCycle();
   }
 
@@ -264,7 +269,7 @@
       const id = key.slice(MACHINES_PREFIX.length) as MachineId;
       const record = value === undefined ? null : decodeMachineRecord(value);
       this.core.registeredMachines.update(id, record);
-      if (record) this.autoscaler.forget(id);
+      if (record) this.autoscaler.forgetPending(id);
       this.workers.onMachineChanged(id, record, version);
     } else if (key.startsWith(ALIVE_PREFIX)) this.divideStoreLimits();
     else if (key === TIME_KEY)
@@ -277,11 +282,11 @@
     const now = this.core.clock.now();
     if (record === 'unreadable') return;
     const id = key.slice(ACTIVE_JOBS_PREFIX.length) as JobId;
-    this.scheduler.onRecord(id, record === 'over' ? null : record);
+    this.scheduler.onJobRecord(id, record === 'over' ? null : record);
     if (record === 'over') return this.scheduler.stopJob(id);
     const age = this.core.clusterClock.age(record.acceptedAt, now);
     for (const shard of this.core.shards.values()) syncJob(shard, record, version, now, false, age);
-    if (record.spec.priority === Priority.critical) this.scheduler.hurry();
+    if (record.spec.priority === Priority.critical) this.scheduler.requestUrgentCycle();
   }
 
   /** Controllers that are not alive leave their share of the limits to the others. */
@@ -316,13 +321,13 @@
     if (now - this.freeCapacityRefreshedAt > FREE_CAPACITY_MAX_AGE_MS) this.refreshFreeCapacity(now);
     return assignJob(spec, {
       now,
-      home: homeShard,
-      homeZone: zoneOfPart(core, homeShard),
-      parts: core.settings.parts,
+      homeShard: homeShard,
+      homeZone: zoneForShard(core, homeShard),
+      shards: core.settings.parts,
       zones: core.settings.zones,
       types: [...core.types.values()],
       freeCapacity: core.freeCapacity,
-      ready: core.readyCapacity,
+      imageCapacity: core.readyCapacity,
       random: core.random,
     });
   }
--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -12,76 +12,76 @@
   QuotaTransferRequest,
   ShardCapacity,
 } from '../peers/messages.js';
-import { usable } from '../placement/round.js';
+import { isSchedulable } from '../scheduling/cycle.js';
 import { freeResources, waitingByZone, type Machine, type Shard } from '../shards/model.js';
 import type { ImageId, JobId, MachineId, ShardId, SteadyMs, TeamId, ZoneId } from '../model/units.js';
 import { plus } from '../model/units.js';
-import { reserve, type FreeCapacity } from './peer-ranking.js';
+import { reserveCapacity, type FreeCapacity } from './peer-ranking.js';
 
 /** Machines whose images one announcement tells. */
-const HINTS = 12;
+const MAX_MACHINES_WITH_IMAGE_HINTS = 12;
 
-const shapeOf = (m: Machine, r: Resources): string =>
-  `${m.type}/${m.zone}/${m.spot}/${r.cpus.toFixed(2)}/${r.gpus.toFixed(2)}/${r.memoryGb.toFixed(2)}`;
+const machineShapeKey = (machine: Machine, free: Resources): string =>
+  `${machine.type}/${machine.zone}/${machine.spot}/${free.cpus.toFixed(2)}/${free.gpus.toFixed(2)}/${free.memoryGb.toFixed(2)}`;
 
 /** What one of our parts has free right now, less what its own queue is about to take. */
 export function freeCapacityOf(core: Core, shard: Shard): FreeCapacity {
   const now = core.clock.now();
-  const ctx = { now, reportMs: core.heartbeatIntervalMs };
+  const context = { now, reportMs: core.heartbeatIntervalMs };
   const shapes = new Map<string, FreeMachines>();
-  for (const m of shard.totals.machinesWithFreeCpu()) {
-    if (!usable(m, ctx)) continue;
-    const room = freeResources(m, core.types.get(m.type));
-    const key = shapeOf(m, room);
-    const known = shapes.get(key);
-    if (known) known.count += 1;
-    else shapes.set(key, { type: m.type, zone: m.zone, spot: m.spot, ...room, count: 1 });
+  for (const machine of shard.totals.machinesWithFreeCpu()) {
+    if (!isSchedulable(machine, context)) continue;
+    const free = freeResources(machine, core.types.get(machine.type));
+    const key = machineShapeKey(machine, free);
+    const sameShape = shapes.get(key);
+    if (sameShape) sameShape.count += 1;
+    else shapes.set(key, { type: machine.type, zone: machine.zone, spot: machine.spot, ...free, count: 1 });
   }
-  const offer: FreeCapacity = {
-    part: shard.id,
-    zone: zoneOfPart(core, shard.id),
-    expires: plus(now, core.tuning.announceExpiry),
+  const freeCapacity: FreeCapacity = {
+    shard: shard.id,
+    zone: zoneForShard(core, shard.id),
+    expiresAt: plus(now, core.tuning.announceExpiry),
     machines: [...shapes.values()],
   };
   // What waits for its team's limit takes no room: others may have it meanwhile.
   // Neither does a job in its back-off, nor a task in a zone other than its own.
   for (const job of shard.queue) {
     if (shard.teamsBlockedByQuota.has(job.spec.team) || now < job.backoffUntil) continue;
-    for (const [zone, count] of waitingByZone(job)) reserve(offer, job.spec, zone, count);
+    for (const [zone, count] of waitingByZone(job)) reserveCapacity(freeCapacity, job.spec, zone, count);
   }
-  return offer;
+  return freeCapacity;
 }
 
 /** What critical work could have at once on machines with the image, lesser work making room. */
-export function readyImages(core: Core, shard: Shard): Map<ImageId, Resources> {
-  const out = new Map<ImageId, Resources>();
-  const ctx = { now: core.clock.now(), reportMs: core.heartbeatIntervalMs };
+export function capacityByImage(core: Core, shard: Shard): Map<ImageId, Resources> {
+  const capacities = new Map<ImageId, Resources>();
+  const context = { now: core.clock.now(), reportMs: core.heartbeatIntervalMs };
   for (const [image, holders] of shard.totals.imageHolders()) {
-    const ready: MutableResources = { ...ZERO };
-    for (const m of holders) {
-      if (!m.spot && usable(m, ctx))
-        addTo(ready, add(freeResources(m, core.types.get(m.type)), m.preemptible));
+    const capacity: MutableResources = { ...ZERO };
+    for (const machine of holders) {
+      if (!machine.spot && isSchedulable(machine, context))
+        addTo(capacity, add(freeResources(machine, core.types.get(machine.type)), machine.preemptible));
     }
-    if (ready.cpus > 0) out.set(image, ready);
+    if (capacity.cpus > 0) capacities.set(image, capacity);
   }
-  return out;
+  return capacities;
 }
 
 /** Our own parts as peers will see them, and as new jobs are placed by. */
 export function refreshFreeCapacity(core: Core): void {
   for (const shard of core.shards.values()) {
     core.freeCapacity.set(shard.id, freeCapacityOf(core, shard));
-    core.readyCapacity.set(shard.id, readyImages(core, shard));
+    core.readyCapacity.set(shard.id, capacityByImage(core, shard));
   }
 }
 
 /** Which machine holds what, for whoever takes the part over: what is new, and the rest by turns. */
 function imageHints(shard: Shard): Map<MachineId, CachedImages> {
-  const machines = [...shard.nextImageAnnouncements(HINTS)];
+  const machines = [...shard.nextImageAnnouncements(MAX_MACHINES_WITH_IMAGE_HINTS)];
   return new Map(machines.map((machine) => [machine.id, [...machine.images]]));
 }
 
-export const zoneOfPart = (core: Core, shard: ShardId): ZoneId =>
+export const zoneForShard = (core: Core, shard: ShardId): ZoneId =>
   core.settings.parts.find((p) => p.part === shard)?.zone ?? core.settings.zone;
 
 function freeMachinesOf(core: Core, shard: Shard): FreeMachines[] {
@@ -158,7 +158,12 @@
   core.readyCapacity.set(shard, capacity.criticalCapacity);
   core.shardAnnouncements.set(shard, { expiresAt: expires, usage: used, unusedQuota: unusedQuota });
   const machines = [...capacity.freeMachines];
-  core.freeCapacity.set(shard, { part: shard, zone: zoneOfPart(core, shard), expires, machines });
+  core.freeCapacity.set(shard, {
+    shard: shard,
+    zone: zoneForShard(core, shard),
+    expiresAt: expires,
+    machines,
+  });
 }
 
 /**
@@ -170,7 +175,7 @@
 }
 
 /** A peer's message; a request for quota, or for machines, is returned to the caller. */
-export function receive(core: Core, sent: unknown): QuotaTransferRequest | MachineRequest | null {
+export function receiveMessage(core: Core, sent: unknown): QuotaTransferRequest | MachineRequest | null {
   const message = decodePeerMessage(sent);
   switch (message?.kind) {
     case 'capacityAnnouncement':
--- a/src/overflow/machine-transfer.ts
+++ b/src/overflow/machine-transfer.ts
@@ -9,31 +9,31 @@
 import { encodeMachineRecord, machineKey } from '../shards/codec.js';
 import { encodePeerMessage } from '../peers/codec.js';
 import type { MachineRequest } from '../peers/messages.js';
-import { usable, type OversizedGang } from '../placement/round.js';
+import { isSchedulable, type OversizedGang } from '../scheduling/cycle.js';
 import { RequestPriority } from '../store/rate-limiter.js';
 import type { ShardId, SteadyMs } from '../model/units.js';
 import { millis, plus, steady } from '../model/units.js';
-import { zoneOfPart } from './announcement.js';
+import { zoneForShard } from './announcement.js';
 
 /** Between two requests of a pool, in milliseconds. */
 const REQUEST_INTERVAL_MS = 2000;
 /** One peer is asked for so long before the next one is, in milliseconds. */
 const PEER_TURN_MS = 20_000;
 /** Without another request a machine takes work again after this time. */
-const PROMISE = millis(6000);
+const CORDON_TTL = millis(6000);
 
 /** Machines that are to go to the pool that asks: those that are empty go now, the others take no more work. */
 export interface TransferChoice {
   readonly empty: readonly Machine[];
-  readonly emptying: readonly Machine[];
+  readonly draining: readonly Machine[];
 }
 
 /** Nothing is on the machine, and no order that may still be carried out there is outstanding. */
-const isEmpty = (m: Machine): boolean =>
-  m.allocations.size === 0 && m.exitedTasks.size === 0 && !m.directRequestInFlight;
+const isEmpty = (machine: Machine): boolean =>
+  machine.allocations.size === 0 && machine.exitedTasks.size === 0 && !machine.directRequestInFlight;
 
 /** Critical work does not end by itself. */
-const holdsCritical = (m: Machine): boolean => !isZero(subtract(m.used, m.preemptible));
+const runsCriticalWork = (machine: Machine): boolean => !isZero(subtract(machine.used, machine.preemptible));
 
 /** Pure: which machines of the pool suit the request, those that were promised first, then the least used. */
 export function chooseTransfer(
@@ -42,14 +42,16 @@
   core: Pick<Core, 'types' | 'heartbeatIntervalMs'>,
   now: SteadyMs,
 ): TransferChoice {
-  const suits = (m: Machine): boolean => {
-    if (m.zone !== request.zone || (m.spot && !request.spot) || m.unknownSizeCount > 0) return false;
-    if (request.types !== null && !request.types.includes(m.type)) return false;
+  const suits = (machine: Machine): boolean => {
+    if (machine.zone !== request.zone || (machine.spot && !request.spot) || machine.unknownSizeCount > 0)
+      return false;
+    if (request.types !== null && !request.types.includes(machine.type)) return false;
     return (
-      usable({ ...m, draining: false }, { now, reportMs: core.heartbeatIntervalMs }) && !holdsCritical(m)
+      isSchedulable({ ...machine, draining: false }, { now, reportMs: core.heartbeatIntervalMs }) &&
+      !runsCriticalWork(machine)
     );
   };
-  const capacityOf = (m: Machine): Resources | undefined => core.types.get(m.type);
+  const capacityOf = (machine: Machine): Resources | undefined => core.types.get(machine.type);
   const suitable = [...shard.machines.values()].filter(suits);
   suitable.sort((a, b) => Number(b.draining) - Number(a.draining) || a.used.cpus - b.used.cpus);
   const chosen: Machine[] = [];
@@ -61,14 +63,14 @@
     missing -= taskSlots(capacity, request);
     chosen.push(machine);
   }
-  return { empty: chosen.filter(isEmpty), emptying: chosen.filter((m) => !isEmpty(m)) };
+  return { empty: chosen.filter(isEmpty), draining: chosen.filter((machine) => !isEmpty(machine)) };
 }
 
-export class MachineTransfer {
+export class MachineTransferService {
   private readonly requestedAt = new Map<ShardId, SteadyMs>();
   /** When a pool of ours last had a gang that is larger than it. */
-  private readonly shortSince = new Map<ShardId, SteadyMs>();
-  private readonly promised = new Map<Machine, SteadyMs>();
+  private readonly oversizedGangSeenAt = new Map<ShardId, SteadyMs>();
+  private readonly cordonedUntil = new Map<Machine, SteadyMs>();
 
   constructor(private readonly core: Core) {}
 
@@ -76,17 +78,22 @@
   request(shard: Shard, gang: OversizedGang): void {
     const { core } = this;
     const now = core.clock.now();
-    this.shortSince.set(shard.id, now);
+    this.oversizedGangSeenAt.set(shard.id, now);
     if (now - (this.requestedAt.get(shard.id) ?? -Infinity) < REQUEST_INTERVAL_MS) return;
     this.requestedAt.set(shard.id, now);
-    const zone = zoneOfPart(core, shard.id);
+    const zone = zoneForShard(core, shard.id);
     const peers = core.settings.parts.filter((p) => p.part !== shard.id && p.zone === zone);
     const peer = peers[Math.floor(now / PEER_TURN_MS) % peers.length];
     if (!peer) return;
     const { cpus, gpus, memoryGb, types, spot } = gang.job.spec;
-    const need = { cpus, gpus, memoryGb, tasks: gang.tasks, types, spot, zone };
-    const request: MachineRequest = { kind: 'machineRequest', from: shard.id, to: peer.part, ...need };
-    if (core.shards.has(peer.part)) this.answer(request);
+    const requirements = { cpus, gpus, memoryGb, tasks: gang.missingTasks, types, spot, zone };
+    const request: MachineRequest = {
+      kind: 'machineRequest',
+      from: shard.id,
+      to: peer.part,
+      ...requirements,
+    };
+    if (core.shards.has(peer.part)) this.handleRequest(request);
     else {
       const owner = core.shardRecord(peer.part)?.leader;
       if (owner) core.peerTransport.send(owner, encodePeerMessage(request));
@@ -94,57 +101,60 @@
   }
 
   /** A pool asks one of ours for machines. */
-  answer(request: MachineRequest): void {
+  handleRequest(request: MachineRequest): void {
     const { core } = this;
     const now = core.clock.now();
     const shard = core.shards.get(request.to);
     if (!shard?.reconciled || request.from === request.to || !core.mayCommand(now)) return;
     if (!core.settings.parts.some((p) => p.part === request.from)) return;
-    if (this.goesFirst(shard, request, now)) return;
-    const { empty, emptying } = chooseTransfer(shard, request, core, now);
-    for (const machine of emptying) this.promise(machine, now);
+    if (this.hasPrecedence(shard, request, now)) return;
+    const { empty, draining: emptying } = chooseTransfer(shard, request, core, now);
+    for (const machine of emptying) this.cordon(machine, now);
     for (const machine of empty) {
-      if (machine.draining && !this.promised.has(machine)) continue;
+      if (machine.draining && !this.cordonedUntil.has(machine)) continue;
       machine.draining = true;
-      this.promised.delete(machine);
+      this.cordonedUntil.delete(machine);
       void this.transfer(shard, machine, request.from);
     }
   }
 
   /** Of two pools that both have such a gang the one with the lower number gathers machines first. */
-  private goesFirst(shard: Shard, request: MachineRequest, now: SteadyMs): boolean {
-    const short = now - (this.shortSince.get(shard.id) ?? steady(-Infinity)) < PROMISE;
-    return short && shard.id < request.from;
+  private hasPrecedence(shard: Shard, request: MachineRequest, now: SteadyMs): boolean {
+    const hasOversizedGang = now - (this.oversizedGangSeenAt.get(shard.id) ?? steady(-Infinity)) < CORDON_TTL;
+    return hasOversizedGang && shard.id < request.from;
   }
 
-  private promise(machine: Machine, now: SteadyMs): void {
-    if (machine.draining && !this.promised.has(machine)) return;
+  private cordon(machine: Machine, now: SteadyMs): void {
+    if (machine.draining && !this.cordonedUntil.has(machine)) return;
     machine.draining = true;
-    this.promised.set(machine, plus(now, PROMISE));
+    this.cordonedUntil.set(machine, plus(now, CORDON_TTL));
   }
 
   /** Promised machines that nobody asks for any more take work again. */
-  expirePromises(): void {
+  expireCordons(): void {
     const now = this.core.clock.now();
-    for (const [machine, until] of this.promised) {
+    for (const [machine, until] of this.cordonedUntil) {
       if (now < until) continue;
-      this.promised.delete(machine);
+      this.cordonedUntil.delete(machine);
       machine.draining = false;
     }
   }
 
   /** Nothing is placed on the machine meanwhile, also where the outcome of the write stays open for long. */
-  private async transfer(shard: Shard, machine: Machine, to: ShardId): Promise<void> {
+  private async transfer(shard: Shard, machine: Machine, receivingShard: ShardId): Promise<void> {
     const { core } = this;
     const key = machineKey(machine.id);
     const { address, type, zone, spot } = machine;
-    const value = encodeMachineRecord({ shard: to, address, type, zone, spot });
+    const value = encodeMachineRecord({ shard: receivingShard, address, type, zone, spot });
     const result = await core.compareAndSwapUntilCertain(
       [{ key, version: core.storeCache.version(key) }, core.leaderCondition(shard)],
       [{ op: 'put', key, value }],
       RequestPriority.handOver,
     );
-    core.log.info({ machine: machine.id, from: shard.id, to, result: result.kind }, 'machine transferred');
+    core.log.info(
+      { machine: machine.id, from: shard.id, to: receivingShard, result: result.kind },
+      'machine transferred',
+    );
     await core.exclusive(() => {
       if (result.kind === 'done') core.storeCache.apply(key, value, result.revision);
       machine.draining = false;
--- a/src/overflow/peer-ranking.ts
+++ b/src/overflow/peer-ranking.ts
@@ -8,9 +8,9 @@
 import type { ShardId, SteadyMs, ZoneId } from '../model/units.js';
 
 export interface FreeCapacity {
-  readonly part: ShardId;
+  readonly shard: ShardId;
   readonly zone: ZoneId;
-  readonly expires: SteadyMs;
+  readonly expiresAt: SteadyMs;
   /** Room left as far as we know: what we hand over is taken off until the next announcement. */
   readonly machines: FreeMachines[];
 }
@@ -23,40 +23,48 @@
   return (below) => (below <= 1 ? 0 : uniformInt(generator, 0, below - 1));
 }
 
-const roomFor = (offer: FreeCapacity, spec: JobSpec, pin: ZoneId | null): FreeMachines[] =>
-  offer.machines.filter((m) => m.count > 0 && fits(spec, m) && mayRunOn(spec, m.type, m.zone, m.spot, pin));
+const fittingMachines = (freeCapacity: FreeCapacity, spec: JobSpec, zone: ZoneId | null): FreeMachines[] =>
+  freeCapacity.machines.filter(
+    (m) => m.count > 0 && fits(spec, m) && mayRunOn(spec, m.type, m.zone, m.spot, zone),
+  );
 
 /** How many tasks like this fit into what is announced, by zone restriction. */
-export function capacityFor(offer: FreeCapacity, spec: JobSpec, pin: ZoneId | null): number {
-  let n = 0;
-  for (const m of roomFor(offer, spec, pin)) n += m.count * taskSlots(m, spec);
-  return n;
+export function taskCapacity(freeCapacity: FreeCapacity, spec: JobSpec, zone: ZoneId | null): number {
+  let tasks = 0;
+  for (const machine of fittingMachines(freeCapacity, spec, zone))
+    tasks += machine.count * taskSlots(machine, spec);
+  return tasks;
 }
 
 /** `machines` of a shape get `each` tasks: they have another shape from then on. */
-function takeFrom(
-  offer: FreeCapacity,
+function subtractTasks(
+  freeCapacity: FreeCapacity,
   shape: FreeMachines,
   spec: JobSpec,
-  each: number,
+  tasksPerMachine: number,
   machines: number,
 ): void {
   if (machines === 0) return;
   shape.count -= machines;
-  offer.machines.push({ ...shape, ...subtract(shape, scale(spec, each)), count: machines });
+  freeCapacity.machines.push({ ...shape, ...subtract(shape, scale(spec, tasksPerMachine)), count: machines });
 }
 
 /** Takes room for `count` tasks off the offer, so that the next hand-over does not promise it again. */
-export function reserve(offer: FreeCapacity, spec: JobSpec, pin: ZoneId | null, count: number): void {
+export function reserveCapacity(
+  freeCapacity: FreeCapacity,
+  spec: JobSpec,
+  zone: ZoneId | null,
+  count: number,
+): void {
   let left = count;
-  for (const m of roomFor(offer, spec, pin)) {
+  for (const machine of fittingMachines(freeCapacity, spec, zone)) {
     if (left <= 0) return;
-    const each = taskSlots(m, spec);
-    const full = Math.min(m.count, Math.floor(left / each));
-    takeFrom(offer, m, spec, each, full);
-    left -= full * each;
-    if (left > 0 && m.count > 0) {
-      takeFrom(offer, m, spec, left, 1);
+    const tasksPerMachine = taskSlots(machine, spec);
+    const fullMachines = Math.min(machine.count, Math.floor(left / tasksPerMachine));
+    subtractTasks(freeCapacity, machine, spec, tasksPerMachine, fullMachines);
+    left -= fullMachines * tasksPerMachine;
+    if (left > 0 && machine.count > 0) {
+      subtractTasks(freeCapacity, machine, spec, left, 1);
       left = 0;
     }
   }
@@ -64,17 +72,26 @@
 
 /** Unexpired offers with room for such a task: own zone first, then most free room; equals in random order. */
 export function rankPeers(
-  offers: Iterable<FreeCapacity>,
-  from: ZoneId,
+  freeCapacities: Iterable<FreeCapacity>,
+  fromZone: ZoneId,
   spec: JobSpec,
-  pin: ZoneId | null,
+  zone: ZoneId | null,
   now: SteadyMs,
   random: Random,
-): { offer: FreeCapacity; capacity: number }[] {
-  const open = [...offers]
-    .filter((o) => o.expires > now)
-    .map((offer) => ({ offer, capacity: capacityFor(offer, spec, pin), draw: random(1 << 20) }))
-    .filter((o) => o.capacity > 0);
-  const far = (o: FreeCapacity): number => (o.zone === from ? 0 : 1);
-  return open.sort((a, b) => far(a.offer) - far(b.offer) || b.capacity - a.capacity || a.draw - b.draw);
+): { freeCapacity: FreeCapacity; capacity: number }[] {
+  const candidates = [...freeCapacities]
+    .filter((peer) => peer.expiresAt > now)
+    .map((freeCapacity) => ({
+      freeCapacity: freeCapacity,
+      capacity: taskCapacity(freeCapacity, spec, zone),
+      draw: random(1 << 20),
+    }))
+    .filter((peer) => peer.capacity > 0);
+  const zoneDistance = (peer: FreeCapacity): number => (peer.zone === fromZone ? 0 : 1);
+  return candidates.sort(
+    (a, b) =>
+      zoneDistance(a.freeCapacity) - zoneDistance(b.freeCapacity) ||
+      b.capacity - a.capacity ||
+      a.draw - b.draw,
+  );
 }
--- a/src/shards/statistics.ts
+++ b/src/shards/statistics.ts
@@ -1,6 +1,6 @@
 /** What a part's room goes to, for the log: one line that says where capacity is lost. */
 import { addTo, mapResources, ZERO, type MutableResources, type Resources } from '../model/resources.js';
-import { usable } from '../placement/round.js';
+import { isSchedulable } from '../scheduling/cycle.js';
 import type { SteadyMs, TeamId } from '../model/units.js';
 import { freeResources, type Allocation, type Shard } from './model.js';
 
@@ -39,7 +39,7 @@
   let unusable = 0;
   for (const machine of shard.machines.values()) {
     addTo(capacity, shard.types.get(machine.type) ?? ZERO);
-    if (usable(machine, { now, reportMs }))
+    if (isSchedulable(machine, { now, reportMs }))
       addTo(free, freeResources(machine, shard.types.get(machine.type)));
     else unusable += 1;
   }
--- a/src/workers/service.ts
+++ b/src/workers/service.ts
@@ -5,7 +5,7 @@
 import { newMachine } from '../shards/model.js';
 import type { ShardLeadership } from '../leadership/leadership.js';
 import { decodeMachineRecord, MACHINES_PREFIX, type MachineRecord } from '../shards/codec.js';
-import type { RuntimeEstimator } from '../placement/runtimes.js';
+import type { RuntimeEstimator } from '../scheduling/runtime-estimator.js';
 import type { Address, MachineId, ShardId, Revision } from '../model/units.js';
 import { WorkerClients, type WorkerClient } from './clients.js';
 import { DirectCommands } from './direct-commands.js';
--- a/src/workers/shard-updates.ts
+++ b/src/workers/shard-updates.ts
@@ -2,7 +2,7 @@
 import type { Core } from '../core.js';
 import { requeueAccountedTasks } from '../shards/unaccounted-tasks.js';
 import type { Allocation, Shard } from '../shards/model.js';
-import type { RuntimeEstimator } from '../placement/runtimes.js';
+import type { RuntimeEstimator } from '../scheduling/runtime-estimator.js';
 import type { SteadyMs } from '../model/units.js';
 import { millis } from '../model/units.js';
 import type { ReconciliationContext } from './reconciliation.js';
@@ -33,6 +33,6 @@
 
   private learnRuntime({ spec, runningSince }: Allocation, now: SteadyMs): void {
     if (spec && runningSince !== null)
-      this.runtimeEstimator.learn(spec.jobClass, spec.estimateS, (now - runningSince) / 1000);
+      this.runtimeEstimator.addSample(spec.jobClass, spec.estimateS, (now - runningSince) / 1000);
   }
 }
--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { allocate, newMachine, Shard, syncJob, type Allocation } from '../src/shards/model.js';
-import { chooseMove } from '../src/placement/consolidation.js';
+import { chooseRelocation } from '../src/scheduling/consolidation.js';
 import type { MachineType } from '../src/cloud/wire.js';
 import { Priority } from '../src/jobs/spec.js';
 import { RangeSet } from '../src/model/ranges.js';
@@ -90,8 +90,8 @@
 
 const ctx = { now: NOW, types, reportMs: 1500 };
 const said = (shard: Shard): string => {
-  const move = chooseMove(shard, ctx);
-  return move ? `${move.binding.machine} -> ${move.to.id}` : 'stays';
+  const move = chooseRelocation(shard, ctx);
+  return move ? `${move.allocation.machine} -> ${move.target.id}` : 'stays';
 };
 
 test('replicas move together: from the emptiest machine to the fullest, and only where that frees one', () => {
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -3,9 +3,13 @@
 import { test } from 'node:test';
 import type { MachineType } from '../src/cloud/wire.js';
 import type { Core } from '../src/core.js';
-import { planRentals, type Demand, type RentContext } from '../src/fleet/plan.js';
-import { chooseHandOver } from '../src/overflow/hand-over.js';
-import { reserve, seededRandom, rankPeers, type FreeCapacity } from '../src/overflow/peer-ranking.js';
+import {
+  planScaleOut,
+  type CapacityDemand,
+  type ScaleOutContext,
+} from '../src/autoscaling/scale-out-plan.js';
+import { chooseTaskTransfer } from '../src/overflow/task-transfer.js';
+import { reserveCapacity, seededRandom, rankPeers, type FreeCapacity } from '../src/overflow/peer-ranking.js';
 import { decodeClusterTime, ClusterClock } from '../src/jobs/cluster-clock.js';
 import type { JobRecord } from '../src/jobs/record.js';
 import type { JobSpec } from '../src/jobs/spec.js';
@@ -91,18 +95,18 @@
 test('the willing list: nearest zone first, then most room; expired offers and promised room do not count', () => {
   const offer = (shard: number, zone: string, cpus: number, expires = 50): FreeCapacity =>
     ({
-      part: shard,
+      shard,
       zone,
-      expires,
+      expiresAt: expires,
       machines: [{ type: 't', zone, spot: false, cpus, gpus: 0, memoryGb: 64, count: 1 }],
     }) as unknown as FreeCapacity;
   const offers = [offer(0, 'west', 32), offer(1, 'east', 4), offer(2, 'east', 8), offer(3, 'east', 64, 5)];
   const list = (): string =>
     rankPeers(offers, 'east' as never, spec(), null, 10 as SteadyMs, seededRandom(1))
-      .map((o) => `${o.offer.part}:${o.capacity}`)
+      .map((o) => `${o.freeCapacity.shard}:${o.capacity}`)
       .join(' ');
   assert.equal(list(), '2:4 1:2 0:16');
-  reserve(offers[2] as FreeCapacity, spec(), null, 3);
+  reserveCapacity(offers[2] as FreeCapacity, spec(), null, 3);
   assert.equal(list(), '1:2 2:1 0:16');
 });
 
@@ -156,23 +160,23 @@
       zones: ['east'],
     }) as unknown as MachineType;
   const blocked = new Set<string>();
-  const ctx: RentContext = {
+  const ctx: ScaleOutContext = {
     types: [type('small', 4, 0.4, 0.1), type('large', 8, 0.7, 0.3)],
     zones: [],
-    home: 'east' as never,
-    pending: [],
+    homeZone: 'east' as never,
+    pendingMachines: [],
     runningTasks: 0,
-    correction: () => 1,
-    blocked: (k) => blocked.has(`${k.type}${k.spot}`),
+    runtimeCorrection: () => 1,
+    isBackedOff: (k) => blocked.has(`${k.type}${k.spot}`),
   };
-  const demand = (o: Partial<JobSpec>, count: number, waitedMs = 2000): Demand => ({
+  const demand = (o: Partial<JobSpec>, count: number, waitedMs = 2000): CapacityDemand => ({
     spec: spec(o),
-    pin: null,
+    requiredZone: null,
     count,
     waitedMs,
   });
-  const plan = (d: Demand, c: RentContext = ctx): string =>
-    planRentals([d], c)
+  const plan = (d: CapacityDemand, c: ScaleOutContext = ctx): string =>
+    planScaleOut([d], c)
       .map((w) => `${w.count} ${w.type}${w.spot ? ' spot' : ''}`)
       .join(', ');
   assert.equal(plan(demand({}, 8)), '2 large');
@@ -181,8 +185,8 @@
   assert.equal(plan(demand({ spot: true }, 8)), '2 large spot');
   assert.equal(plan(demand({}, 8, 100)), '', 'too young: a peer may have room');
   const coming = { type: 'large' as never, zone: 'east' as never, spot: false };
-  assert.equal(plan(demand({}, 8), { ...ctx, pending: [coming] }), '1 large');
-  assert.equal(plan(demand({}, 8), { ...ctx, pending: [coming, coming] }), '');
+  assert.equal(plan(demand({}, 8), { ...ctx, pendingMachines: [coming] }), '1 large');
+  assert.equal(plan(demand({}, 8), { ...ctx, pendingMachines: [coming, coming] }), '');
 });
 
 test('the budget serves ownership before progress, and gives up when patience ends', async () => {
@@ -268,9 +272,9 @@
   const now = 10_000 as SteadyMs;
   const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
   const machines = [{ type: 't', zone: 'east', spot: false, cpus: 64, gpus: 0, memoryGb: 64, count: 4 }];
-  const offer = { part: 1, zone: 'east', expires: 99_000, machines } as unknown as FreeCapacity;
+  const offer = { shard: 1, zone: 'east', expiresAt: 99_000, machines } as unknown as FreeCapacity;
   const settings = { parts: [], zone: 'east', valueBytes: 1000 };
-  const core = { settings, freeCapacity: new Map([[offer.part, offer]]), random: seededRandom(1) };
+  const core = { settings, freeCapacity: new Map([[offer.shard, offer]]), random: seededRandom(1) };
   const unplaced = ['req-scattered', 'req-plain'].map((id, i) => {
     // Every other task of the first is entrusted to somebody else already.
     const pieces =
@@ -293,7 +297,7 @@
     const job = shard.jobs.get(id as never) as ShardJob;
     return { job, reason: 'room' as const, indices: [...job.waiting] };
   });
-  const choice = chooseHandOver(core as unknown as Core, shard, unplaced, now);
+  const choice = chooseTaskTransfer(core as unknown as Core, shard, unplaced, now);
   assert.equal(choice?.job.id, 'req-plain');
   assert.equal(choice.tasks.size, 128);
 });
--- a/test/dominant.test.ts
+++ b/test/dominant.test.ts
@@ -3,9 +3,9 @@
 import { test } from 'node:test';
 import type { MachineType } from '../src/cloud/wire.js';
 import type { Core } from '../src/core.js';
-import { planRentals, type RentContext } from '../src/fleet/plan.js';
-import { assignJob, type AssignContext } from '../src/overflow/assignment.js';
-import { composeAnnouncement, readyImages, receive } from '../src/overflow/announcement.js';
+import { planScaleOut, type ScaleOutContext } from '../src/autoscaling/scale-out-plan.js';
+import { assignJob, type AssignmentContext } from '../src/overflow/assignment.js';
+import { composeAnnouncement, capacityByImage, receiveMessage } from '../src/overflow/announcement.js';
 import { seededRandom } from '../src/overflow/peer-ranking.js';
 import { encodePeerMessage } from '../src/peers/codec.js';
 import type { QuotaTransferRequest } from '../src/peers/messages.js';
@@ -13,7 +13,7 @@
 import { ZERO, type Resources } from '../src/model/resources.js';
 import { statisticsOf } from '../src/shards/statistics.js';
 import { allocate, newMachine, Shard, syncJob, type Allocation } from '../src/shards/model.js';
-import { chooseMove } from '../src/placement/consolidation.js';
+import { chooseRelocation } from '../src/scheduling/consolidation.js';
 import { QuotaTransferService } from '../src/quota/transfer-service.js';
 import { quotaKey } from '../src/quota/shard-quota.js';
 import { RangeSet } from '../src/model/ranges.js';
@@ -180,12 +180,12 @@
 
 test('moving together: only while half of the GPUs are free, and to where GPUs are free', () => {
   const move = (load: Parameters<typeof partWith>[0]): string => {
-    const found = chooseMove(partWith(load, { cpus: 1, memoryGb: 1 }), {
+    const found = chooseRelocation(partWith(load, { cpus: 1, memoryGb: 1 }), {
       now: NOW,
       types: TYPES,
       reportMs: 1500,
     });
-    return found ? `${found.binding.machine} -> ${found.to.id}` : 'stays';
+    return found ? `${found.allocation.machine} -> ${found.target.id}` : 'stays';
   };
   assert.deepEqual(
     {
@@ -227,7 +227,7 @@
     storeHealthy: () => true,
     incarnation: 'n1-1',
   } as unknown as Core;
-  core.readyCapacity.set(shard.id, readyImages(core, shard));
+  core.readyCapacity.set(shard.id, capacityByImage(core, shard));
   const spare = new Map([['red' as TeamId, { cpus: 0, gpus: 7, memoryGb: 0 }]]);
   const news = encodePeerMessage(composeAnnouncement(core, () => spare, new Map()));
   assert.ok(news.kind === 'news');
@@ -239,7 +239,7 @@
     readyCapacity: new Map(),
   };
   Object.assign(peer, { intendedShards: new Map(), imageHints: new Map(), freeCapacity: new Map() });
-  receive(peer as unknown as Core, JSON.parse(JSON.stringify(news)));
+  receiveMessage(peer as unknown as Core, JSON.parse(JSON.stringify(news)));
   const told = (peer as unknown as Core).shardAnnouncements.get(shard.id);
   assert.deepEqual(told?.usage.get('red' as TeamId), { cpus: 15, gpus: 3, memoryGb: 114 });
   assert.deepEqual(told.unusedQuota.get('red' as TeamId), { cpus: 0, gpus: 7, memoryGb: 0 });
@@ -250,7 +250,7 @@
   });
   // An earlier version tells CPUs alone.
   const old = news.parts.map((p) => ({ ...p, besides: undefined }));
-  receive(peer as unknown as Core, JSON.parse(JSON.stringify({ ...news, parts: old })));
+  receiveMessage(peer as unknown as Core, JSON.parse(JSON.stringify({ ...news, parts: old })));
   assert.deepEqual(told.usage.get('red' as TeamId)?.gpus, 3, 'what was told before is kept apart');
   const again = (peer as unknown as Core).shardAnnouncements.get(shard.id);
   assert.deepEqual(again?.usage.get('red' as TeamId), { cpus: 15, gpus: 0, memoryGb: 0 });
@@ -260,19 +260,19 @@
   const ready = (amount: Resources) => new Map([['img', amount]]);
   const ctx = {
     now: NOW,
-    home: 0,
+    homeShard: 0,
     homeZone: 'east',
-    parts: [0, 1, 2].map((shard) => ({ part: shard, zone: 'east' })),
+    shards: [0, 1, 2].map((shard) => ({ part: shard, zone: 'east' })),
     zones: ['east'],
     types: [GPU_TYPE],
     freeCapacity: new Map(),
-    ready: new Map([
+    imageCapacity: new Map([
       [0, ready({ cpus: 200, gpus: 1, memoryGb: 900 })],
       [1, ready({ cpus: 60, gpus: 8, memoryGb: 500 })],
       [2, ready({ cpus: 100, gpus: 5, memoryGb: 900 })],
     ]),
     random: seededRandom(1),
-  } as unknown as AssignContext;
+  } as unknown as AssignmentContext;
   const parts = (tasks: number): string =>
     assignJob(plainSpec({ ...SERVICE, tasks, image: 'img' }), ctx)
       .map((a) => `${a.from}-${a.to} at ${a.shard}`)
@@ -341,14 +341,14 @@
   const ctx = {
     types: [GPU_TYPE, cpuType],
     zones: [],
-    home: 'east',
-    pending: [{ type: 'gpu', zone: 'east', spot: false }],
+    homeZone: 'east',
+    pendingMachines: [{ type: 'gpu', zone: 'east', spot: false }],
     runningTasks: 0,
-    correction: () => 1,
-    blocked: () => false,
-  } as unknown as RentContext;
+    runtimeCorrection: () => 1,
+    isBackedOff: () => false,
+  } as unknown as ScaleOutContext;
   const plan = (o: Partial<Record<keyof JobSpec, unknown>>, tasks: number): string =>
-    planRentals([{ spec: plainSpec(o), pin: null, count: tasks, waitedMs: 2000 }], ctx)
+    planScaleOut([{ spec: plainSpec(o), requiredZone: null, count: tasks, waitedMs: 2000 }], ctx)
       .map((w) => `${w.count} ${w.type}`)
       .join(', ');
   assert.equal(plan({ cpus: 5, gpus: 1 }, 8), '', 'the machine on its way has 8');
--- a/test/gang-waiting.test.ts
+++ b/test/gang-waiting.test.ts
@@ -115,7 +115,12 @@
   rounds.round();
   const now = rounds.clock() as never;
   const facts = { types: rounds.part.types, heartbeatIntervalMs: 1500 };
-  const { empty, emptying } = chooseTransfer(rounds.part, { ...REQUEST, ...changes }, facts as never, now);
+  const { empty, draining: emptying } = chooseTransfer(
+    rounds.part,
+    { ...REQUEST, ...changes },
+    facts as never,
+    now,
+  );
   return [empty.map((m) => m.id as string), emptying.map((m) => m.id as string)];
 }
 
--- a/test/overdue.test.ts
+++ b/test/overdue.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { UNLIMITED } from '../src/model/resources.js';
 import type { Reservation } from '../src/shards/model.js';
-import { OVERDUE_AFTER } from '../src/placement/round.js';
+import { OVERDUE_AFTER_MS } from '../src/scheduling/cycle.js';
 import { Rounds } from './standins/rounds.js';
 
 const CAPACITY = { cpus: 32, gpus: 8, memoryGb: 64 };
@@ -50,7 +50,7 @@
 
   const overdue = new Rounds(2, { capacity: CAPACITY, share });
   overdue.job('req-large', { gpus: 8 });
-  pass(overdue, OVERDUE_AFTER + ROUND);
+  pass(overdue, OVERDUE_AFTER_MS + ROUND);
   overdue.job('req-small', { gpus: 1, tasks: 10 });
   assert.equal(overdue.round(), 'nothing');
 });
--- a/test/returns.test.ts
+++ b/test/returns.test.ts
@@ -1,7 +1,12 @@
 /** Which machines go back when many are silent together: a wave is not a cut, and a cut is not a death. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { absentFrom, look, reasonToReturn, type ReturnContext } from '../src/fleet/returns.js';
+import {
+  unlistedCheck,
+  assessLiveness,
+  scaleInReason,
+  type ScaleInContext,
+} from '../src/autoscaling/scale-in.js';
 import { newMachine, Shard, type Machine } from '../src/shards/model.js';
 
 const NOW = 1_000_000;
@@ -39,21 +44,21 @@
   return shard;
 }
 
-function returned(shard: Shard, o: Partial<ReturnContext> = {}): string {
-  const ctx: ReturnContext = {
+function returned(shard: Shard, o: Partial<ScaleInContext> = {}): string {
+  const ctx: ScaleInContext = {
     now: NOW as never,
     reportMs: 2500,
-    idleReturn: 20_000 as never,
-    silentReturn: 75_000 as never,
-    wanted: true,
-    stateOk: true,
-    unlisted: () => false,
+    idleTimeout: 20_000 as never,
+    silenceTimeout: 75_000 as never,
+    hasPendingDemand: true,
+    storeHealthy: true,
+    isUnlisted: () => false,
     ...o,
   };
-  const sight = look(shard, ctx);
+  const sight = assessLiveness(shard, ctx);
   const count = new Map<string, number>();
   for (const m of shard.machines.values()) {
-    const why = reasonToReturn(shard, m, sight, ctx);
+    const why = scaleInReason(shard, m, sight, ctx);
     if (why) count.set(why, (count.get(why) ?? 0) + 1);
   }
   return [...count].map(([why, n]) => `${n} ${why}`).join(', ') || 'none';
@@ -65,7 +70,7 @@
   const cut = { ...wave, silentOrdinary: 60 };
   assert.equal(returned(partOf(cut)), 'none');
   const gone = new Set(['m-s003', 'm-s004'] as never[]);
-  assert.equal(returned(partOf(cut), { unlisted: (id) => gone.has(id as never) }), '2 not listed any more');
+  assert.equal(returned(partOf(cut), { isUnlisted: (id) => gone.has(id as never) }), '2 not listed any more');
   assert.equal(returned(partOf({ ...cut, silentMs: 80_000 })), 'none', 'twice the patience in a cut');
   assert.equal(returned(partOf({ ...cut, silentOrdinary: 1, silentSpot: 0, silentMs: 80_000 })), '1 silent');
 });
@@ -92,14 +97,16 @@
 test('an idle machine is not returned while the state service is away: its deletion would be carried out late', () => {
   const shard = partOf({ ordinary: 3, spot: 0, silentOrdinary: 0, silentSpot: 0, silentMs: 0 });
   for (const m of shard.machines.values()) m.idleSince = (NOW - 60_000) as never;
-  assert.equal(returned(shard, { wanted: false, stateOk: false }), 'none');
-  assert.equal(returned(shard, { wanted: false }), '2 idle', 'one stays');
+  assert.equal(returned(shard, { hasPendingDemand: false, storeHealthy: false }), 'none');
+  assert.equal(returned(shard, { hasPendingDemand: false }), '2 idle', 'one stays');
 });
 
 test('a machine is unlisted when the list shows one that came after it, longer ago than a list can be old', () => {
   const listed = (id: string, ageS: number): never => ({ id, ageS }) as never;
   const absent = (list: never[]): string =>
-    ['m-007', 'm-008', 'm-010', 'm-012'].filter((id) => absentFrom(list, 8 as never)(id as never)).join(' ');
+    ['m-007', 'm-008', 'm-010', 'm-012']
+      .filter((id) => unlistedCheck(list, 8 as never)(id as never))
+      .join(' ');
   const list = [listed('m-007', 100), listed('m-009', 60), listed('m-011', 20)];
   assert.equal(absent(list), 'm-008', 'm-010 may only be too new for the page it belongs on');
   assert.equal(absent([listed('m-011', 30)]), 'm-007 m-008 m-010');
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -4,12 +4,12 @@
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import type { Core } from '../src/core.js';
-import { Overflow } from '../src/overflow/hand-over.js';
+import { TaskTransferService } from '../src/overflow/task-transfer.js';
 import type { JobRecord } from '../src/jobs/record.js';
 import { silentLog } from '../src/log.js';
 import { Shard, syncJob, type ShardJob } from '../src/shards/model.js';
-import { planRound } from '../src/placement/plan.js';
-import type { PlanContext } from '../src/placement/round.js';
+import { planCycle } from '../src/scheduling/plan.js';
+import type { SchedulingContext } from '../src/scheduling/cycle.js';
 import { RangeSet } from '../src/model/ranges.js';
 import { EventQueue, Host } from '../src/simulation/clock.js';
 import type { Defect } from '../src/simulation/defects.js';
@@ -648,7 +648,7 @@
   let answer: (result: { kind: 'refused' }) => void = () => undefined;
   const core = {
     settings: { parts: [], zone: 'fjord', valueBytes: 1000 },
-    freeCapacity: new Map([[1, { part: 1, zone: 'fjord', expires: 99_000, machines }]]),
+    freeCapacity: new Map([[1, { shard: 1, zone: 'fjord', expiresAt: 99_000, machines }]]),
     random: () => 0,
     clock: { now: () => 10_000 },
     log: silentLog(),
@@ -657,10 +657,10 @@
     exclusive: (work: () => unknown) => Promise.resolve(work()),
     requestCycle: () => undefined,
   };
-  const overflow = new Overflow(core as unknown as Core);
-  overflow.consider(shard, [{ job, reason: 'room', indices: 'all' }]);
+  const overflow = new TaskTransferService(core as unknown as Core);
+  overflow.transferUnplaced(shard, [{ job, reason: 'room', indices: 'all' }]);
   assert.equal(job.handingOver.size, 2);
-  planRound(shard, { now: 10_000 } as unknown as PlanContext);
+  planCycle(shard, { now: 10_000 } as unknown as SchedulingContext);
   answer({ kind: 'refused' });
   await new Promise((resolve) => setImmediate(resolve));
   assert.equal(job.waiting.size, 2);
--- a/test/standins/rounds.ts
+++ b/test/standins/rounds.ts
@@ -12,8 +12,8 @@
   type Allocation,
   type Machine,
 } from '../../src/shards/model.js';
-import { planRound } from '../../src/placement/plan.js';
-import type { PlanContext } from '../../src/placement/round.js';
+import { planCycle } from '../../src/scheduling/plan.js';
+import type { SchedulingContext } from '../../src/scheduling/cycle.js';
 import { GuaranteedJobs } from '../../src/quota/guaranteed-jobs.js';
 import { RangeSet } from '../../src/model/ranges.js';
 import type { Team } from '../../src/settings/settings.js';
@@ -135,27 +135,27 @@
       now: this.now,
       types: this.types,
       teams: this.teams,
-      share: () => this.share,
-      usedElsewhere: () => this.elsewhere,
+      shardQuota: () => this.share,
+      usageOnOtherShards: () => this.elsewhere,
       guaranteed: (j: string) => this.guarantees.has(j as never),
-      latest: () => 1,
-      peerHasRoom: () => false,
-      correction: () => 1,
+      maxLatenessFactor: () => 1,
+      peerHasCapacity: () => false,
+      runtimeCorrection: () => 1,
       reportMs: 1500,
       gangWaitMs: 30_000,
-    } as unknown as PlanContext;
-    const plan = planRound(this.part, ctx);
+    } as unknown as SchedulingContext;
+    const plan = planCycle(this.part, ctx);
     const said: string[] = [];
     for (const s of plan.starts) {
       said.push(`start ${s.job.id}/${s.index} on ${s.machine.id}`);
       allocate(this.part, s.machine, this.running(s.job.spec, s.index, s.machine));
     }
-    for (const { binding } of plan.stops) {
+    for (const { allocation: binding } of plan.stops) {
       said.push(`stop ${binding.id}`);
       const machine = this.part.machines.get(binding.machine);
       if (machine) release(this.part, machine, binding);
     }
-    for (const h of plan.holds)
+    for (const h of plan.reservations)
       h.job.reservations.set(h.index, {
         machine: h.machine,
         reservedUntil: (this.now + 6000) as never,
--- a/test/waiting.test.ts
+++ b/test/waiting.test.ts
@@ -3,19 +3,19 @@
 import { test } from 'node:test';
 import type { MachineType } from '../src/cloud/wire.js';
 import type { Core } from '../src/core.js';
-import { assignJob, type AssignContext } from '../src/overflow/assignment.js';
+import { assignJob, type AssignmentContext } from '../src/overflow/assignment.js';
 import { freeCapacityOf } from '../src/overflow/announcement.js';
-import { chooseHandOver } from '../src/overflow/hand-over.js';
+import { chooseTaskTransfer } from '../src/overflow/task-transfer.js';
 import {
   chooseZoneReassignment,
-  REPIN_AFTER,
+  ZONE_REASSIGNMENT_DELAY_MS,
   type ZoneReassignment,
 } from '../src/overflow/zone-reassignment.js';
-import { capacityFor, seededRandom, type FreeCapacity } from '../src/overflow/peer-ranking.js';
+import { taskCapacity, seededRandom, type FreeCapacity } from '../src/overflow/peer-ranking.js';
 import { UNLIMITED, ZERO } from '../src/model/resources.js';
 import { newMachine, Shard, syncJob, type ShardJob } from '../src/shards/model.js';
-import { planRound } from '../src/placement/plan.js';
-import { OVERDUE_AFTER, type PlanContext } from '../src/placement/round.js';
+import { planCycle } from '../src/scheduling/plan.js';
+import { OVERDUE_AFTER_MS, type SchedulingContext } from '../src/scheduling/cycle.js';
 import { RangeSet } from '../src/model/ranges.js';
 import type { ShardId, SteadyMs, TeamId, ZoneId } from '../src/model/units.js';
 import { settle } from './standins/clock.js';
@@ -38,7 +38,7 @@
 const offer = (shard: number, zone: string, cpus: number): FreeCapacity => {
   const machines =
     cpus > 0 ? [{ type: 'large', zone, spot: false, cpus, gpus: 0, memoryGb: 64, count: 1 }] : [];
-  return { part: shard, zone, expires: NOW + 9000, machines } as unknown as FreeCapacity;
+  return { shard: shard, zone, expiresAt: NOW + 9000, machines } as unknown as FreeCapacity;
 };
 
 /** A part in the east with so many machines there, and one job whose tasks are entrusted as given. */
@@ -72,7 +72,7 @@
     heartbeatIntervalMs: 1500,
     gangWaitMs: 30_000,
     types: TYPES,
-    freeCapacity: new Map(offers.map((o) => [o.part, o])),
+    freeCapacity: new Map(offers.map((o) => [o.shard, o])),
     random: seededRandom(1),
   }) as unknown as Core;
 
@@ -80,18 +80,18 @@
   const types = [typeIn('common', 'east', 'west'), typeIn('rare', 'west')];
   const ctx = {
     now: NOW,
-    home: 0,
+    homeShard: 0,
     homeZone: EAST,
-    parts: [
+    shards: [
       { part: 0, zone: EAST },
       { part: 1, zone: WEST },
     ],
     zones: [EAST, WEST],
     types,
     freeCapacity: new Map(),
-    ready: new Map(),
+    imageCapacity: new Map(),
     random: seededRandom(1),
-  } as unknown as AssignContext;
+  } as unknown as AssignmentContext;
   const together = assignJob(plainSpec({ tasks: 4, oneZone: true, types: ['rare'] }), ctx);
   assert.deepEqual(together, [{ from: 0, to: 4, shard: 1, zone: WEST }]);
   const apart = assignJob(plainSpec({ tasks: 4, spread: true, types: ['rare'] }), ctx);
@@ -113,16 +113,16 @@
     now: NOW,
     types: TYPES,
     teams: new Map(),
-    share: () => ({ cpus: 2000, gpus: 0, memoryGb: Infinity }),
-    usedElsewhere: () => 0,
+    shardQuota: () => ({ cpus: 2000, gpus: 0, memoryGb: Infinity }),
+    usageOnOtherShards: () => 0,
     guaranteed: () => false,
-    peerHasRoom: () => false,
-    latest: () => 1,
-    correction: () => 1,
+    peerHasCapacity: () => false,
+    maxLatenessFactor: () => 1,
+    runtimeCorrection: () => 1,
     reportMs: 1500,
     gangWaitMs: 30_000,
-  } as unknown as PlanContext;
-  const plan = planRound(shard, ctx);
+  } as unknown as SchedulingContext;
+  const plan = planCycle(shard, ctx);
   assert.deepEqual(
     plan.starts.map((s) => s.index),
     [300, 301, 302, 303, 304, 305, 306, 307],
@@ -137,19 +137,19 @@
     [2, 4, 0, 'west'],
   ]);
   const unplaced = [{ job, reason: 'room' as const, indices: [0, 1, 2, 3] }];
-  const choice = chooseHandOver(core([offer(1, 'west', 8)]), shard, unplaced, NOW);
+  const choice = chooseTaskTransfer(core([offer(1, 'west', 8)]), shard, unplaced, NOW);
   assert.deepEqual(choice?.tasks.ranges(), [[2, 4]]);
-  assert.equal(choice.to, 1);
+  assert.equal(choice.receivingShard, 1);
 });
 
 test('what waits here for another zone, or backs off, does not hide this part’s room from peers', () => {
   const ask = plainSpec({ id: 'req-2' });
   const elsewhere = partWith(2, { tasks: 50, spread: true }, [[0, 50, 0, 'west']]);
-  assert.equal(capacityFor(freeCapacityOf(core([]), elsewhere.part), ask, null), 8);
+  assert.equal(taskCapacity(freeCapacityOf(core([]), elsewhere.part), ask, null), 8);
   const here = partWith(2, { tasks: 50, spread: true }, [[0, 50, 0, 'east']]);
-  assert.equal(capacityFor(freeCapacityOf(core([]), here.part), ask, null), 0);
+  assert.equal(taskCapacity(freeCapacityOf(core([]), here.part), ask, null), 0);
   here.job.backoffUntil = (NOW + 20_000) as SteadyMs;
-  assert.equal(capacityFor(freeCapacityOf(core([]), here.part), ask, null), 8);
+  assert.equal(taskCapacity(freeCapacityOf(core([]), here.part), ask, null), 8);
 });
 
 test('waiting tasks change their zone only where the job may have more, none is running, and after a while', () => {
@@ -158,13 +158,13 @@
     homeZone: EAST,
     zones: [EAST, WEST],
     types: [typeIn('large', 'east', 'west')],
-    freeCapacity: new Map(offers.map((o) => [o.part, o])),
+    freeCapacity: new Map(offers.map((o) => [o.shard, o])),
     random: seededRandom(1),
   });
   const choose = (
     job: ShardJob,
     at: ReturnType<typeof ctx>,
-    waited = REPIN_AFTER,
+    waited = ZONE_REASSIGNMENT_DELAY_MS,
     shard = HERE,
   ): ZoneReassignment | null => {
     job.waitingSince = (NOW - waited) as SteadyMs;
@@ -176,8 +176,8 @@
     [2, 3, 0, 'east'],
   ]).job;
   const moved = choose(apart, east);
-  assert.deepEqual([moved?.tasks.ranges(), moved?.zone, moved?.part], [[[0, 1]], EAST, 0]);
-  assert.equal(choose(apart, east, REPIN_AFTER - 1), null, 'its zone may have room soon');
+  assert.deepEqual([moved?.tasks.ranges(), moved?.zone, moved?.shard], [[[0, 1]], EAST, 0]);
+  assert.equal(choose(apart, east, ZONE_REASSIGNMENT_DELAY_MS - 1), null, 'its zone may have room soon');
   assert.equal(choose(apart, ctx(offer(0, 'east', 1))), null, 'no room there');
   apart.waiting.removeRange(0, 2);
   assert.equal(choose(apart, east), null, 'on a machine, or perhaps');
@@ -195,8 +195,8 @@
     [1, 3, 1, 'west'],
   ]).job;
   assert.equal(choose(split, east), null, 'the others may run on the other part');
-  const gathers = choose(split, east, REPIN_AFTER, 2 as ShardId);
-  assert.deepEqual([gathers?.tasks.ranges(), gathers?.zone, gathers?.part], [[[0, 1]], WEST, 0]);
+  const gathers = choose(split, east, ZONE_REASSIGNMENT_DELAY_MS, 2 as ShardId);
+  assert.deepEqual([gathers?.tasks.ranges(), gathers?.zone, gathers?.shard], [[[0, 1]], WEST, 0]);
   const bound = partWith(0, { tasks: 3, oneZone: true, zone: 'west' }, [[0, 3, 0, 'west']]).job;
   assert.equal(choose(bound, east), null, 'the owner named the zone');
 });
@@ -312,25 +312,25 @@
   const starts = (ageMs: number): string[] => {
     shard.jobs.delete('req-large' as never);
     syncJob(shard, record, 2 as never, NOW, false, ageMs as never);
-    const plan = planRound(shard, {
+    const plan = planCycle(shard, {
       now: NOW,
       types: TYPES,
       teams: new Map(),
-      share: () => ({ ...UNLIMITED, cpus: 7, gpus: 0 }),
-      usedElsewhere: () => ZERO,
+      shardQuota: () => ({ ...UNLIMITED, cpus: 7, gpus: 0 }),
+      usageOnOtherShards: () => ZERO,
       guaranteed: () => false,
-      peerHasRoom: () => false,
-      latest: () => 1,
-      correction: () => 1,
+      peerHasCapacity: () => false,
+      maxLatenessFactor: () => 1,
+      runtimeCorrection: () => 1,
       reportMs: 1500,
       gangWaitMs: 30_000,
     });
-    shard.quotaReservations = plan.gathering;
+    shard.quotaReservations = plan.quotaReservations;
     return plan.starts.map((s) => s.job.id);
   };
   assert.equal(starts(1000).length, 3);
   assert.equal(shard.quotaReservations.size, 0);
-  assert.deepEqual(starts(OVERDUE_AFTER + 1), []);
+  assert.deepEqual(starts(OVERDUE_AFTER_MS + 1), []);
   assert.deepEqual([...shard.quotaReservations], [[RED, { cpus: 8, gpus: 0, memoryGb: 1 }]]);
 });
 
