--- a/dependency-cruiser.config.js
+++ b/dependency-cruiser.config.js
@@ -7,8 +7,8 @@
 const LAYERS = {
   // Ids, units, ranges, and the types of jobs and their records.
   model: '^src/(model/|jobs/(spec|record|codec|stored-size)\\.ts)',
-  settings: '^src/(settings|logging|metrics)/|^src/log\\.ts',
-  transports: '^src/(http|mesh|peers)/',
+  settings: '^src/(settings|logging)/',
+  transports: '^src/(http|peers)/',
   clients: '^src/(store|cloud)/',
   shards: '^src/(shards|leadership)/',
   // What the slices of one controller share.
--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -1,5 +1,5 @@
 /** Rents machines for what finds no room, returns idle, taken, failed and silent ones. */
-import type { Listed, RentRequest } from '../cloud/wire.js';
+import type { ListedMachine, ScaleOutRequest } from '../cloud/wire.js';
 import type { Core } from '../core.js';
 import { requiredZone, type Machine, type Shard } from '../shards/model.js';
 import { decodeMachineRecord, machineKey } from '../shards/codec.js';
@@ -118,20 +118,20 @@
     this.requestCount += 1;
     // Part and token are nobody else's: the name is never used again.
     const rental = `c${shard.id}-${shard.fencingToken}-${this.requestCount}` as RentalId;
-    void this.requestMachines(shard.id, { ...decision, rental }).finally(() =>
+    void this.requestMachines(shard.id, { ...decision, idempotencyKey: rental }).finally(() =>
       this.shardsScalingOut.delete(shard.id),
     );
   }
 
-  private async requestMachines(shard: ShardId, request: RentRequest): Promise<void> {
+  private async requestMachines(shard: ShardId, request: ScaleOutRequest): Promise<void> {
     const { core } = this;
     for (let i = 0; i < 4; i += 1) {
-      const result = await core.cloud.rent(request);
+      const result = await core.cloud.scaleOut(request);
       const now = core.clock.now();
       if (result.kind === 'rented') {
         for (const id of result.machines) {
           this.pendingMachines.set(id, {
-            shard: shard,
+            shard,
             id,
             requestedAt: now,
             type: request.type,
@@ -164,15 +164,15 @@
   private scaleInContext(shard: Shard, now: SteadyMs): ScaleInContext {
     const { heartbeatIntervalMs: reportMs, tuning } = this.core;
     const hasPendingDemand = (this.demands.get(shard.id) ?? []).length > 0;
-    const { idleReturn, silentReturn } = tuning;
+    const { idleMachineTimeout: idleReturn, silentMachineTimeout: silentReturn } = tuning;
     const storeHealthy = this.core.storeHealthy();
     return {
       now,
       reportMs,
       idleTimeout: idleReturn,
       silenceTimeout: silentReturn,
-      hasPendingDemand: hasPendingDemand,
-      storeHealthy: storeHealthy,
+      hasPendingDemand,
+      storeHealthy,
       isUnlisted: this.isUnlisted,
     };
   }
@@ -226,7 +226,7 @@
       const ids: MachineId[] = [];
       const outcome = this.core.sleep(DELETION_BATCH_WINDOW).then(() => {
         if (this.deletionBatch?.ids === ids) this.deletionBatch = null;
-        return this.core.cloud.giveBack(ids);
+        return this.core.cloud.scaleIn(ids);
       });
       this.deletionBatch = { ids, outcome };
     }
@@ -238,12 +238,12 @@
   async runListing(): Promise<never> {
     for (;;) {
       await this.core.sleep(millis(LIST_INTERVAL * (0.8 + this.core.random(400) / 1000)));
-      const listed = await this.core.cloud.list();
+      const listed = await this.core.cloud.listMachines();
       if (listed) await this.reviewListing(listed);
     }
   }
 
-  private async reviewListing(listed: readonly Listed[]): Promise<void> {
+  private async reviewListing(listed: readonly ListedMachine[]): Promise<void> {
     const { core } = this;
     const now = core.clock.now();
     // Without a current view every machine looks like nobody's: a process that starts while the state service is away
@@ -286,7 +286,7 @@
     }
     if (unusedIds.length === 0) return;
     core.log.info({ machines: unusedIds }, 'returning machines that nobody uses');
-    if (await core.cloud.giveBack(unusedIds)) for (const id of unusedIds) this.forgetPending(id);
+    if (await core.cloud.scaleIn(unusedIds)) for (const id of unusedIds) this.forgetPending(id);
   }
 
   private unusedForMs(id: MachineId, now: SteadyMs): number {
--- a/src/autoscaling/instance-types.ts
+++ b/src/autoscaling/instance-types.ts
@@ -1,5 +1,5 @@
 /** Which machine types there are: asked of the cloud, and kept in the state service for a start without it. */
-import type { MachineType } from '../cloud/wire.js';
+import type { InstanceType } from '../cloud/wire.js';
 import type { Core } from '../core.js';
 import { decodeCatalog, encodeCatalog } from './codec.js';
 import { CATALOG_KEY } from '../shards/codec.js';
@@ -23,7 +23,7 @@
   private async refresh(): Promise<void> {
     const { core } = this;
     if (core.types.size === 0) this.loadStoredTypes();
-    const types = await core.cloud.catalog();
+    const types = await core.cloud.listInstanceTypes();
     if (!types || types.length === 0) return;
     this.refreshedAt = core.clock.now();
     this.applyTypes(types);
@@ -37,20 +37,20 @@
     if (types) this.applyTypes(types);
   }
 
-  private applyTypes(types: readonly MachineType[]): void {
+  private applyTypes(types: readonly InstanceType[]): void {
     for (const type of types) this.core.types.set(type.name, type);
     for (const shard of this.core.shards.values()) shard.refreshFreeCapacity();
     this.core.requestCycle();
   }
 
-  private async storeTypes(types: readonly MachineType[]): Promise<void> {
+  private async storeTypes(types: readonly InstanceType[]): Promise<void> {
     const { core } = this;
     const stored = core.storeCache.get(CATALOG_KEY);
-    const names = (list: readonly MachineType[] | null): string =>
+    const names = (list: readonly InstanceType[] | null): string =>
       JSON.stringify(list?.map((t) => [t.name, t.cpus, t.gpus, t.memoryGb, t.zones]));
     if (!core.storeCache.loaded || (stored && names(decodeCatalog(stored.value)) === names(types))) return;
     const value = encodeCatalog(types);
-    if (Buffer.byteLength(JSON.stringify(value)) > core.settings.valueBytes) return;
+    if (Buffer.byteLength(JSON.stringify(value)) > core.settings.maxValueBytes) return;
     const version = core.storeCache.version(CATALOG_KEY);
     await core.store.compareAndSwap(
       [{ key: CATALOG_KEY, version }],
--- a/src/autoscaling/scale-in.ts
+++ b/src/autoscaling/scale-in.ts
@@ -2,7 +2,7 @@
  * Which machines go back, and why. Pure: it reads one part as it was seen in one look. What is merely cut off is not
  * dead: hundreds may lose the network in the same second, and must be neither returned wholesale nor replaced.
  */
-import type { Listed } from '../cloud/wire.js';
+import type { ListedMachine } from '../cloud/wire.js';
 import type { Machine, Shard } from '../shards/model.js';
 import type { MachineId, Millis, Seconds, SteadyMs, ZoneId } from '../model/units.js';
 
@@ -60,9 +60,9 @@
   }
   const maxSilentOnDemand = Math.max(1, Math.floor(shard.machines.size * MAX_SILENT_FRACTION));
   return {
-    heardByZone: heardByZone,
-    heardMachineIds: heardMachineIds,
-    maxSilentOnDemand: maxSilentOnDemand,
+    heardByZone,
+    heardMachineIds,
+    maxSilentOnDemand,
     ...counts,
   };
 }
@@ -171,7 +171,10 @@
  * Whether the list would show a machine if it still was there: it shows one that came after it, and did so longer ago
  * than any page of the list can be old.
  */
-export function unlistedCheck(listed: readonly Listed[], listLagS: Seconds): (id: MachineId) => boolean {
+export function unlistedCheck(
+  listed: readonly ListedMachine[],
+  listLagS: Seconds,
+): (id: MachineId) => boolean {
   const listedIds = new Set<MachineId>();
   let newestSettled: MachineId | null = null;
   for (const machine of listed) {
--- a/src/autoscaling/scale-out-plan.ts
+++ b/src/autoscaling/scale-out-plan.ts
@@ -1,5 +1,5 @@
 /** What to rent for tasks that found no room. Pure. */
-import type { MachineType } from '../cloud/wire.js';
+import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import { Priority } from '../jobs/spec.js';
 import { addTo, fits, taskSlots, type MutableResources } from '../model/resources.js';
@@ -27,7 +27,7 @@
   `${kind.type}/${kind.zone}/${kind.spot ? 'spot' : 'ordinary'}`;
 
 export interface ScaleOutContext {
-  readonly types: readonly MachineType[];
+  readonly types: readonly InstanceType[];
   readonly zones: readonly ZoneId[];
   readonly homeZone: ZoneId;
   /** Machines on their way. */
@@ -43,7 +43,7 @@
 /** The cloud takes no more in one request. */
 const MAX_MACHINES_PER_REQUEST = 50;
 
-const typeResources = (type: MachineType): MutableResources => ({
+const typeResources = (type: InstanceType): MutableResources => ({
   cpus: type.cpus,
   gpus: type.gpus,
   memoryGb: type.memoryGb,
@@ -86,8 +86,8 @@
   demand: CapacityDemand,
   count: number,
   context: ScaleOutContext,
-): { kind: MachineKind; type: MachineType; tasksPerMachine: number }[] {
-  const found: { kind: MachineKind; type: MachineType; tasksPerMachine: number; cost: number }[] = [];
+): { kind: MachineKind; type: InstanceType; tasksPerMachine: number }[] {
+  const found: { kind: MachineKind; type: InstanceType; tasksPerMachine: number; cost: number }[] = [];
   for (const type of context.types) {
     const tasksPerMachine = taskSlots(type, demand.spec);
     if (tasksPerMachine < 1) continue;
@@ -101,7 +101,7 @@
         found.push({
           kind,
           type,
-          tasksPerMachine: tasksPerMachine,
+          tasksPerMachine,
           cost: (price / Math.min(tasksPerMachine, count)) * distanceFactor,
         });
       }
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -2,22 +2,28 @@
 import { readFileSync } from 'node:fs';
 import { Command, CommanderError } from 'commander';
 import { Controller, networkPorts } from '../controller.js';
-import { openLog } from '../log.js';
-import { TUNING_OPTIONS, loadSettings, loadTuning, logLevelOf, SettingsError } from '../settings/settings.js';
+import { openLog } from '../logging/log.js';
+import {
+  TUNING_PROPERTIES,
+  loadSettings,
+  loadTuning,
+  parseLogLevel,
+  SettingsError,
+} from '../settings/settings.js';
 import { systemClock } from '../model/units.js';
-import { CommandFailed } from './command-failed.js';
+import { CommandError } from './command-error.js';
 
-const BAD_SETTINGS = 2;
+const INVALID_USAGE_EXIT_CODE = 2;
 
-interface Options {
+interface CommandOptions {
   readonly config: string;
   readonly properties?: string;
 }
 
-function version(): string {
-  for (const up of ['../../package.json', '../../../package.json']) {
+function readVersion(): string {
+  for (const relativePath of ['../../package.json', '../../../package.json']) {
     try {
-      const text = readFileSync(new URL(up, import.meta.url), 'utf8');
+      const text = readFileSync(new URL(relativePath, import.meta.url), 'utf8');
       return (JSON.parse(text) as { version: string }).version;
     } catch {
       // One level further up when built.
@@ -26,55 +32,56 @@
   return 'unknown';
 }
 
-async function serve(options: Options): Promise<void> {
-  const level = logLevelOf(process.env['LOG_LEVEL']);
+async function serve(options: CommandOptions): Promise<void> {
+  const level = parseLogLevel(process.env['LOG_LEVEL']);
   const settings = loadSettings(options.config);
   const tuning = loadTuning(options.properties);
   const log = openLog(level, settings.node);
   await new Controller(settings, tuning, systemClock, log, networkPorts(settings, log)).run();
 }
 
-function check(options: Options): void {
-  logLevelOf(process.env['LOG_LEVEL']);
+function checkSettings(options: CommandOptions): void {
+  parseLogLevel(process.env['LOG_LEVEL']);
   const settings = loadSettings(options.config);
   loadTuning(options.properties);
   process.stdout.write(
-    `${options.config}: valid (controller ${settings.node}, ${settings.parts.length} parts)\n`,
+    `${options.config}: valid (controller ${settings.node}, ${settings.shards.length} parts)\n`,
   );
 }
 
-function tuningHelp(): string {
-  const lines = TUNING_OPTIONS.map(
-    (k) => `  ${k.key.padEnd(26)} ${k.about} (${k.min} to ${k.max}, else ${k.fallback})`,
+function propertiesHelp(): string {
+  const lines = TUNING_PROPERTIES.map(
+    (property) =>
+      `  ${property.propertyName.padEnd(26)} ${property.description} (${property.min} to ${property.max}, else ${property.defaultValue})`,
   );
   return `\nOperators' properties:\n${lines.join('\n')}\n`;
 }
 
 /** The simulator is loaded only when it or the help is asked for: `serve` does not pay for it. */
-async function addSimulate(cli: Command, command: string | undefined): Promise<void> {
+async function loadSimulateCommands(cli: Command, command: string | undefined): Promise<void> {
   if (command === 'serve' || command === 'check') return;
   const { addSimulateCommands } = await import('./simulate.js');
   addSimulateCommands(cli);
 }
 
-function program(): Command {
+function buildProgram(): Command {
   const cli = new Command('cleatport');
   cli.description('Cluster scheduler: a flock of controllers that place tasks on rented machines');
-  cli.version(version()).exitOverride().configureHelp({ showGlobalOptions: true });
+  cli.version(readVersion()).exitOverride().configureHelp({ showGlobalOptions: true });
   cli.addHelpText(
     'after',
     '\nLOG_LEVEL (error, info, debug; else info) sets what is logged to standard error.',
   );
-  for (const [name, about, run] of [
+  for (const [name, description, run] of [
     ['serve', 'run a controller until it is killed', serve],
-    ['check', 'check the settings and end', check],
+    ['check', 'check the settings and end', checkSettings],
   ] as const) {
     cli
       .command(name)
-      .description(about)
+      .description(description)
       .requiredOption('--config <file>', 'the settings file that the platform hands over (TOML)')
       .option('--properties <file>', "operators' own settings (.properties)")
-      .addHelpText('after', tuningHelp())
+      .addHelpText('after', propertiesHelp())
       .exitOverride()
       .action(run);
   }
@@ -83,18 +90,18 @@
 
 export async function main(argv: readonly string[]): Promise<number> {
   try {
-    const cli = program();
-    await addSimulate(cli, argv[2]);
+    const cli = buildProgram();
+    await loadSimulateCommands(cli, argv[2]);
     await cli.parseAsync([...argv]);
     return 0;
-  } catch (e) {
-    if (e instanceof CommanderError) return e.exitCode === 0 ? 0 : BAD_SETTINGS;
-    if (e instanceof CommandFailed) {
-      process.stderr.write(`cleatport: ${e.message}\n`);
-      return e.code;
+  } catch (error) {
+    if (error instanceof CommanderError) return error.exitCode === 0 ? 0 : INVALID_USAGE_EXIT_CODE;
+    if (error instanceof CommandError) {
+      process.stderr.write(`cleatport: ${error.message}\n`);
+      return error.exitCode;
     }
-    const text = e instanceof SettingsError ? e.message : `start failed: ${(e as Error).message}`;
+    const text = error instanceof SettingsError ? error.message : `start failed: ${(error as Error).message}`;
     process.stderr.write(`cleatport: ${text}\n`);
-    return e instanceof SettingsError ? BAD_SETTINGS : 1;
+    return error instanceof SettingsError ? INVALID_USAGE_EXIT_CODE : 1;
   }
 }
--- a/src/cli/command-failed.ts
+++ b/src/cli/command-error.ts
@@ -1,8 +1,8 @@
 /** A command that ends with a code of its own and one line about why. */
-export class CommandFailed extends Error {
+export class CommandError extends Error {
   constructor(
     message: string,
-    readonly code: number,
+    readonly exitCode: number,
   ) {
     super(message);
   }
--- a/src/cli/simulate.ts
+++ b/src/cli/simulate.ts
@@ -3,16 +3,16 @@
 import { join } from 'node:path';
 import type { Command } from 'commander';
 import { InvalidArgumentError, Option } from 'commander';
-import { logLevelOf, type LogLevel } from '../settings/settings.js';
+import { parseLogLevel, type LogLevel } from '../settings/settings.js';
 import { fuzz } from '../simulation/fuzz.js';
 import type { FuzzOutcome } from '../simulation/fuzz-run.js';
-import { RULES, type Rule } from '../simulation/judge.js';
+import { RULES, type Rule } from '../simulation/invariant-checker.js';
 import { parseScenario, ScenarioError, type Scenario } from '../simulation/scenario.js';
 import { Simulation, type SimulationResult } from '../simulation/simulation.js';
-import { CommandFailed } from './command-failed.js';
+import { CommandError } from './command-error.js';
 
-const RULE_BROKEN = 1;
-const BAD_SCENARIO = 2;
+const RULE_VIOLATED_EXIT_CODE = 1;
+const INVALID_SCENARIO_EXIT_CODE = 2;
 
 interface RunOptions {
   readonly seed?: number;
@@ -31,19 +31,19 @@
   readonly json?: boolean;
 }
 
-function wholeNumber(text: string): number {
-  const n = Number(text);
+function parseWholeNumber(text: string): number {
+  const value = Number(text);
   if (!/^\d{1,9}$/.test(text)) throw new InvalidArgumentError('expected a whole number');
-  return n;
+  return value;
 }
 
-function seconds(text: string): number {
-  const n = Number(text);
-  if (!(n > 0)) throw new InvalidArgumentError('expected seconds, more than 0');
-  return n;
+function parseSeconds(text: string): number {
+  const value = Number(text);
+  if (!(value > 0)) throw new InvalidArgumentError('expected seconds, more than 0');
+  return value;
 }
 
-function rulesIn(text: string): Rule[] {
+function parseRules(text: string): Rule[] {
   return text.split(',').map((name) => {
     const rule = RULES.find((r) => r === name.trim());
     if (!rule) throw new InvalidArgumentError(`expected some of ${RULES.join(', ')}`);
@@ -51,37 +51,41 @@
   });
 }
 
-function load(file: string): Scenario {
+function loadScenario(file: string): Scenario {
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
-  } catch (e) {
-    const code = (e as NodeJS.ErrnoException).code ?? 'error';
-    throw new CommandFailed(`${file}: expected a readable file (${code})`, BAD_SCENARIO);
+  } catch (error) {
+    const code = (error as NodeJS.ErrnoException).code ?? 'error';
+    throw new CommandError(`${file}: expected a readable file (${code})`, INVALID_SCENARIO_EXIT_CODE);
   }
   try {
     return parseScenario(text, file);
-  } catch (e) {
-    if (e instanceof ScenarioError) throw new CommandFailed(e.message, BAD_SCENARIO);
-    throw e;
+  } catch (error) {
+    if (error instanceof ScenarioError) throw new CommandError(error.message, INVALID_SCENARIO_EXIT_CODE);
+    throw error;
   }
 }
 
-const print = (line: string): void => void process.stdout.write(`${line}\n`);
+const printLine = (line: string): void => void process.stdout.write(`${line}\n`);
 
 function printResult(result: SimulationResult, elapsedS: number): void {
-  print(`${result.scenario}: seed ${result.seed}, ${result.simulatedS.toFixed(1)} s simulated`);
-  print(`  ${result.events} events, ${(result.simulatedS / elapsedS).toFixed(0)} simulated seconds a second`);
-  for (const [name, value] of Object.entries(result.figures)) print(`  ${name.padEnd(18)} ${value}`);
-  print(`  trace ${result.hash}`);
-  for (const v of result.violations)
-    print(`BROKEN ${v.rule} at ${v.atS.toFixed(3)} s (event ${v.event}): ${v.detail}`);
-  if (result.violations.length === 0) print('no rule broken');
+  printLine(`${result.scenario}: seed ${result.seed}, ${result.simulatedS.toFixed(1)} s simulated`);
+  printLine(
+    `  ${result.events} events, ${(result.simulatedS / elapsedS).toFixed(0)} simulated seconds a second`,
+  );
+  for (const [name, value] of Object.entries(result.figures)) printLine(`  ${name.padEnd(18)} ${value}`);
+  printLine(`  trace ${result.hash}`);
+  for (const violation of result.violations)
+    printLine(
+      `BROKEN ${violation.rule} at ${violation.atS.toFixed(3)} s (event ${violation.event}): ${violation.detail}`,
+    );
+  if (result.violations.length === 0) printLine('no rule broken');
 }
 
 async function runScenario(file: string, options: RunOptions): Promise<void> {
-  const scenario = load(file);
-  const began = performance.now();
+  const scenario = loadScenario(file);
+  const startedAt = performance.now();
   const result = await new Simulation(scenario, {
     seed: options.seed ?? scenario.seed,
     keepTrace: options.trace !== undefined,
@@ -90,10 +94,10 @@
   }).run();
   const { trace, ...summary } = result;
   if (options.trace !== undefined) writeFileSync(options.trace, `${trace.join('\n')}\n`);
-  if (options.json) print(JSON.stringify(summary));
-  else printResult(result, (performance.now() - began) / 1000);
+  if (options.json) printLine(JSON.stringify(summary));
+  else printResult(result, (performance.now() - startedAt) / 1000);
   const first = result.violations[0];
-  if (first) throw new CommandFailed(`rule broken: ${first.rule}`, RULE_BROKEN);
+  if (first) throw new CommandError(`rule broken: ${first.rule}`, RULE_VIOLATED_EXIT_CODE);
 }
 
 /** Writes what was found, and says where; `--json` prints one line a schedule in place of text. */
@@ -105,17 +109,18 @@
     file = join(options.out, `${finding.violation.rule}-${seed}.toml`);
     writeFileSync(file, finding.file);
   }
-  if (options.json) return print(JSON.stringify({ ...outcome, finding: finding && { ...finding, file } }));
-  if (error) print(`seed ${seed}: the run failed: ${error}`);
+  if (options.json)
+    return printLine(JSON.stringify({ ...outcome, finding: finding && { ...finding, file } }));
+  if (error) printLine(`seed ${seed}: the run failed: ${error}`);
   if (!finding) return;
   const faults = finding.faults.length === 0 ? 'no fault' : finding.faults.join(', ');
-  print(`seed ${seed}: ${finding.violation.rule}: ${finding.violation.detail}`);
-  print(`  shrunk to ${faults}: ${file}`);
+  printLine(`seed ${seed}: ${finding.violation.rule}: ${finding.violation.detail}`);
+  printLine(`  shrunk to ${faults}: ${file}`);
 }
 
 async function runFuzz(file: string | undefined, options: FuzzCommandOptions): Promise<void> {
-  const base = file === undefined ? null : load(file);
-  const began = performance.now();
+  const base = file === undefined ? null : loadScenario(file);
+  const startedAt = performance.now();
   let finished = 0;
   const outcomes = await fuzz({
     firstSeed: options.seed,
@@ -129,18 +134,19 @@
       reportOutcome(outcome, options);
     },
   });
-  const elapsedS = (performance.now() - began) / 1000;
+  const elapsedS = (performance.now() - startedAt) / 1000;
   const broken = outcomes.filter((o) => o.finding !== null).length;
   const failed = outcomes.filter((o) => o.error !== null).length;
   const simulatedS = outcomes.reduce((sum, o) => sum + o.simulatedS, 0);
   const summary = { runs: outcomes.length, broken, failed, simulatedS, elapsedS };
-  if (options.json) print(JSON.stringify(summary));
+  if (options.json) printLine(JSON.stringify(summary));
   else
-    print(
+    printLine(
       `${summary.runs} schedules, ${broken} broke a rule, ${failed} failed to run; ` +
         `${simulatedS.toFixed(0)} simulated seconds in ${elapsedS.toFixed(1)} s`,
     );
-  if (broken + failed > 0) throw new CommandFailed(`${broken} broke a rule, ${failed} failed`, RULE_BROKEN);
+  if (broken + failed > 0)
+    throw new CommandError(`${broken} broke a rule, ${failed} failed`, RULE_VIOLATED_EXIT_CODE);
 }
 
 const RUN_EXAMPLES = `
@@ -165,9 +171,9 @@
   simulate
     .command('run <file>')
     .description('run one scenario and judge every rule')
-    .option('--seed <number>', "in place of the file's", wholeNumber)
-    .option('--until <seconds>', 'end earlier', seconds)
-    .addOption(new Option('--log <level>', "controllers' logs, to standard error").argParser(logLevelOf))
+    .option('--seed <number>', "in place of the file's", parseWholeNumber)
+    .option('--until <seconds>', 'end earlier', parseSeconds)
+    .addOption(new Option('--log <level>', "controllers' logs, to standard error").argParser(parseLogLevel))
     .option('--trace <file>', 'write the history')
     .option('--json', 'print the result as JSON')
     .addHelpText('after', RUN_EXAMPLES)
@@ -176,10 +182,10 @@
   simulate
     .command('fuzz [file]')
     .description('run random schedules of faults; shrink and keep those that break a rule')
-    .option('--runs <number>', 'how many schedules', wholeNumber, 100)
-    .option('--jobs <number>', 'processes at once', wholeNumber, 3)
-    .option('--seed <number>', 'the first seed', wholeNumber, 1)
-    .option('--rules <list>', 'only these rules count, separated by commas', rulesIn, [...RULES])
+    .option('--runs <number>', 'how many schedules', parseWholeNumber, 100)
+    .option('--jobs <number>', 'processes at once', parseWholeNumber, 3)
+    .option('--seed <number>', 'the first seed', parseWholeNumber, 1)
+    .option('--rules <list>', 'only these rules count, separated by commas', parseRules, [...RULES])
     .option('--out <directory>', 'where shrunk scenarios are written', 'fuzz-findings')
     .option('--json', 'print one JSON line a schedule')
     .addHelpText('after', FUZZ_EXAMPLES)
--- a/src/cloud/wire.ts
+++ b/src/cloud/wire.ts
@@ -2,7 +2,7 @@
 import * as v from 'valibot';
 import type { Address, MachineId, RentalId, Seconds, InstanceTypeId, ZoneId } from '../model/units.js';
 
-export interface MachineType {
+export interface InstanceType {
   readonly name: InstanceTypeId;
   readonly cpus: number;
   readonly gpus: number;
@@ -15,7 +15,7 @@
   readonly zones: readonly ZoneId[];
 }
 
-export interface Listed {
+export interface ListedMachine {
   readonly id: MachineId;
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
@@ -25,33 +25,33 @@
   readonly ageS: Seconds;
 }
 
-export interface RentRequest {
-  readonly rental: RentalId;
+export interface ScaleOutRequest {
+  readonly idempotencyKey: RentalId;
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
   readonly count: number;
 }
 
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
-const catalog = v.object({
+const nonNegativeNumber = v.pipe(v.number(), v.finite(), v.minValue(0));
+const catalogSchema = v.object({
   hulls: v.array(
     v.object({
       name: v.string(),
-      vcpus: amount,
-      cards: v.optional(amount, 0),
-      memoryGb: amount,
-      cacheGb: amount,
-      pullGbPerS: amount,
-      rate: amount,
-      lowPrice: amount,
-      startupS: amount,
+      vcpus: nonNegativeNumber,
+      cards: v.optional(nonNegativeNumber, 0),
+      memoryGb: nonNegativeNumber,
+      cacheGb: nonNegativeNumber,
+      pullGbPerS: nonNegativeNumber,
+      rate: nonNegativeNumber,
+      lowPrice: nonNegativeNumber,
+      startupS: nonNegativeNumber,
       harbors: v.array(v.string()),
     }),
   ),
 });
-const rented = v.object({ berths: v.array(v.string()) });
-const listed = v.object({
+const rentedSchema = v.object({ berths: v.array(v.string()) });
+const listedSchema = v.object({
   berths: v.array(
     v.object({
       uid: v.string(),
@@ -60,60 +60,60 @@
       harbor: v.string(),
       driftboats: v.boolean(),
       status: v.picklist(['starting', 'running', 'failed']),
-      ageS: amount,
+      ageS: nonNegativeNumber,
     }),
   ),
   hasNext: v.optional(v.nullable(v.boolean()), false),
 });
 
-export function decodeCatalog(body: unknown): MachineType[] | null {
-  const result = v.safeParse(catalog, body);
+export function decodeInstanceTypes(body: unknown): InstanceType[] | null {
+  const result = v.safeParse(catalogSchema, body);
   if (!result.success) return null;
-  return result.output.hulls.map((h) => ({
-    name: h.name as InstanceTypeId,
-    cpus: h.vcpus,
-    gpus: h.cards,
-    memoryGb: h.memoryGb,
-    cacheGb: h.cacheGb,
-    fetchGbPerS: h.pullGbPerS,
-    price: h.rate,
-    spotPrice: h.lowPrice,
-    bootS: h.startupS as Seconds,
-    zones: h.harbors as ZoneId[],
+  return result.output.hulls.map((type) => ({
+    name: type.name as InstanceTypeId,
+    cpus: type.vcpus,
+    gpus: type.cards,
+    memoryGb: type.memoryGb,
+    cacheGb: type.cacheGb,
+    fetchGbPerS: type.pullGbPerS,
+    price: type.rate,
+    spotPrice: type.lowPrice,
+    bootS: type.startupS as Seconds,
+    zones: type.harbors as ZoneId[],
   }));
 }
 
-export const encodeRent = (r: RentRequest): unknown => ({
-  charter: r.rental,
-  hull: r.type,
-  harbor: r.zone,
-  driftboats: r.spot,
-  number: r.count,
+export const encodeScaleOut = (request: ScaleOutRequest): unknown => ({
+  charter: request.idempotencyKey,
+  hull: request.type,
+  harbor: request.zone,
+  driftboats: request.spot,
+  number: request.count,
 });
 
-export function decodeRented(body: unknown): MachineId[] | null {
-  const result = v.safeParse(rented, body);
+export function decodeScaleOut(body: unknown): MachineId[] | null {
+  const result = v.safeParse(rentedSchema, body);
   return result.success ? (result.output.berths as MachineId[]) : null;
 }
 
-export const encodeReturn = (ids: readonly MachineId[]): unknown => ({ berths: ids });
+export const encodeScaleIn = (ids: readonly MachineId[]): unknown => ({ berths: ids });
 
 export const listMachinesPath = (after: MachineId | null): string =>
   `/hosts?${after === null ? '' : `from=${encodeURIComponent(after)}&`}most=500`;
 
-export function decodeListed(body: unknown): { machines: Listed[]; more: boolean } | null {
-  const result = v.safeParse(listed, body);
+export function decodeMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
+  const result = v.safeParse(listedSchema, body);
   if (!result.success) return null;
   return {
     more: result.output.hasNext ?? false,
-    machines: result.output.berths.map((m) => ({
-      id: m.uid as MachineId,
-      type: m.hull as InstanceTypeId,
-      zone: m.harbor as ZoneId,
-      spot: m.driftboats,
-      address: (m.endpoint ?? '') as Address,
-      state: m.status,
-      ageS: m.ageS as Seconds,
+    machines: result.output.berths.map((machine) => ({
+      id: machine.uid as MachineId,
+      type: machine.hull as InstanceTypeId,
+      zone: machine.harbor as ZoneId,
+      spot: machine.driftboats,
+      address: (machine.endpoint ?? '') as Address,
+      state: machine.status,
+      ageS: machine.ageS as Seconds,
     })),
   };
 }
--- a/src/controller.ts
+++ b/src/controller.ts
@@ -12,16 +12,16 @@
   zoneForShard,
 } from './overflow/announcement.js';
 import { seededRandom } from './overflow/peer-ranking.js';
-import { HttpClient, Sockets } from './http/client.js';
-import { serve, type Answer, type Handler, type Request } from './http/server.js';
+import { HttpClient, KeepAliveLimit } from './http/client.js';
+import { startHttpServer, type HttpResponse, type Handler, type HttpRequest } from './http/server.js';
 import { decodeClusterTime, ClusterClock, ClusterClockWriter } from './jobs/cluster-clock.js';
 import { ProgressWriter } from './jobs/progress.js';
 import { ACTIVE_JOBS_PREFIX } from './jobs/codec.js';
 import type { Assignment } from './jobs/record.js';
 import { JobService } from './jobs/service.js';
 import { Priority, type JobSpec } from './jobs/spec.js';
-import type { Log } from './log.js';
-import { openMesh, type Mesh } from './mesh/mesh.js';
+import type { Log } from './logging/log.js';
+import { openPeerTransport, type PeerTransport } from './peers/peer-transport.js';
 import type { Resources } from './model/resources.js';
 import { encodePeerMessage } from './peers/codec.js';
 import type { CancellationNotice } from './peers/messages.js';
@@ -78,35 +78,38 @@
   readonly stateWatch: Caller;
   readonly cloud: Caller;
   readonly worker: (address: Address) => WorkerClient;
-  readonly mesh: (receive: (message: unknown) => void) => Mesh;
+  readonly mesh: (receive: (message: unknown) => void) => PeerTransport;
   readonly listen: (handler: Handler) => Promise<void>;
   readonly incarnation: () => Incarnation;
 }
 
 export function networkPorts(settings: Settings, log: Log): Ports {
   const peers = settings.peers.map((peer) => ({ node: peer.node, address: peer.address }));
-  const toWorkers = new Sockets(Math.floor(settings.maxConnections * DIRECT_CALL_SHARE));
-  const maxConnections = Math.max(16, settings.maxConnections - RESERVED_SOCKETS - 2 * toWorkers.kept);
+  const toWorkers = new KeepAliveLimit(Math.floor(settings.maxConnections * DIRECT_CALL_SHARE));
+  const maxConnections = Math.max(
+    16,
+    settings.maxConnections - RESERVED_SOCKETS - 2 * toWorkers.maxOpenConnections,
+  );
   const options = {
     maxConnections,
     // A controller that is left alone may have more machines than sockets: they take turns.
-    turns: {
-      crowdedAt: Math.floor(maxConnections * KEPT_WORKER_CONNECTION_SHARE),
+    crowding: {
+      crowdedAbove: Math.floor(maxConnections * KEPT_WORKER_CONNECTION_SHARE),
       mayCloseAfter: (path: string) => path === HEARTBEAT_PATH,
     },
-    receive: millis(10_000),
+    receiveTimeout: millis(10_000),
     // What hundreds of machines leave behind in a cut is closed before they come back with new connections.
-    idle: millis(Math.max(30_000, settings.reportS * 5000)),
-    answer: millis(4500),
+    idleTimeout: millis(Math.max(30_000, settings.heartbeatIntervalS * 5000)),
+    responseTimeout: millis(4500),
   };
   return {
-    state: new HttpClient(settings.state, 12),
-    stateWatch: new HttpClient(settings.state, 2, 64 * 1024 * 1024),
-    cloud: new HttpClient(settings.cloud, 3),
+    state: new HttpClient(settings.storeAddress, 12),
+    stateWatch: new HttpClient(settings.storeAddress, 2, 64 * 1024 * 1024),
+    cloud: new HttpClient(settings.cloudAddress, 3),
     worker: (address) => new HttpClient(address, 2, 1024 * 1024, toWorkers),
-    mesh: (receive) => openMesh(settings.meshListen, peers, receive, log),
+    mesh: (receive) => openPeerTransport(settings.peerListenAddress, peers, receive, log),
     listen: async (handler) => {
-      await serve(settings.listen, handler, options, log);
+      await startHttpServer(settings.listenAddress, handler, options, log);
     },
     incarnation: () => randomBytes(6).toString('hex') as Incarnation,
   };
@@ -136,19 +139,21 @@
     log: Log,
     private readonly ports: Ports,
   ) {
-    const random = seededRandom(tuning.seed + settings.part);
+    const random = seededRandom(tuning.seed + settings.shard);
     this.core = new Core(settings, tuning, clock, new ClusterClock(), log, ports.incarnation(), random);
     const { core } = this;
     const randomFraction = (): number => random(10_000) / 10_000;
     core.store = new KeyValueClient(ports.state, ports.stateWatch, clock, settings, randomFraction);
     core.cloud = new CloudClient(ports.cloud, clock, settings);
     core.storeCache = new StoreCache((key, value, version) => this.onChange(key, value, version));
-    const minWatchInterval = millis(Math.max(25, (settings.parts.length * 1000) / (settings.stateRps * 0.3)));
+    const minWatchInterval = millis(
+      Math.max(25, (settings.shards.length * 1000) / (settings.storeRps * 0.3)),
+    );
     this.storeWatcher = new StoreWatcher(
       core.store,
       core.storeCache,
       WATCHED_PREFIX,
-      tuning.followBlock,
+      tuning.watchTimeout,
       minWatchInterval,
       clock,
       randomFraction,
@@ -191,7 +196,11 @@
     this.core.peerTransport = this.ports.mesh((m) => this.onMessage(m));
     await this.ports.listen((r) => this.route(r));
     log.info(
-      { listen: settings.listen, mesh: settings.meshListen, incarnation: this.core.incarnation },
+      {
+        listen: settings.listenAddress,
+        mesh: settings.peerListenAddress,
+        incarnation: this.core.incarnation,
+      },
       'started',
     );
     void this.storeWatcher.run();
@@ -243,7 +252,7 @@
 
   /** Every interval. */
   private announce(now: number): void {
-    if (now - this.lastAnnouncementAt < this.core.tuning.checkInterval) return;
+    if (now - this.lastAnnouncementAt < this.core.tuning.announcementInterval) return;
     this.lastAnnouncementAt = now;
     this.refreshFreeCapacity(now);
     this.borrowStoreLimits();
@@ -293,7 +302,7 @@
   private divideStoreLimits(): void {
     let alive = 0;
     for (const entry of this.core.storeCache.entriesUnder(ALIVE_PREFIX)) if (entry) alive += 1;
-    this.core.store.setControllerCount(Math.max(1, Math.min(alive, this.core.settings.parts.length)));
+    this.core.store.setControllerCount(Math.max(1, Math.min(alive, this.core.settings.shards.length)));
   }
 
   /** A peer that is alive and silent may be using all of its share. */
@@ -309,7 +318,7 @@
   }
 
   private homeShard(): ShardId {
-    const own = this.core.settings.part;
+    const own = this.core.settings.shard;
     if (this.core.shards.has(own)) return own;
     return this.core.shards.keys().next().value ?? own;
   }
@@ -321,9 +330,9 @@
     if (now - this.freeCapacityRefreshedAt > FREE_CAPACITY_MAX_AGE_MS) this.refreshFreeCapacity(now);
     return assignJob(spec, {
       now,
-      homeShard: homeShard,
+      homeShard,
       homeZone: zoneForShard(core, homeShard),
-      shards: core.settings.parts,
+      shards: core.settings.shards,
       zones: core.settings.zones,
       types: [...core.types.values()],
       freeCapacity: core.freeCapacity,
@@ -332,7 +341,7 @@
     });
   }
 
-  private route(request: Request): Answer | Promise<Answer> {
+  private route(request: HttpRequest): HttpResponse | Promise<HttpResponse> {
     const { method } = request;
     const path = request.path.split('?', 1)[0] ?? '';
     if (path === '/up') return method === 'GET' ? this.health() : notAllowed();
@@ -349,7 +358,7 @@
    * Out only when peers are served by the state service and we are not, or when we hear neither it nor any peer: in
    * an outage everybody stays in.
    */
-  private health(): Answer {
+  private health(): HttpResponse {
     const { core } = this;
     const ready = core.storeCache.loaded && core.types.size > 0;
     const storeStale = core.clock.now() - core.storeCache.confirmedAt > STORE_STALE_AFTER;
@@ -364,4 +373,4 @@
   }
 }
 
-const notAllowed = (): Answer => ({ status: 405, body: { error: 'method not allowed' } });
+const notAllowed = (): HttpResponse => ({ status: 405, body: { error: 'method not allowed' } });
--- a/src/core.ts
+++ b/src/core.ts
@@ -1,12 +1,12 @@
 /** What the slices of one controller share: settings, clients, the view, the parts it owns. */
 import { Mutex } from 'async-mutex';
 import type { CloudClient } from './cloud/client.js';
-import type { MachineType } from './cloud/wire.js';
+import type { InstanceType } from './cloud/wire.js';
 import { decodeRecord, ACTIVE_JOBS_PREFIX } from './jobs/codec.js';
 import type { JobRecord } from './jobs/record.js';
 import type { JobSpec } from './jobs/spec.js';
-import type { Log } from './log.js';
-import type { Mesh } from './mesh/mesh.js';
+import type { Log } from './logging/log.js';
+import type { PeerTransport } from './peers/peer-transport.js';
 import type { Resources } from './model/resources.js';
 import type { Shard } from './shards/model.js';
 import { RegisteredMachines } from './shards/registered-machines.js';
@@ -73,7 +73,7 @@
 
 export class Core {
   readonly shards = new Map<ShardId, Shard>();
-  readonly types = new Map<InstanceTypeId, MachineType>();
+  readonly types = new Map<InstanceTypeId, InstanceType>();
   readonly activeJobs = new Map<JobId, JobRecord>();
   readonly freeCapacity = new Map<ShardId, FreeCapacity>();
   readonly shardAnnouncements = new Map<ShardId, ShardAnnouncement>();
@@ -96,7 +96,7 @@
   storeCache!: StoreCache;
   store!: KeyValueClient;
   cloud!: CloudClient;
-  peerTransport!: Mesh;
+  peerTransport!: PeerTransport;
   /** Asks for a placement round soon. */
   requestCycle: () => void = () => undefined;
   storeHealthy: () => boolean = () => false;
@@ -121,7 +121,7 @@
   }
 
   get heartbeatIntervalMs(): number {
-    return this.settings.reportS * 1000;
+    return this.settings.heartbeatIntervalS * 1000;
   }
 
   get leaseDurationMs(): number {
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -2,9 +2,9 @@
 import { connect, type Socket } from 'node:net';
 import type { Address, Millis } from '../model/units.js';
 import { HttpParser } from './parser.js';
-import { splitAddress } from './server.js';
+import { parseAddress } from './server.js';
 
-export type Outcome =
+export type CallOutcome =
   | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
   /** Certainly not carried out: no connection came about. */
   | { readonly kind: 'unsent' }
@@ -20,179 +20,180 @@
   readonly mayStillSend?: () => boolean;
 }
 
-interface Link {
+interface Connection {
   readonly socket: Socket;
   parser: HttpParser;
   connected: boolean;
   /** Writes the request that waits for the connection. */
   whenConnected: (() => void) | null;
-  current: { resolve: (o: Outcome) => void; timer: NodeJS.Timeout; sent: boolean } | null;
+  exchange: { resolve: (outcome: CallOutcome) => void; timer: NodeJS.Timeout; sent: boolean } | null;
 }
 
-const IDLE_CLOSE = 20_000;
+const IDLE_TIMEOUT_MS = 20_000;
 
 /** Connections of many clients together: beyond this many none is kept open for a later request. */
-export class Sockets {
-  open = 0;
+export class KeepAliveLimit {
+  openConnections = 0;
 
-  constructor(readonly kept: number) {}
+  constructor(readonly maxOpenConnections: number) {}
 
-  get mayKeep(): boolean {
-    return this.open <= this.kept;
+  get mayKeepAlive(): boolean {
+    return this.openConnections <= this.maxOpenConnections;
   }
 }
 
 export class HttpClient {
-  private readonly idle: Link[] = [];
-  private open = 0;
-  private readonly queue: (() => void)[] = [];
+  private readonly idleConnections: Connection[] = [];
+  private openConnections = 0;
+  private readonly waitingCalls: (() => void)[] = [];
 
   constructor(
     private readonly address: Address,
-    private readonly maxLinks: number,
+    private readonly maxConnections: number,
     private readonly bodyLimit = 4 * 1024 * 1024,
-    private readonly sockets = new Sockets(Infinity),
+    private readonly keepAliveLimit = new KeepAliveLimit(Infinity),
   ) {}
 
-  async call(call: Call): Promise<Outcome> {
-    if (this.open >= this.maxLinks && this.idle.length === 0) {
-      const waited = await this.waitTurn(call.timeout);
-      if (!waited) return { kind: 'unsent' };
+  async call(call: Call): Promise<CallOutcome> {
+    if (this.openConnections >= this.maxConnections && this.idleConnections.length === 0) {
+      const granted = await this.waitForConnection(call.timeout);
+      if (!granted) return { kind: 'unsent' };
     }
-    const link = this.idle.pop() ?? this.dial();
-    return new Promise((resolve) => this.send(link, call, resolve));
+    const connection = this.idleConnections.pop() ?? this.dial();
+    return new Promise((resolve) => this.send(connection, call, resolve));
   }
 
   close(): void {
-    for (const link of this.idle.splice(0)) link.socket.destroy();
+    for (const connection of this.idleConnections.splice(0)) connection.socket.destroy();
   }
 
-  private waitTurn(timeout: Millis): Promise<boolean> {
+  private waitForConnection(timeout: Millis): Promise<boolean> {
     return new Promise((resolve) => {
-      const turn = (): void => {
+      const proceed = (): void => {
         clearTimeout(timer);
         resolve(true);
       };
       const timer = setTimeout(() => {
-        const at = this.queue.indexOf(turn);
-        if (at >= 0) this.queue.splice(at, 1);
+        const index = this.waitingCalls.indexOf(proceed);
+        if (index >= 0) this.waitingCalls.splice(index, 1);
         resolve(false);
       }, timeout);
-      this.queue.push(turn);
+      this.waitingCalls.push(proceed);
     });
   }
 
-  private dial(): Link {
-    this.open += 1;
-    this.sockets.open += 1;
-    const socket = connect({ ...splitAddress(this.address), noDelay: true });
-    const link: Link = {
+  private dial(): Connection {
+    this.openConnections += 1;
+    this.keepAliveLimit.openConnections += 1;
+    const socket = connect({ ...parseAddress(this.address), noDelay: true });
+    const connection: Connection = {
       socket,
       parser: this.newParser(),
       connected: false,
       whenConnected: null,
-      current: null,
+      exchange: null,
     };
     socket.on('connect', () => {
-      link.connected = true;
-      link.whenConnected?.();
-      link.whenConnected = null;
+      connection.connected = true;
+      connection.whenConnected?.();
+      connection.whenConnected = null;
     });
-    socket.on('data', (data) => this.receive(link, data));
-    socket.on('error', () => this.drop(link));
-    socket.on('end', () => this.ended(link));
-    socket.on('close', () => this.drop(link));
-    socket.setTimeout(IDLE_CLOSE, () => {
-      if (!link.current) socket.destroy();
+    socket.on('data', (data) => this.receive(connection, data));
+    socket.on('error', () => this.closeConnection(connection));
+    socket.on('end', () => this.receiveEnd(connection));
+    socket.on('close', () => this.closeConnection(connection));
+    socket.setTimeout(IDLE_TIMEOUT_MS, () => {
+      if (!connection.exchange) socket.destroy();
     });
-    return link;
+    return connection;
   }
 
   private newParser(): HttpParser {
-    return new HttpParser('response', { head: 16 * 1024, body: this.bodyLimit });
+    return new HttpParser('response', { maxHeadBytes: 16 * 1024, maxBodyBytes: this.bodyLimit });
   }
 
-  private send(link: Link, call: Call, resolve: (o: Outcome) => void): void {
-    const timer = setTimeout(() => this.drop(link), call.timeout);
-    link.current = { resolve, timer, sent: false };
-    if (link.connected) this.write(link, call);
-    else link.whenConnected = () => this.write(link, call);
+  private send(connection: Connection, call: Call, resolve: (outcome: CallOutcome) => void): void {
+    const timer = setTimeout(() => this.closeConnection(connection), call.timeout);
+    connection.exchange = { resolve, timer, sent: false };
+    if (connection.connected) this.write(connection, call);
+    else connection.whenConnected = () => this.write(connection, call);
   }
 
-  private write(link: Link, call: Call): void {
-    if (!link.current) return;
-    if (call.mayStillSend?.() === false) return this.drop(link);
-    link.current.sent = true;
+  private write(connection: Connection, call: Call): void {
+    if (!connection.exchange) return;
+    if (call.mayStillSend?.() === false) return this.closeConnection(connection);
+    connection.exchange.sent = true;
     const body = call.body === undefined ? '' : JSON.stringify(call.body);
     const type = call.body === undefined ? '' : 'Content-Type: application/json\r\n';
-    link.socket.write(
+    connection.socket.write(
       `${call.method} ${call.path} HTTP/1.1\r\nHost: ${this.address}\r\n${type}Content-Length: ${Buffer.byteLength(body)}\r\n\r\n${body}`,
     );
   }
 
-  private receive(link: Link, data: Buffer): void {
+  private receive(connection: Connection, data: Buffer): void {
     try {
-      const messages = link.parser.push(data);
+      const messages = connection.parser.push(data);
       if (messages.length === 0) return;
       // More than one answer, or one that nobody asked for: the stream cannot be trusted any more.
-      if (messages.length > 1 || !link.current) return this.drop(link);
-      this.settle(
-        link,
-        messages[0]?.start[1] ?? '',
+      if (messages.length > 1 || !connection.exchange) return this.closeConnection(connection);
+      this.completeExchange(
+        connection,
+        messages[0]?.startLine[1] ?? '',
         messages[0]?.body ?? Buffer.alloc(0),
         messages[0]?.keepAlive ?? false,
       );
     } catch {
-      this.drop(link);
+      this.closeConnection(connection);
     }
   }
 
-  private ended(link: Link): void {
+  private receiveEnd(connection: Connection): void {
     try {
-      const message = link.parser.end();
-      if (message && link.current) this.settle(link, message.start[1], message.body, false);
-      else this.drop(link);
+      const message = connection.parser.end();
+      if (message && connection.exchange)
+        this.completeExchange(connection, message.startLine[1], message.body, false);
+      else this.closeConnection(connection);
     } catch {
-      this.drop(link);
+      this.closeConnection(connection);
     }
   }
 
-  private settle(link: Link, status: string, raw: Buffer, keep: boolean): void {
-    const current = link.current;
-    if (!current) return;
+  private completeExchange(connection: Connection, status: string, raw: Buffer, keep: boolean): void {
+    const exchange = connection.exchange;
+    if (!exchange) return;
     let body: unknown;
     try {
       body = raw.length === 0 ? null : JSON.parse(raw.toString('utf8'));
     } catch {
-      return this.drop(link);
+      return this.closeConnection(connection);
     }
-    clearTimeout(current.timer);
-    link.current = null;
-    if (keep && this.sockets.mayKeep && !link.socket.destroyed && link.parser.idle) {
-      this.idle.push(link);
-      this.queue.shift()?.();
-    } else this.drop(link);
-    current.resolve({ kind: 'answer', status: Number(status), body });
+    clearTimeout(exchange.timer);
+    connection.exchange = null;
+    if (keep && this.keepAliveLimit.mayKeepAlive && !connection.socket.destroyed && connection.parser.idle) {
+      this.idleConnections.push(connection);
+      this.waitingCalls.shift()?.();
+    } else this.closeConnection(connection);
+    exchange.resolve({ kind: 'answer', status: Number(status), body });
   }
 
   /** Ends a connection; its exchange gets the outcome that is certain from here. */
-  private drop(link: Link): void {
-    const at = this.idle.indexOf(link);
-    if (at >= 0) this.idle.splice(at, 1);
-    if (link.parser !== spent) {
-      link.parser = spent;
-      this.open -= 1;
-      this.sockets.open -= 1;
-      this.queue.shift()?.();
+  private closeConnection(connection: Connection): void {
+    const index = this.idleConnections.indexOf(connection);
+    if (index >= 0) this.idleConnections.splice(index, 1);
+    if (connection.parser !== CLOSED_PARSER) {
+      connection.parser = CLOSED_PARSER;
+      this.openConnections -= 1;
+      this.keepAliveLimit.openConnections -= 1;
+      this.waitingCalls.shift()?.();
     }
-    link.socket.destroy();
-    const current = link.current;
-    if (!current) return;
-    link.current = null;
-    clearTimeout(current.timer);
-    current.resolve(current.sent ? { kind: 'unknown' } : { kind: 'unsent' });
+    connection.socket.destroy();
+    const exchange = connection.exchange;
+    if (!exchange) return;
+    connection.exchange = null;
+    clearTimeout(exchange.timer);
+    exchange.resolve(exchange.sent ? { kind: 'unknown' } : { kind: 'unsent' });
   }
 }
 
 /** Marks a connection that is already counted as closed. */
-const spent = new HttpParser('response', { head: 0, body: 0 });
+const CLOSED_PARSER = new HttpParser('response', { maxHeadBytes: 0, maxBodyBytes: 0 });
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -3,14 +3,14 @@
  * use (Content-Length and chunked bodies) and refuses everything ambiguous: two lengths, a length beside
  * chunks, folded headers, control characters.
  */
-export interface Limits {
-  readonly head: number;
-  readonly body: number;
+export interface ParserLimits {
+  readonly maxHeadBytes: number;
+  readonly maxBodyBytes: number;
 }
 
-export interface Message {
+export interface HttpMessage {
   /** Request: method, target, version. Response: version, status, reason. */
-  readonly start: readonly [string, string, string];
+  readonly startLine: readonly [string, string, string];
   readonly headers: ReadonlyMap<string, string>;
   readonly body: Buffer;
   readonly keepAlive: boolean;
@@ -26,26 +26,26 @@
   }
 }
 
-const TOKEN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
+const HEADER_NAME_PATTERN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
 // Anything outside printable ASCII, tab and Latin-1 has no place in a header value.
-const VALUE = /^[\t\x20-\x7e\x80-\xff]*$/;
+const HEADER_VALUE_PATTERN = /^[\t\x20-\x7e\x80-\xff]*$/;
 const MAX_HEADERS = 100;
-const CHUNK_LINE = 1024;
+const MAX_CHUNK_LINE_BYTES = 1024;
 
-type Phase = 'head' | 'length' | 'chunk-size' | 'chunk-data' | 'chunk-end' | 'trailer' | 'until-close';
+type ParserPhase = 'head' | 'length' | 'chunk-size' | 'chunk-data' | 'chunk-end' | 'trailer' | 'until-close';
 
 export class HttpParser {
   private buffer: Buffer = Buffer.alloc(0);
-  private phase: Phase = 'head';
-  private start: [string, string, string] = ['', '', ''];
+  private phase: ParserPhase = 'head';
+  private startLine: [string, string, string] = ['', '', ''];
   private headers = new Map<string, string>();
-  private need = 0;
+  private expectedBytes = 0;
   private chunks: Buffer[] = [];
-  private bodySize = 0;
+  private bodyBytes = 0;
 
   constructor(
     private readonly kind: 'request' | 'response',
-    private readonly limits: Limits,
+    private readonly limits: ParserLimits,
   ) {}
 
   /** True between messages: nothing of a next one has arrived. */
@@ -54,24 +54,24 @@
   }
 
   /** Takes bytes; returns the messages they complete. Throws HttpError; the parser is then spent. */
-  push(data: Buffer): Message[] {
+  push(data: Buffer): HttpMessage[] {
     this.buffer = this.buffer.length === 0 ? data : Buffer.concat([this.buffer, data]);
-    const out: Message[] = [];
+    const messages: HttpMessage[] = [];
     for (;;) {
-      const message = this.step();
-      if (message === 'more') return out;
-      if (message !== null) out.push(message);
+      const message = this.parseNext();
+      if (message === 'more') return messages;
+      if (message !== null) messages.push(message);
     }
   }
 
   /** The other side closed. A body that runs until the close ends here; anything else is cut short. */
-  end(): Message | null {
-    if (this.phase === 'until-close') return this.finish();
+  end(): HttpMessage | null {
+    if (this.phase === 'until-close') return this.completeMessage();
     if (this.idle) return null;
     throw new HttpError(400, 'message cut short');
   }
 
-  private step(): Message | null | 'more' {
+  private parseNext(): HttpMessage | null | 'more' {
     switch (this.phase) {
       case 'head':
         return this.readHead();
@@ -86,24 +86,24 @@
       case 'trailer':
         return this.readTrailer();
       case 'until-close':
-        if (this.buffer.length > 0) this.takeBody(this.buffer.length);
+        if (this.buffer.length > 0) this.consumeBody(this.buffer.length);
         return 'more';
     }
   }
 
-  private readHead(): Message | null | 'more' {
+  private readHead(): HttpMessage | null | 'more' {
     const end = this.buffer.indexOf('\r\n\r\n');
     if (end < 0) {
-      if (this.buffer.length > this.limits.head) throw new HttpError(431, 'head too large');
+      if (this.buffer.length > this.limits.maxHeadBytes) throw new HttpError(431, 'head too large');
       if (this.kind === 'request') this.checkFirstBytes();
       return 'more';
     }
-    if (end > this.limits.head) throw new HttpError(431, 'head too large');
+    if (end > this.limits.maxHeadBytes) throw new HttpError(431, 'head too large');
     const lines = this.buffer.toString('latin1', 0, end).split('\r\n');
     this.buffer = this.buffer.subarray(end + 4);
-    this.readStart(lines[0] ?? '');
+    this.readStartLine(lines[0] ?? '');
     this.readHeaders(lines.slice(1));
-    return this.chooseBody();
+    return this.beginBody();
   }
 
   /** Refuses a peer that does not speak HTTP without waiting for a full head. */
@@ -113,12 +113,12 @@
       throw new HttpError(400, 'not an HTTP request');
   }
 
-  private readStart(line: string): void {
+  private readStartLine(line: string): void {
     const request = /^([A-Z]{1,16}) ([\x21-\x7e]{1,2048}) (HTTP\/1\.[01])$/.exec(line);
     const response = /^(HTTP\/1\.[01]) (\d{3})(?: ([\t\x20-\x7e\x80-\xff]*))?$/.exec(line);
     const match = this.kind === 'request' ? request : response;
     if (!match) throw new HttpError(400, `bad ${this.kind} line`);
-    this.start = [match[1] ?? '', match[2] ?? '', match[3] ?? ''];
+    this.startLine = [match[1] ?? '', match[2] ?? '', match[3] ?? ''];
   }
 
   private readHeaders(lines: readonly string[]): void {
@@ -128,60 +128,61 @@
       const colon = line.indexOf(':');
       const key = line.slice(0, colon).toLowerCase();
       const value = line.slice(colon + 1).trim();
-      if (colon <= 0 || !TOKEN.test(key) || !VALUE.test(value)) throw new HttpError(400, 'bad header');
-      const before = this.headers.get(key);
+      if (colon <= 0 || !HEADER_NAME_PATTERN.test(key) || !HEADER_VALUE_PATTERN.test(value))
+        throw new HttpError(400, 'bad header');
+      const previous = this.headers.get(key);
       if (
-        before !== undefined &&
+        previous !== undefined &&
         (key === 'content-length' || key === 'transfer-encoding' || key === 'host')
       ) {
         throw new HttpError(400, `repeated ${key}`);
       }
-      this.headers.set(key, before === undefined ? value : `${before}, ${value}`);
+      this.headers.set(key, previous === undefined ? value : `${previous}, ${value}`);
     }
   }
 
-  private chooseBody(): Message | null {
+  private beginBody(): HttpMessage | null {
     this.chunks = [];
-    this.bodySize = 0;
+    this.bodyBytes = 0;
     const length = this.headers.get('content-length');
-    const coding = this.headers.get('transfer-encoding');
-    if (coding !== undefined) {
+    const transferEncoding = this.headers.get('transfer-encoding');
+    if (transferEncoding !== undefined) {
       if (length !== undefined) throw new HttpError(400, 'length beside transfer-encoding');
-      if (coding.toLowerCase() !== 'chunked') throw new HttpError(501, 'unknown transfer-encoding');
+      if (transferEncoding.toLowerCase() !== 'chunked') throw new HttpError(501, 'unknown transfer-encoding');
       this.phase = 'chunk-size';
       return null;
     }
     if (length !== undefined) {
       if (!/^\d{1,15}$/.test(length)) throw new HttpError(400, 'bad content-length');
-      this.need = Number(length);
-      if (this.need > this.limits.body) throw new HttpError(413, 'body too large');
+      this.expectedBytes = Number(length);
+      if (this.expectedBytes > this.limits.maxBodyBytes) throw new HttpError(413, 'body too large');
       this.phase = 'length';
       return null;
     }
-    const status = this.start[1];
+    const status = this.startLine[1];
     if (this.kind === 'response' && status !== '204' && status !== '304') {
       this.phase = 'until-close';
       return null;
     }
-    return this.finish();
+    return this.completeMessage();
   }
 
-  private takeBody(count: number): void {
-    this.bodySize += count;
-    if (this.bodySize > this.limits.body) throw new HttpError(413, 'body too large');
+  private consumeBody(count: number): void {
+    this.bodyBytes += count;
+    if (this.bodyBytes > this.limits.maxBodyBytes) throw new HttpError(413, 'body too large');
     this.chunks.push(this.buffer.subarray(0, count));
     this.buffer = this.buffer.subarray(count);
   }
 
-  private readSized(): Message | 'more' {
-    if (this.buffer.length < this.need) return 'more';
-    this.takeBody(this.need);
-    return this.finish();
+  private readSized(): HttpMessage | 'more' {
+    if (this.buffer.length < this.expectedBytes) return 'more';
+    this.consumeBody(this.expectedBytes);
+    return this.completeMessage();
   }
 
-  private takeLine(): string | null {
+  private consumeLine(): string | null {
     const end = this.buffer.indexOf('\r\n');
-    if (end < 0 ? this.buffer.length > CHUNK_LINE : end > CHUNK_LINE)
+    if (end < 0 ? this.buffer.length > MAX_CHUNK_LINE_BYTES : end > MAX_CHUNK_LINE_BYTES)
       throw new HttpError(400, 'chunk line too long');
     if (end < 0) return null;
     const line = this.buffer.toString('latin1', 0, end);
@@ -190,19 +191,20 @@
   }
 
   private readChunkSize(): null | 'more' {
-    const line = this.takeLine();
+    const line = this.consumeLine();
     if (line === null) return 'more';
     const match = /^([0-9a-fA-F]{1,8})(?:[ \t]*;.*)?$/.exec(line);
     if (!match) throw new HttpError(400, 'bad chunk size');
-    this.need = parseInt(match[1] ?? '', 16);
-    if (this.bodySize + this.need > this.limits.body) throw new HttpError(413, 'body too large');
-    this.phase = this.need === 0 ? 'trailer' : 'chunk-data';
+    this.expectedBytes = parseInt(match[1] ?? '', 16);
+    if (this.bodyBytes + this.expectedBytes > this.limits.maxBodyBytes)
+      throw new HttpError(413, 'body too large');
+    this.phase = this.expectedBytes === 0 ? 'trailer' : 'chunk-data';
     return null;
   }
 
   private readChunkData(): null | 'more' {
-    if (this.buffer.length < this.need) return 'more';
-    this.takeBody(this.need);
+    if (this.buffer.length < this.expectedBytes) return 'more';
+    this.consumeBody(this.expectedBytes);
     this.phase = 'chunk-end';
     return null;
   }
@@ -215,20 +217,20 @@
     return null;
   }
 
-  private readTrailer(): Message | null | 'more' {
-    const line = this.takeLine();
+  private readTrailer(): HttpMessage | null | 'more' {
+    const line = this.consumeLine();
     if (line === null) return 'more';
-    return line === '' ? this.finish() : null;
+    return line === '' ? this.completeMessage() : null;
   }
 
-  private finish(): Message {
+  private completeMessage(): HttpMessage {
     const body = this.chunks.length === 1 ? (this.chunks[0] as Buffer) : Buffer.concat(this.chunks);
     const connection = (this.headers.get('connection') ?? '').toLowerCase();
-    const version = this.kind === 'request' ? this.start[2] : this.start[0];
+    const version = this.kind === 'request' ? this.startLine[2] : this.startLine[0];
     const untilClose = this.phase === 'until-close';
     const keepAlive = !untilClose && !/\bclose\b/.test(connection) && version === 'HTTP/1.1';
     this.phase = 'head';
     this.chunks = [];
-    return { start: this.start, headers: this.headers, body, keepAlive };
+    return { startLine: this.startLine, headers: this.headers, body, keepAlive };
   }
 }
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,27 +1,27 @@
 /** HTTP/1.1 server on `net`: bounded connections, heads, bodies and waiting; never an uncaught exception. */
 import { createServer, type Server, type Socket } from 'node:net';
-import type { Log } from '../log.js';
+import type { Log } from '../logging/log.js';
 import type { Address, Millis } from '../model/units.js';
-import { HttpError, HttpParser, type Message } from './parser.js';
+import { HttpError, HttpParser, type HttpMessage } from './parser.js';
 
-export interface Request {
+export interface HttpRequest {
   readonly method: string;
   readonly path: string;
   readonly body: Buffer;
 }
 
-export interface Answer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
   readonly retryAfterS?: number;
 }
 
-export type Handler = (request: Request) => Answer | Promise<Answer>;
+export type Handler = (request: HttpRequest) => HttpResponse | Promise<HttpResponse>;
 
 /** How more clients than connections are served: with many open, some are closed as soon as they are answered. */
-export interface ConnectionTurns {
+export interface CrowdingPolicy {
   /** More open connections than this are many. */
-  readonly crowdedAt: number;
+  readonly crowdedAbove: number;
   /** Whether the connection of a request for this path may be closed after its answer. */
   readonly mayCloseAfter: (path: string) => boolean;
 }
@@ -29,17 +29,17 @@
 export interface ServerOptions {
   readonly maxConnections: number;
   /** Absent: connections stay open until the client or `idle` ends them. */
-  readonly turns?: ConnectionTurns;
+  readonly crowding?: CrowdingPolicy;
   /** A head or body must be complete this long after its first byte. */
-  readonly receive: Millis;
-  readonly idle: Millis;
+  readonly receiveTimeout: Millis;
+  readonly idleTimeout: Millis;
   /** What is not answered by then gets 503. */
-  readonly answer: Millis;
+  readonly responseTimeout: Millis;
 }
 
-const LIMITS = { head: 16 * 1024, body: 64 * 1024 };
-const MAX_UNSENT = 1024 * 1024;
-const REASONS: Record<number, string> = {
+const PARSER_LIMITS = { maxHeadBytes: 16 * 1024, maxBodyBytes: 64 * 1024 };
+const MAX_UNSENT_BYTES = 1024 * 1024;
+const REASON_PHRASES: Record<number, string> = {
   200: 'OK',
   201: 'Created',
   400: 'Bad Request',
@@ -57,18 +57,18 @@
   504: 'Gateway Timeout',
 };
 
-export function encodeAnswer(answer: Answer, keepAlive: boolean): string {
-  const body = JSON.stringify(answer.body);
-  const retry = answer.retryAfterS === undefined ? '' : `Retry-After: ${answer.retryAfterS}\r\n`;
+export function encodeResponse(response: HttpResponse, keepAlive: boolean): string {
+  const body = JSON.stringify(response.body);
+  const retry = response.retryAfterS === undefined ? '' : `Retry-After: ${response.retryAfterS}\r\n`;
   const close = keepAlive ? '' : 'Connection: close\r\n';
-  const head = `HTTP/1.1 ${answer.status} ${REASONS[answer.status] ?? 'Status'}\r\nContent-Type: application/json\r\n`;
+  const head = `HTTP/1.1 ${response.status} ${REASON_PHRASES[response.status] ?? 'Status'}\r\nContent-Type: application/json\r\n`;
   return `${head}Content-Length: ${Buffer.byteLength(body)}\r\n${retry}${close}\r\n${body}`;
 }
 
 class Connection {
-  private readonly parser = new HttpParser('request', LIMITS);
-  private readonly waiting: Message[] = [];
-  private busy = false;
+  private readonly parser = new HttpParser('request', PARSER_LIMITS);
+  private readonly pendingRequests: HttpMessage[] = [];
+  private handling = false;
   private timer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -82,10 +82,10 @@
     socket.on('data', (data) => this.receive(data));
     socket.on('error', () => socket.destroy());
     socket.on('close', () => clearTimeout(this.timer));
-    this.arm(options.idle);
+    this.restartTimer(options.idleTimeout);
   }
 
-  private arm(delay: Millis): void {
+  private restartTimer(delay: Millis): void {
     clearTimeout(this.timer);
     this.timer = setTimeout(() => this.socket.destroy(), delay);
   }
@@ -93,57 +93,62 @@
   private receive(data: Buffer): void {
     const wasIdle = this.parser.idle;
     try {
-      this.waiting.push(...this.parser.push(data));
-    } catch (e) {
-      const status = e instanceof HttpError ? e.status : 400;
-      this.refuse(status, e instanceof HttpError ? e.message : 'bad request');
+      this.pendingRequests.push(...this.parser.push(data));
+    } catch (error) {
+      const status = error instanceof HttpError ? error.status : 400;
+      this.reject(status, error instanceof HttpError ? error.message : 'bad request');
       return;
     }
     // The protocol has no pipelining: a flood of requests without waiting is a misuse, not a load to queue.
-    if (this.waiting.length > 8) return this.refuse(429, 'too many requests at once');
-    if (!this.parser.idle && (wasIdle || this.waiting.length > 0)) this.arm(this.options.receive);
-    void this.drain();
+    if (this.pendingRequests.length > 8) return this.reject(429, 'too many requests at once');
+    if (!this.parser.idle && (wasIdle || this.pendingRequests.length > 0))
+      this.restartTimer(this.options.receiveTimeout);
+    void this.handlePending();
   }
 
-  private refuse(status: number, error: string): void {
+  private reject(status: number, error: string): void {
     this.socket.pause();
-    this.waiting.length = 0;
-    this.socket.end(encodeAnswer({ status, body: { error } }, false), () => this.socket.destroy());
+    this.pendingRequests.length = 0;
+    this.socket.end(encodeResponse({ status, body: { error } }, false), () => this.socket.destroy());
   }
 
-  private async drain(): Promise<void> {
-    if (this.busy) return;
-    this.busy = true;
-    for (let message = this.waiting.shift(); message; message = this.waiting.shift()) {
+  private async handlePending(): Promise<void> {
+    if (this.handling) return;
+    this.handling = true;
+    for (let message = this.pendingRequests.shift(); message; message = this.pendingRequests.shift()) {
       if (this.parser.idle) clearTimeout(this.timer);
-      const answer = await this.answer(message);
+      const response = await this.respond(message);
       if (this.socket.destroyed) return;
-      const keepAlive = message.keepAlive && !this.mustMakeRoom(message.start[1]);
-      this.socket.write(encodeAnswer(answer, keepAlive));
-      if (!keepAlive || this.socket.writableLength > MAX_UNSENT) {
+      const keepAlive = message.keepAlive && !this.mustFreeConnection(message.startLine[1]);
+      this.socket.write(encodeResponse(response, keepAlive));
+      if (!keepAlive || this.socket.writableLength > MAX_UNSENT_BYTES) {
         this.socket.end(() => this.socket.destroy());
         return;
       }
-      if (this.parser.idle) this.arm(this.options.idle);
+      if (this.parser.idle) this.restartTimer(this.options.idleTimeout);
     }
-    this.busy = false;
+    this.handling = false;
   }
 
-  private mustMakeRoom(path: string): boolean {
-    return this.isCrowded() && this.options.turns?.mayCloseAfter(path) === true;
+  private mustFreeConnection(path: string): boolean {
+    return this.isCrowded() && this.options.crowding?.mayCloseAfter(path) === true;
   }
 
-  private async answer(message: Message): Promise<Answer> {
-    const [method, path] = message.start;
+  private async respond(message: HttpMessage): Promise<HttpResponse> {
+    const [method, path] = message.startLine;
     let timer: NodeJS.Timeout | undefined;
-    const late = new Promise<Answer>((resolve) => {
-      const answer: Answer = { status: 503, body: { error: 'not answered in time' }, retryAfterS: 1 };
-      timer = setTimeout(() => resolve(answer), this.options.answer);
+    const timeout = new Promise<HttpResponse>((resolve) => {
+      const timeoutResponse: HttpResponse = {
+        status: 503,
+        body: { error: 'not answered in time' },
+        retryAfterS: 1,
+      };
+      timer = setTimeout(() => resolve(timeoutResponse), this.options.responseTimeout);
     });
     try {
-      return await Promise.race([this.handler({ method, path, body: message.body }), late]);
-    } catch (e) {
-      this.log.error({ err: e, method, path }, 'request failed');
+      return await Promise.race([this.handler({ method, path, body: message.body }), timeout]);
+    } catch (error) {
+      this.log.error({ err: error, method, path }, 'request failed');
       return { status: 500, body: { error: 'internal error' }, retryAfterS: 1 };
     } finally {
       clearTimeout(timer);
@@ -151,23 +156,29 @@
   }
 }
 
-export function splitAddress(address: Address): { host: string; port: number } {
-  const cut = address.lastIndexOf(':');
-  return { host: address.slice(0, cut), port: Number(address.slice(cut + 1)) };
+export function parseAddress(address: Address): { host: string; port: number } {
+  const colon = address.lastIndexOf(':');
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-export function serve(address: Address, handler: Handler, options: ServerOptions, log: Log): Promise<Server> {
-  let open = 0;
-  const isCrowded = (): boolean => options.turns !== undefined && open > options.turns.crowdedAt;
+export function startHttpServer(
+  address: Address,
+  handler: Handler,
+  options: ServerOptions,
+  log: Log,
+): Promise<Server> {
+  let openConnections = 0;
+  const isCrowded = (): boolean =>
+    options.crowding !== undefined && openConnections > options.crowding.crowdedAbove;
   const server = createServer({ noDelay: true }, (socket) => {
-    open += 1;
-    socket.once('close', () => (open -= 1));
+    openConnections += 1;
+    socket.once('close', () => (openConnections -= 1));
     new Connection(socket, handler, options, log, isCrowded);
   });
   server.maxConnections = options.maxConnections;
   return new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen({ ...splitAddress(address), backlog: 511 }, () => {
+    server.listen({ ...parseAddress(address), backlog: 511 }, () => {
       server.off('error', reject);
       server.on('error', (err) => log.error({ err }, 'server'));
       resolve(server);
--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -2,7 +2,7 @@
  * Admission: which submissions can never run in this deployment, judged by its settings and the cloud's catalog. Texts
  * name the field and its bound.
  */
-import type { MachineType } from '../cloud/wire.js';
+import type { InstanceType } from '../cloud/wire.js';
 import { mayRunOn } from '../model/constraints.js';
 import { covers, largestOf, RESOURCE_KINDS } from '../model/resources.js';
 import type { Settings, Team } from '../settings/settings.js';
@@ -13,7 +13,7 @@
 const ROUNDING_TOLERANCE = 1e-9;
 
 /** An array's tasks may run one after the other; others need all of theirs at once. */
-function quotaRejection(spec: JobSpec, { name, limit }: Team): string | null {
+function quotaRejection(spec: JobSpec, { name, quota: limit }: Team): string | null {
   const tasks = spec.kind === 'array' ? 1 : spec.tasks;
   for (const kind of RESOURCE_KINDS) {
     const need = spec[kind] * tasks;
@@ -24,7 +24,7 @@
 }
 
 /** Why no machine type can take a task, or null. */
-function machineTypeRejection(spec: JobSpec, types: readonly MachineType[]): string | null {
+function machineTypeRejection(spec: JobSpec, types: readonly InstanceType[]): string | null {
   const named = types.filter((type) => spec.types?.includes(type.name) ?? true);
   if (named.length === 0)
     return `${FIELDS.types}: ${spec.types?.join(', ')} not in the catalog, which has ${namesOf(types)}`;
@@ -42,12 +42,12 @@
   return `${fields}: no allowed machine type has room for all of a task`;
 }
 
-const namesOf = (types: readonly MachineType[]): string => types.map((type) => type.name).join(', ');
+const namesOf = (types: readonly InstanceType[]): string => types.map((type) => type.name).join(', ');
 
 /** Why a job can never run here, or null. */
 export function rejectionReason(
   spec: JobSpec,
-  types: Iterable<MachineType>,
+  types: Iterable<InstanceType>,
   { settings }: { readonly settings: Pick<Settings, 'teams'> },
 ): string | null {
   const team = settings.teams.get(spec.team);
--- a/src/jobs/cancellation.ts
+++ b/src/jobs/cancellation.ts
@@ -1,6 +1,6 @@
 /** Cancels jobs: one transaction drops the record and writes the final state. */
-import type { Answer } from '../http/server.js';
-import type { Log } from '../log.js';
+import type { HttpResponse } from '../http/server.js';
+import type { Log } from '../logging/log.js';
 import { RequestPriority } from '../store/rate-limiter.js';
 import type { JobId, Revision } from '../model/units.js';
 import { NO_REVISION } from '../model/units.js';
@@ -26,7 +26,7 @@
   ) {}
 
   /** 200 only once the final state is committed, also when the job had ended before. */
-  async cancel(id: JobId): Promise<Answer> {
+  async cancel(id: JobId): Promise<HttpResponse> {
     for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
       const useCachedVersion = this.activeJobs.has(id) && attempt === 0;
       const version = useCachedVersion ? this.access.storeCache.version(activeJobKey(id)) : NO_REVISION;
@@ -37,7 +37,7 @@
     return UNAVAILABLE;
   }
 
-  private async readAndCancel(id: JobId): Promise<Answer | null> {
+  private async readAndCancel(id: JobId): Promise<HttpResponse | null> {
     const lookup = await this.reader.read(id);
     if (lookup.kind === 'unknown') return UNAVAILABLE;
     if (lookup.kind === 'absent') return NOT_FOUND;
@@ -48,7 +48,7 @@
   }
 
   /** null: the record has changed since that version, or the outcome is unknown. */
-  private async cancelAt(id: JobId, version: Revision): Promise<Answer | null> {
+  private async cancelAt(id: JobId, version: Revision): Promise<HttpResponse | null> {
     // The view may have dropped the job after our read found it live: its end must not be overwritten then.
     const result = await this.access.store.compareAndSwap(
       [
--- a/src/jobs/cluster-clock.ts
+++ b/src/jobs/cluster-clock.ts
@@ -46,7 +46,7 @@
 export interface ClusterClockWriterContext extends StoreAccess, LeadershipView {
   readonly clock: Clock;
   readonly clusterClock: Pick<ClusterClock, 'now'>;
-  readonly settings: Pick<Settings, 'node' | 'parts'>;
+  readonly settings: Pick<Settings, 'node' | 'shards'>;
 }
 
 /** Writes the count: the first of the controllers that are alive does, on condition that nobody else has. */
@@ -79,7 +79,7 @@
 
   private isFirstActiveController(): boolean {
     const { settings, storeCache: view } = this.context;
-    const first = settings.parts.find((shard) => view.get(aliveKey(shard.node)) !== undefined);
+    const first = settings.shards.find((shard) => view.get(aliveKey(shard.node)) !== undefined);
     return first?.node === settings.node;
   }
 }
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -1,5 +1,5 @@
 /** Writes finished tasks into the job records, and ends a job with its last task. */
-import type { Log } from '../log.js';
+import type { Log } from '../logging/log.js';
 import type { Shard, ShardJob } from '../shards/model.js';
 import { RangeSet } from '../model/ranges.js';
 import type { Settings } from '../settings/settings.js';
@@ -25,7 +25,7 @@
 export interface ProgressContext extends StoreAccess {
   readonly clock: Clock;
   readonly log: Log;
-  readonly settings: Pick<Settings, 'valueBytes'>;
+  readonly settings: Pick<Settings, 'maxValueBytes'>;
   /** The pools that this controller owns. */
   readonly shards: ReadonlyMap<ShardId, Shard>;
   readonly activeJobs: ActiveJobs;
@@ -78,7 +78,7 @@
         finished.addAll(job.finished);
         const lastOfShard = this.isLast(job, finished, record);
         if (!lastOfShard && now - (this.lastWriteAt.get(job.id) ?? -1e12) < this.writeIntervalMs()) continue;
-        pendingWrites.set(job.id, { id: job.id, record, finished, lastOfShard: lastOfShard });
+        pendingWrites.set(job.id, { id: job.id, record, finished, lastOfShard });
       }
     }
     return pendingWrites;
@@ -112,12 +112,12 @@
     const { store: state, storeCache: view, settings, clock, log } = this.context;
     const key = activeJobKey(pending.id);
     const version = view.version(key);
-    const record = withFinishedTasks(pending.record, pending.finished, settings.valueBytes);
+    const record = withFinishedTasks(pending.record, pending.finished, settings.maxValueBytes);
     const complete = isComplete(record);
     const value = encodeRecord(record);
     // Stored by a version with a larger limit: it stays as it is until its tasks' ranges have grown together. Their
     // results stay with the workers.
-    if (!complete && storedSizeBytes(record) > settings.valueBytes) {
+    if (!complete && storedSizeBytes(record) > settings.maxValueBytes) {
       this.lastWriteAt.set(pending.id, clock.now());
       return;
     }
--- a/src/jobs/record.ts
+++ b/src/jobs/record.ts
@@ -45,7 +45,7 @@
     const last = reassigned.at(-1);
     if (last && last.to === from && last.shard === shardId && last.zone === zone) {
       reassigned[reassigned.length - 1] = { ...last, to };
-    } else reassigned.push({ from, to, shard: shardId, zone: zone });
+    } else reassigned.push({ from, to, shard: shardId, zone });
   };
   for (const assignment of record.assignments) {
     let position = assignment.from;
--- a/src/jobs/service.ts
+++ b/src/jobs/service.ts
@@ -1,5 +1,5 @@
 /** Users' requests: submit, status, cancel. Every answer rests on a fresh word of the state service. */
-import type { Answer } from '../http/server.js';
+import type { HttpResponse } from '../http/server.js';
 import type { JobId, Revision } from '../model/units.js';
 import { JobCancellation } from './cancellation.js';
 import type { ActiveJobs, Timers } from './dependencies.js';
@@ -37,9 +37,16 @@
     refresh: () => Promise<boolean>,
     announceCancelled: (id: JobId, version: Revision) => void,
   ) {
-    const { activeJobs: activeJobs, settings, log } = context;
+    const { activeJobs, settings, log } = context;
     const reader = new JobReader(context, this.finalStates);
-    this.lookups = new LookupBatcher(context, activeJobs, this.finalStates, reader, settings.txnOps, refresh);
+    this.lookups = new LookupBatcher(
+      context,
+      activeJobs,
+      this.finalStates,
+      reader,
+      settings.maxTransactionOps,
+      refresh,
+    );
     this.submission = new JobSubmission(context, activeJobs, this.finalStates, this.lookups, assign);
     this.cancellation = new JobCancellation(
       context,
@@ -52,12 +59,12 @@
   }
 
   /** Takes a submission, given as the request's body. */
-  submit(body: Buffer): Promise<Answer> {
+  submit(body: Buffer): Promise<HttpResponse> {
     return this.submission.submit(body);
   }
 
   /** Answers a poll for a job's status; `id` is text from the request's path. */
-  async status(id: string): Promise<Answer> {
+  async status(id: string): Promise<HttpResponse> {
     if (!isJobId(id)) return NOT_FOUND;
     const lookup = await this.lookups.lookUp(id);
     if (lookup.kind === 'unknown') return UNAVAILABLE;
@@ -68,7 +75,7 @@
   }
 
   /** Cancels a job; `id` is text from the request's path. */
-  async cancel(id: string): Promise<Answer> {
+  async cancel(id: string): Promise<HttpResponse> {
     return isJobId(id) ? this.cancellation.cancel(id) : NOT_FOUND;
   }
 
--- a/src/jobs/submission.ts
+++ b/src/jobs/submission.ts
@@ -1,7 +1,7 @@
 /** Takes submissions: validates, looks for an existing job of that id, judges admission, and creates the job. */
-import type { MachineType } from '../cloud/wire.js';
-import type { Answer } from '../http/server.js';
-import type { Log } from '../log.js';
+import type { InstanceType } from '../cloud/wire.js';
+import type { HttpResponse } from '../http/server.js';
+import type { Log } from '../logging/log.js';
 import { RangeSet } from '../model/ranges.js';
 import type { Settings } from '../settings/settings.js';
 import { RequestPriority } from '../store/rate-limiter.js';
@@ -30,7 +30,7 @@
 export interface SubmissionContext extends StoreAccess, TaskSources {
   readonly settings: Settings;
   /** The cloud's catalog; empty while it is not known yet. */
-  readonly types: ReadonlyMap<InstanceTypeId, MachineType>;
+  readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
   readonly clock: Clock;
   /** The time that the controllers count together. */
   readonly clusterClock: { now(now: SteadyMs): ClusterMs };
@@ -49,7 +49,7 @@
   ) {}
 
   /** 201 once the job is committed, 200 for a job that exists, and otherwise why it was not taken. */
-  async submit(body: Buffer): Promise<Answer> {
+  async submit(body: Buffer): Promise<HttpResponse> {
     const submission = decodeSubmission(body);
     if (submission.kind === 'malformed') return this.reject(submission.id, 400, submission.error);
     const spec = submission.spec;
@@ -64,19 +64,19 @@
   }
 
   /** An existing job is never refused, whatever the body says now. */
-  private async reject(id: JobId | null, status: 400 | 422, error: string): Promise<Answer> {
+  private async reject(id: JobId | null, status: 400 | 422, error: string): Promise<HttpResponse> {
     if (id === null) return rejectedAnswer(status, error);
     const lookup = await this.lookups.lookUp(id);
     if (lookup.kind === 'absent') return rejectedAnswer(status, error);
     return this.answerFor(id, lookup);
   }
 
-  private async existingJob(id: JobId): Promise<Answer> {
+  private async existingJob(id: JobId): Promise<HttpResponse> {
     const lookup = await this.lookups.lookUp(id);
     return lookup.kind === 'absent' ? UNAVAILABLE : this.answerFor(id, lookup);
   }
 
-  private answerFor(id: JobId, lookup: JobLookup): Answer {
+  private answerFor(id: JobId, lookup: JobLookup): HttpResponse {
     if (lookup.kind === 'unknown' || lookup.kind === 'absent') return UNAVAILABLE;
     if (lookup.kind === 'ended') return existingJobAnswer(id, lookup.state);
     return existingJobAnswer(id, activeStatus(id, lookup.record, this.context).state);
@@ -86,7 +86,7 @@
     const { settings, storeCache: view, clusterClock: time, clock } = this.context;
     return {
       spec,
-      homeShard: settings.part,
+      homeShard: settings.shard,
       acceptedRevision: view.revision,
       acceptedAt: time.now(clock.now()),
       assignments: this.assign(spec),
@@ -94,10 +94,10 @@
     };
   }
 
-  private async create(spec: JobSpec): Promise<Answer> {
+  private async create(spec: JobSpec): Promise<HttpResponse> {
     const { store: state, storeCache: view, settings, log } = this.context;
     const record = this.newRecord(spec);
-    if (storedSizeBytes(record) > settings.valueBytes)
+    if (storedSizeBytes(record) > settings.maxValueBytes)
       return this.reject(spec.id, 400, 'the description is too long');
     const value = encodeRecord(record);
     const conditions = [activeJobKey(spec.id), finalStateKey(spec.id)].map((key) => ({
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -109,7 +109,7 @@
   ) {}
 
   async runKeepAlive(): Promise<never> {
-    const ttl = this.core.tuning.aliveTtl;
+    const ttl = this.core.tuning.membershipTtl;
     for (;;) {
       const requestedAt = this.core.clock.now();
       const renewed = await this.keepAlive();
@@ -122,9 +122,9 @@
   }
 
   private async keepAlive(): Promise<boolean> {
-    const { store: store, tuning, settings, incarnation } = this.core;
+    const { store, tuning, settings, incarnation } = this.core;
     if (this.aliveLease === null) {
-      this.aliveLease = await store.grantLease(tuning.aliveTtl);
+      this.aliveLease = await store.grantLease(tuning.membershipTtl);
       this.aliveKeyWritten = false;
       if (this.aliveLease === null) return false;
     } else {
@@ -153,7 +153,7 @@
   tick(): void {
     const now = this.core.clock.now();
     if (!this.core.storeCache.loaded) return;
-    for (const { part: shard, node } of this.core.settings.parts) {
+    for (const { shard, node } of this.core.settings.shards) {
       if (this.shardsInTransition.has(shard)) continue;
       const facts = this.failoverFacts(shard, node, now);
       const decision = decideFailover(facts);
@@ -173,16 +173,16 @@
     const leaderIncarnation = record?.incarnation ?? null;
     const leaderAlive = typeof leader === 'string' && core.isAlive(leader, leaderIncarnation);
     const homeControllerAlive = core.isAlive(homeController, null);
-    const cacheCurrent = now - core.storeCache.confirmedAt < core.tuning.followBlock + 1500;
+    const cacheCurrent = now - core.storeCache.confirmedAt < core.tuning.watchTimeout + 1500;
     return {
       now,
       self: core.settings.node,
       incarnation: core.incarnation,
-      homeController: homeController,
-      leader: leader,
-      leaderIncarnation: leaderIncarnation,
-      leaderAlive: leaderAlive,
-      homeControllerAlive: homeControllerAlive,
+      homeController,
+      leader,
+      leaderIncarnation,
+      leaderAlive,
+      homeControllerAlive,
       ledHomeShardBefore: this.ledHomeShardBefore,
       // After a cut the view is current a moment before we know that our key is gone: what we claimed then would be
       // taken from us at once, as from one who is dead.
@@ -209,7 +209,7 @@
     let observed = this.situations.get(shard);
     if (!observed || observed.situation !== situation) {
       const inSameZone =
-        this.core.settings.parts.find((p) => p.node === homeController)?.zone === this.core.settings.zone;
+        this.core.settings.shards.find((p) => p.node === homeController)?.zone === this.core.settings.zone;
       observed = { situation, observedSince: now, delayMs: (inSameZone ? 0 : 250) + this.core.random(150) };
       this.situations.set(shard, observed);
     }
@@ -245,7 +245,7 @@
     const observed = this.situations.get(shard);
     if (
       observed &&
-      core.settings.part !== shard &&
+      core.settings.shard !== shard &&
       core.clock.now() - observed.observedSince < observed.delayMs
     )
       return;
@@ -253,7 +253,7 @@
     const value = encodeShardRecord({
       leader: core.settings.node,
       incarnation: core.incarnation,
-      fencingToken: fencingToken,
+      fencingToken,
     });
     const result = await core.compareAndSwapUntilCertain(
       [
@@ -289,7 +289,7 @@
   /** Most of our machines are silent: whoever hears them should command them. */
   private releaseUnreachableShards(now: SteadyMs): void {
     // Without a current view we cannot release anything, and may not own anything any more.
-    if (now - this.core.storeCache.confirmedAt > this.core.tuning.followBlock + 1500) return;
+    if (now - this.core.storeCache.confirmedAt > this.core.tuning.watchTimeout + 1500) return;
     for (const shard of this.core.shards.values()) {
       if (this.shardsInTransition.has(shard.id) || now - shard.acquiredAt < 8000) continue;
       const silenceLimitMs = Math.max(3.2 * this.core.heartbeatIntervalMs, 4500);
@@ -344,7 +344,7 @@
       if (record?.leader) this.releasedShards.delete(id);
       return;
     }
-    if (id === core.settings.part) this.ledHomeShardBefore = true;
+    if (id === core.settings.shard) this.ledHomeShardBefore = true;
     this.releasedShards.delete(id);
     if (shard) {
       shard.adoptFencingToken(record.fencingToken);
--- a/src/log.ts
+++ b/src/logging/log.ts
@@ -1,7 +1,7 @@
 /** Structured logs to standard error, one JSON object a line. */
 import { pino, type Logger } from 'pino';
-import type { LogLevel } from './settings/settings.js';
-import type { ControllerId } from './model/units.js';
+import type { LogLevel } from '../settings/settings.js';
+import type { ControllerId } from '../model/units.js';
 
 export type Log = Logger;
 
--- a/src/model/gang.ts
+++ b/src/model/gang.ts
@@ -80,7 +80,7 @@
 const INCOMPLETE_SHARE = 0.7;
 
 const WAIT: GangAction = { kind: 'wait' };
-const abandon = (reason: string): GangAction => ({ kind: 'stop', grace: 0, reason: reason });
+const abandon = (reason: string): GangAction => ({ kind: 'stop', grace: 0, reason });
 
 /**
  * The table of a gang, the first line that holds:
--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -40,7 +40,7 @@
   const freeCapacity: FreeCapacity = {
     shard: shard.id,
     zone: zoneForShard(core, shard.id),
-    expiresAt: plus(now, core.tuning.announceExpiry),
+    expiresAt: plus(now, core.tuning.announcementExpiry),
     machines: [...shapes.values()],
   };
   // What waits for its team's limit takes no room: others may have it meanwhile.
@@ -82,7 +82,7 @@
 }
 
 export const zoneForShard = (core: Core, shard: ShardId): ZoneId =>
-  core.settings.parts.find((p) => p.part === shard)?.zone ?? core.settings.zone;
+  core.settings.shards.find((p) => p.shard === shard)?.zone ?? core.settings.zone;
 
 function freeMachinesOf(core: Core, shard: Shard): FreeMachines[] {
   return (core.freeCapacity.get(shard.id) ?? freeCapacityOf(core, shard)).machines.filter((m) => m.count > 0);
@@ -146,7 +146,7 @@
     redirectedHeartbeats: announcement.redirectedHeartbeats,
   });
   for (const [machine, shard] of announcement.rentedMachines) core.intendedShards.set(machine, shard);
-  const expires = plus(now, core.tuning.announceExpiry);
+  const expires = plus(now, core.tuning.announcementExpiry);
   // Both of us may believe that we lead a shard for a moment: our own knowledge is the better one.
   for (const capacity of announcement.shards)
     if (!core.shards.has(capacity.shard)) learnShardCapacity(core, capacity, expires);
@@ -156,10 +156,10 @@
   const { shard, used, unusedQuota } = capacity;
   for (const [machine, images] of capacity.cachedImages) core.imageHints.set(machine, images);
   core.readyCapacity.set(shard, capacity.criticalCapacity);
-  core.shardAnnouncements.set(shard, { expiresAt: expires, usage: used, unusedQuota: unusedQuota });
+  core.shardAnnouncements.set(shard, { expiresAt: expires, usage: used, unusedQuota });
   const machines = [...capacity.freeMachines];
   core.freeCapacity.set(shard, {
-    shard: shard,
+    shard,
     zone: zoneForShard(core, shard),
     expiresAt: expires,
     machines,
--- a/src/overflow/assignment.ts
+++ b/src/overflow/assignment.ts
@@ -1,5 +1,5 @@
 /** Which part a new job's tasks are entrusted to, and in which zone those of a constrained job must be. */
-import type { MachineType } from '../cloud/wire.js';
+import type { InstanceType } from '../cloud/wire.js';
 import type { Assignment } from '../jobs/record.js';
 import { Priority, type JobSpec } from '../jobs/spec.js';
 import { covers, scale, fittingRatio, TOLERANCE, ZERO, type Resources } from '../model/resources.js';
@@ -12,9 +12,9 @@
   readonly now: SteadyMs;
   readonly homeShard: ShardId;
   readonly homeZone: ZoneId;
-  readonly shards: readonly { part: ShardId; zone: ZoneId }[];
+  readonly shards: readonly { shard: ShardId; zone: ZoneId }[];
   readonly zones: readonly ZoneId[];
-  readonly types: readonly MachineType[];
+  readonly types: readonly InstanceType[];
   /** Announced room of every part, our own included. */
   readonly freeCapacity: ReadonlyMap<ShardId, FreeCapacity>;
   /** By part and image: what critical work could have at once where the image is. */
@@ -48,15 +48,15 @@
   if (spec.priority !== Priority.critical) return null;
   const needed = scale(spec, count);
   const candidates = context.shards.filter(
-    (p) => (zone === null || p.zone === zone) && covers(capacityWithImage(context, spec, p.part), needed),
+    (p) => (zone === null || p.zone === zone) && covers(capacityWithImage(context, spec, p.shard), needed),
   );
-  if (candidates.some((p) => p.part === context.homeShard)) return context.homeShard;
+  if (candidates.some((p) => p.shard === context.homeShard)) return context.homeShard;
   const zoneDistance = (z: ZoneId): number => (z === context.homeZone ? 0 : 1);
   const taskSlots = (p: ShardId): number => fittingRatio(capacityWithImage(context, spec, p), spec);
   candidates.sort(
-    (a, b) => zoneDistance(a.zone) - zoneDistance(b.zone) || taskSlots(b.part) - taskSlots(a.part),
+    (a, b) => zoneDistance(a.zone) - zoneDistance(b.zone) || taskSlots(b.shard) - taskSlots(a.shard),
   );
-  return candidates[0]?.part ?? null;
+  return candidates[0]?.shard ?? null;
 }
 
 /** Critical tasks go where their image is, to one part if it can take all, else split by what each could start. */
@@ -68,16 +68,16 @@
     Math.floor(
       Math.min(Number.MAX_SAFE_INTEGER, fittingRatio(capacityWithImage(context, spec, p), spec)) + TOLERANCE,
     );
-  const zoneDistance = (p: { part: ShardId; zone: ZoneId }): number =>
-    p.part === context.homeShard ? 0 : p.zone === context.homeZone ? 1 : 2;
+  const zoneDistance = (p: { shard: ShardId; zone: ZoneId }): number =>
+    p.shard === context.homeShard ? 0 : p.zone === context.homeZone ? 1 : 2;
   const order = [...context.shards].sort(
-    (a, b) => zoneDistance(a) - zoneDistance(b) || taskSlots(b.part) - taskSlots(a.part),
+    (a, b) => zoneDistance(a) - zoneDistance(b) || taskSlots(b.shard) - taskSlots(a.shard),
   );
   const assignments: Assignment[] = [];
   let nextTask = 0;
-  for (const { part: shard } of order) {
+  for (const { shard } of order) {
     const to = Math.min(spec.tasks, nextTask + taskSlots(shard));
-    if (to > nextTask) assignments.push({ from: nextTask, to, shard: shard, zone: null });
+    if (to > nextTask) assignments.push({ from: nextTask, to, shard, zone: null });
     nextTask = to;
   }
   return assignments;
@@ -93,7 +93,7 @@
   const best = rankPeers(context.freeCapacity.values(), zone, spec, zone, context.now, context.random)[0];
   if (best) return best.freeCapacity.shard;
   if (context.homeZone === zone) return context.homeShard;
-  return context.shards.find((p) => p.zone === zone)?.part ?? context.homeShard;
+  return context.shards.find((p) => p.zone === zone)?.shard ?? context.homeShard;
 }
 
 function assignToZone(
@@ -106,7 +106,7 @@
   const shard = shardForZone(context, spec, zone, to - from);
   const freeCapacity = context.freeCapacity.get(shard);
   if (freeCapacity) reserveCapacity(freeCapacity, spec, zone, to - from);
-  return { from, to, shard: shard, zone };
+  return { from, to, shard, zone };
 }
 
 const zonesByCapacity = (context: AssignmentContext, spec: JobSpec, zones: readonly ZoneId[]): ZoneId[] =>
@@ -146,7 +146,7 @@
     assignments.push({ from: nextTask, to: nextTask + homeTasks, shard: context.homeShard, zone: null });
   nextTask += homeTasks;
   const others = [...context.freeCapacity.values()].filter((peer) => peer.shard !== context.homeShard);
-  for (const { freeCapacity: freeCapacity, capacity } of rankPeers(
+  for (const { freeCapacity, capacity } of rankPeers(
     others,
     context.homeZone,
     spec,
@@ -190,7 +190,7 @@
 export function eligibleZones(
   spec: JobSpec,
   zones: readonly ZoneId[],
-  types: readonly MachineType[],
+  types: readonly InstanceType[],
 ): readonly ZoneId[] {
   const eligible = zones.filter((zone) =>
     types.some((t) => t.zones.includes(zone) && fits(spec, t) && mayRunOn(spec, t.name, zone, false, null)),
--- a/src/overflow/machine-transfer.ts
+++ b/src/overflow/machine-transfer.ts
@@ -82,7 +82,7 @@
     if (now - (this.requestedAt.get(shard.id) ?? -Infinity) < REQUEST_INTERVAL_MS) return;
     this.requestedAt.set(shard.id, now);
     const zone = zoneForShard(core, shard.id);
-    const peers = core.settings.parts.filter((p) => p.part !== shard.id && p.zone === zone);
+    const peers = core.settings.shards.filter((p) => p.shard !== shard.id && p.zone === zone);
     const peer = peers[Math.floor(now / PEER_TURN_MS) % peers.length];
     if (!peer) return;
     const { cpus, gpus, memoryGb, types, spot } = gang.job.spec;
@@ -90,12 +90,12 @@
     const request: MachineRequest = {
       kind: 'machineRequest',
       from: shard.id,
-      to: peer.part,
+      to: peer.shard,
       ...requirements,
     };
-    if (core.shards.has(peer.part)) this.handleRequest(request);
+    if (core.shards.has(peer.shard)) this.handleRequest(request);
     else {
-      const owner = core.shardRecord(peer.part)?.leader;
+      const owner = core.shardRecord(peer.shard)?.leader;
       if (owner) core.peerTransport.send(owner, encodePeerMessage(request));
     }
   }
@@ -106,7 +106,7 @@
     const now = core.clock.now();
     const shard = core.shards.get(request.to);
     if (!shard?.reconciled || request.from === request.to || !core.mayCommand(now)) return;
-    if (!core.settings.parts.some((p) => p.part === request.from)) return;
+    if (!core.settings.shards.some((p) => p.shard === request.from)) return;
     if (this.hasPrecedence(shard, request, now)) return;
     const { empty, draining: emptying } = chooseTransfer(shard, request, core, now);
     for (const machine of emptying) this.cordon(machine, now);
--- a/src/overflow/peer-ranking.ts
+++ b/src/overflow/peer-ranking.ts
@@ -82,7 +82,7 @@
   const candidates = [...freeCapacities]
     .filter((peer) => peer.expiresAt > now)
     .map((freeCapacity) => ({
-      freeCapacity: freeCapacity,
+      freeCapacity,
       capacity: taskCapacity(freeCapacity, spec, zone),
       draw: random(1 << 20),
     }))
--- a/src/overflow/task-transfer.ts
+++ b/src/overflow/task-transfer.ts
@@ -86,7 +86,7 @@
   const record = encodeReassignedRecord(core, job, tasks, receivingShard, zone);
   if (record === null) return null;
   reserveCapacity(peer.freeCapacity, job.spec, zone, tasks.size);
-  return { job, tasks, receivingShard: receivingShard, record: record };
+  return { job, tasks, receivingShard, record };
 }
 
 /** The tasks have waited for room in their zone, and no part has any there. */
@@ -110,7 +110,7 @@
   if (record === null) return null;
   if (reassignment.freeCapacity)
     reserveCapacity(reassignment.freeCapacity, job.spec, reassignment.zone, reassignment.tasks.size);
-  return { job, tasks: reassignment.tasks, receivingShard: reassignment.shard, record: record };
+  return { job, tasks: reassignment.tasks, receivingShard: reassignment.shard, record };
 }
 
 /** The job's record with these tasks entrusted to that part in that zone; null: it has no room for another range. */
@@ -123,7 +123,7 @@
 ): unknown {
   const record = encodeRecord(reassign(job.record, tasks, receivingShard, () => zone));
   // Such a job stays here, and must not keep others from going.
-  return Buffer.byteLength(JSON.stringify(record)) > core.settings.valueBytes ? null : record;
+  return Buffer.byteLength(JSON.stringify(record)) > core.settings.maxValueBytes ? null : record;
 }
 
 export class TaskTransferService {
@@ -143,10 +143,7 @@
   }
 
   /** None of these tasks is on a machine: they wait here, and stop waiting before the write is sent. */
-  private async transfer(
-    shard: Shard,
-    { job, tasks, receivingShard: receivingShard, record: record }: TaskTransfer,
-  ): Promise<void> {
+  private async transfer(shard: Shard, { job, tasks, receivingShard, record }: TaskTransfer): Promise<void> {
     const { core } = this;
     job.waiting.removeAll(tasks);
     job.handingOver.addAll(tasks);
--- a/src/mesh/mesh.ts
+++ b/src/peers/peer-transport.ts
@@ -4,18 +4,18 @@
  */
 import { connect, createServer, type Socket } from 'node:net';
 import { Packr } from 'msgpackr';
-import type { Log } from '../log.js';
+import type { Log } from '../logging/log.js';
 import type { Address, ControllerId } from '../model/units.js';
-import { splitAddress } from '../http/server.js';
+import { parseAddress } from '../http/server.js';
 
 /** Largest message in bytes, without its length. */
-const MAX_FRAME = 1024 * 1024;
+const MAX_FRAME_BYTES = 1024 * 1024;
 /** What may wait in a socket, in bytes; further messages to that peer are dropped. */
-const MAX_UNSENT = 4 * MAX_FRAME;
+const MAX_UNSENT_BYTES = 4 * MAX_FRAME_BYTES;
 /** How long after the end of a connection the peer is dialled again, in milliseconds. */
 const RECONNECT_DELAY_MS = 500;
 const DIAL_TIMEOUT_MS = 1500;
-const MAX_INCOMING = 32;
+const MAX_INCOMING_CONNECTIONS = 32;
 const packr = new Packr({ useRecords: false, mapsAsObjects: true });
 
 /** Cuts a byte stream into frames: four bytes of length, then the message. */
@@ -28,7 +28,7 @@
     const messages: unknown[] = [];
     while (this.buffer.length >= 4) {
       const size = this.buffer.readUInt32BE(0);
-      if (size > MAX_FRAME) throw new Error('frame too large');
+      if (size > MAX_FRAME_BYTES) throw new Error('frame too large');
       if (this.buffer.length < 4 + size) break;
       messages.push(packr.unpack(this.buffer.subarray(4, 4 + size)));
       this.buffer = this.buffer.subarray(4 + size);
@@ -48,7 +48,7 @@
 /** The connection to one peer, dialled anew whenever it ends. */
 class OutgoingConnection {
   private socket: Socket | null = null;
-  private ready = false;
+  private connected = false;
   private reconnectTimer: NodeJS.Timeout | null = null;
 
   constructor(private readonly address: Address) {
@@ -56,23 +56,24 @@
   }
 
   send(bytes: Buffer): void {
-    if (this.ready && this.socket && this.socket.writableLength < MAX_UNSENT) this.socket.write(bytes);
+    if (this.connected && this.socket && this.socket.writableLength < MAX_UNSENT_BYTES)
+      this.socket.write(bytes);
   }
 
   private dial(): void {
-    const socket = connect({ ...splitAddress(this.address), noDelay: true });
+    const socket = connect({ ...parseAddress(this.address), noDelay: true });
     this.socket = socket;
     const dialTimer = setTimeout(() => socket.destroy(), DIAL_TIMEOUT_MS);
     socket.on('connect', () => {
       clearTimeout(dialTimer);
-      this.ready = true;
+      this.connected = true;
     });
     socket.on('error', () => socket.destroy());
     // Peers never talk back on this connection; reading notices its end.
     socket.on('data', () => undefined);
     socket.on('close', () => {
       clearTimeout(dialTimer);
-      this.ready = false;
+      this.connected = false;
       this.reconnectTimer ??= setTimeout(() => {
         this.reconnectTimer = null;
         this.dial();
@@ -82,19 +83,19 @@
 }
 
 /** Messages to peers, without any promise that they arrive. */
-export interface Mesh {
+export interface PeerTransport {
   send(to: ControllerId, message: unknown): void;
   /** To all peers. */
   broadcast(message: unknown): void;
 }
 
 /** Listens for peers and dials them; `receive` gets every message of any of them. */
-export function openMesh(
+export function openPeerTransport(
   listen: Address,
   peers: readonly { node: ControllerId; address: Address }[],
   receive: (message: unknown) => void,
   log: Log,
-): Mesh {
+): PeerTransport {
   const server = createServer({ noDelay: true }, (socket) => {
     const reader = new FrameReader();
     socket.on('error', () => socket.destroy());
@@ -107,15 +108,15 @@
       }
     });
   });
-  server.maxConnections = MAX_INCOMING;
+  server.maxConnections = MAX_INCOMING_CONNECTIONS;
   server.on('error', (err) => log.error({ err }, 'mesh server'));
-  server.listen(splitAddress(listen));
-  const links = new Map(peers.map((p) => [p.node, new OutgoingConnection(p.address)]));
+  server.listen(parseAddress(listen));
+  const connections = new Map(peers.map((p) => [p.node, new OutgoingConnection(p.address)]));
   return {
-    send: (to, message) => links.get(to)?.send(frame(message)),
+    send: (to, message) => connections.get(to)?.send(frame(message)),
     broadcast: (message) => {
       const bytes = frame(message);
-      for (const link of links.values()) link.send(bytes);
+      for (const connection of connections.values()) connection.send(bytes);
     },
   };
 }
--- a/src/quota/guaranteed-jobs.ts
+++ b/src/quota/guaranteed-jobs.ts
@@ -5,7 +5,7 @@
 import type { JobId, TeamId } from '../model/units.js';
 
 /** What asks only for resources without a guarantee is not guaranteed; what asks for nothing always is. */
-function requestsGuaranteedResources({ spec }: JobRecord, { guarantee }: Team): boolean {
+function requestsGuaranteedResources({ spec }: JobRecord, { guaranteed: guarantee }: Team): boolean {
   const limitable = ['cpus', 'gpus'] as const;
   if (limitable.every((kind) => spec[kind] === 0)) return limitable.some((kind) => guarantee[kind] > 0);
   return limitable.some((kind) => guarantee[kind] > 0 && spec[kind] > 0);
@@ -14,7 +14,7 @@
 /** A resource with a guarantee of 0 has none, and is not counted. Every controller comes to the same answer. */
 export function selectGuaranteedJobs(records: readonly JobRecord[], team: Team): Set<JobId> {
   const guaranteed = new Set<JobId>();
-  const counted = mapResources((kind) => team.guarantee[kind] || Infinity);
+  const counted = mapResources((kind) => team.guaranteed[kind] || Infinity);
   const sum: MutableResources = { ...ZERO };
   for (const record of [...records].sort(
     (a, b) => a.acceptedRevision - b.acceptedRevision || (a.spec.id < b.spec.id ? -1 : 1),
--- a/src/quota/shard-quota.ts
+++ b/src/quota/shard-quota.ts
@@ -33,7 +33,7 @@
   amountsOf: (kind: 'cpus' | 'gpus') => readonly number[],
 ): ShardQuotas {
   const limited = (kind: 'cpus' | 'gpus', shard: number): number =>
-    team.limit[kind] === Infinity ? Infinity : (amountsOf(kind)[shard] ?? 0);
+    team.quota[kind] === Infinity ? Infinity : (amountsOf(kind)[shard] ?? 0);
   return Array.from({ length: shardCount }, (_, shard) => ({
     ...UNLIMITED,
     cpus: limited('cpus', shard),
@@ -43,14 +43,14 @@
 
 /** Before anybody has moved anything, all parts have the same. */
 export const evenQuotas = (team: Team, shardCount: number): ShardQuotas =>
-  assembleQuotas(team, shardCount, (kind) => splitEvenly(team.limit[kind], shardCount));
+  assembleQuotas(team, shardCount, (kind) => splitEvenly(team.quota[kind], shardCount));
 
 /** JSON has no infinity: what is unlimited is written as 0, as in the settings. Memory has no limit yet. */
 const encodeAmount = (amount: number): number => (amount === Infinity ? 0 : amount);
 
 export function encodeQuotas(team: Team, shares: ShardQuotas): unknown {
   return {
-    max: [encodeAmount(team.limit.cpus), encodeAmount(team.limit.gpus)],
+    max: [encodeAmount(team.quota.cpus), encodeAmount(team.quota.gpus)],
     cpus: shares.map((share) => encodeAmount(share.cpus)),
     gpus: shares.map((share) => encodeAmount(share.gpus)),
   };
@@ -61,7 +61,7 @@
   const result = v.safeParse(quotaRecordSchema, value);
   if (!result.success) return evenQuotas(team, shardCount);
   const { max, cpus, gpus } = result.output;
-  const sameLimit = max[0] === encodeAmount(team.limit.cpus) && max[1] === encodeAmount(team.limit.gpus);
+  const sameLimit = max[0] === encodeAmount(team.quota.cpus) && max[1] === encodeAmount(team.quota.gpus);
   if (!sameLimit || cpus.length !== shardCount || gpus.length !== shardCount)
     return evenQuotas(team, shardCount);
   return assembleQuotas(team, shardCount, (kind) => (kind === 'cpus' ? cpus : gpus));
--- a/src/quota/transfer-service.ts
+++ b/src/quota/transfer-service.ts
@@ -56,7 +56,7 @@
     const shares = decodeQuotas(
       this.core.storeCache.get(key)?.value,
       settings,
-      this.core.settings.parts.length,
+      this.core.settings.shards.length,
     );
     const fresh = { shares, version };
     this.decodedQuotas.set(team, fresh);
@@ -85,8 +85,8 @@
     const demand = this.waitingDemand(shard, team);
     if (!shard.teamsBlockedByCapacity.has(team)) return demand;
     const used = shard.totals.usageByTeam.get(team) ?? ZERO;
-    const limit = this.core.settings.teams.get(team)?.limit ?? ZERO;
-    const evenFraction = 1 / this.core.settings.parts.length;
+    const limit = this.core.settings.teams.get(team)?.quota ?? ZERO;
+    const evenFraction = 1 / this.core.settings.shards.length;
     return mapResources((kind) => {
       const nearTerm = NEAR_TERM_FRACTION * Math.max(used[kind], limit[kind] * evenFraction);
       return Math.min(demand[kind], Math.ceil(nearTerm));
@@ -173,7 +173,7 @@
     const amount = this.shortfall(shard, team, waiting);
     if (isZero(amount)) return;
     let best: { part: ShardId; spare: number } | null = null;
-    for (const { part: otherShard } of this.core.settings.parts) {
+    for (const { shard: otherShard } of this.core.settings.shards) {
       if (otherShard === shard.id) continue;
       const spare = fittingRatio(this.unusedQuotaOf(otherShard, team, now), amount);
       if (spare > 0 && (!best || spare > best.spare)) best = { part: otherShard, spare };
@@ -207,7 +207,7 @@
     const missing = mapResources((kind) => Math.max(0, needed[kind] - remaining[kind]));
     if (RESOURCE_KINDS.every((kind) => missing[kind] <= 0)) return;
     this.lastRequestAt.set(`${shard.id}/${team}`, now);
-    for (const { part: otherShard } of this.core.settings.parts)
+    for (const { shard: otherShard } of this.core.settings.shards)
       if (otherShard !== shard.id)
         this.send({
           kind: 'quotaTransferRequest',
@@ -223,7 +223,7 @@
   private requestRemainders(shard: Shard, team: TeamId, now: SteadyMs): void {
     const key = `${shard.id}/${team}`;
     if (now - (this.lastRemainderRequestAt.get(key) ?? -Infinity) < REMAINDER_REQUEST_INTERVAL_MS) return;
-    const limit = this.core.settings.teams.get(team)?.limit ?? ZERO;
+    const limit = this.core.settings.teams.get(team)?.quota ?? ZERO;
     const missing = missingForClosestTask(
       this.remainingQuota(shard, team),
       this.waitingTasks(shard, team),
@@ -231,7 +231,7 @@
     );
     if (!missing) return;
     this.lastRemainderRequestAt.set(key, now);
-    for (const { part: otherShard } of this.core.settings.parts)
+    for (const { shard: otherShard } of this.core.settings.shards)
       if (otherShard !== shard.id)
         this.send({
           kind: 'quotaTransferRequest',
@@ -295,8 +295,8 @@
     const value = encodeQuotas(team, moveQuota(current.shares, request.to, request.from, amount));
     const key = quotaKey(request.team);
     const result = await core.compareAndSwapUntilCertain(
-      [{ key: key, version: current.version }, core.leaderCondition(shard)],
-      [{ op: 'put', key: key, value }],
+      [{ key, version: current.version }, core.leaderCondition(shard)],
+      [{ op: 'put', key, value }],
       RequestPriority.handOver,
     );
     await core.exclusive(() => {
--- a/src/scheduling/candidates.ts
+++ b/src/scheduling/candidates.ts
@@ -1,5 +1,5 @@
 /** Where tasks of one job may start, best first. Pure: it reads the part and the room that a round has left. */
-import type { MachineType } from '../cloud/wire.js';
+import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import {
   add,
@@ -47,7 +47,7 @@
   constructor(
     private readonly shard: Shard,
     private readonly job: ShardJob,
-    private readonly types: ReadonlyMap<InstanceTypeId, MachineType>,
+    private readonly types: ReadonlyMap<InstanceTypeId, InstanceType>,
     /** What the round has left on a machine; null: nothing of the job may start there. */
     private readonly freeResourcesOn: (machine: Machine) => Resources | null,
     private readonly now: SteadyMs,
@@ -81,7 +81,7 @@
   }
 
   private findCandidates(): Candidate[] {
-    const { shard: shard, job } = this;
+    const { shard, job } = this;
     const candidates: Candidate[] = [];
     for (const machine of shard.totals.machinesWithFree(job.spec, this.types)) {
       const free = this.freeResourcesOn(machine);
@@ -152,7 +152,7 @@
   machine: Machine,
   free: Resources,
   spec: JobSpec,
-  type: MachineType | undefined,
+  type: InstanceType | undefined,
   now: SteadyMs,
 ): boolean {
   if (spec.kind !== 'service' || now - machine.addedAt > NEW_MACHINE_MS || machine.images.has(spec.image))
--- a/src/scheduling/consolidation.ts
+++ b/src/scheduling/consolidation.ts
@@ -41,7 +41,7 @@
     // Only what frees the whole machine is worth a move.
     if (!target) return null;
     placedOn.set(target, (placedOn.get(target) ?? 0) + 1);
-    relocations.push({ allocation: allocation, target: target });
+    relocations.push({ allocation, target });
   }
   return relocations[0] ?? null;
 }
--- a/src/scheduling/cycle.ts
+++ b/src/scheduling/cycle.ts
@@ -1,5 +1,5 @@
 /** One placement round: what it reads, what it decides, and the room and limits that it has left so far. */
-import type { MachineType } from '../cloud/wire.js';
+import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import {
   add,
@@ -26,7 +26,7 @@
 
 export interface SchedulingContext {
   readonly now: SteadyMs;
-  readonly types: ReadonlyMap<InstanceTypeId, MachineType>;
+  readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
   readonly teams: ReadonlyMap<TeamId, Team>;
   /** This part's share of the team's limit. */
   readonly shardQuota: (team: TeamId) => Resources;
@@ -204,7 +204,7 @@
   const usage = new Map(state.usage);
   const stoppingUsage = new Map(state.stoppingUsage);
   const stopping = new Set(state.stopping);
-  const { stops, reservations: reservations } = plan;
+  const { stops, reservations } = plan;
   const lengths = { stops: stops.length, holds: reservations.length };
   return () => {
     restoreFreeResources(state.freeResources, freeResources);
--- a/src/scheduling/gangs.ts
+++ b/src/scheduling/gangs.ts
@@ -55,7 +55,7 @@
     for (const allocation of shard.allocationsByJob.get(job.id) ?? []) {
       if (allocation.stop) continue;
       state.stopping.add(allocation);
-      plan.stops.push({ allocation: allocation, graceS: action.grace });
+      plan.stops.push({ allocation, graceS: action.grace });
     }
   }
 }
--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -76,7 +76,7 @@
     deadline === Infinity ? Number.MAX_SAFE_INTEGER : deadline,
     job.acceptedAt,
   ];
-  return { job, sortKey: sortKey };
+  return { job, sortKey };
 }
 
 const comparePriority = (first: PrioritizedJob, second: PrioritizedJob): number =>
@@ -246,13 +246,13 @@
       if (allocation.spec && !allocation.stop && !state.stopping.has(allocation)) candidates.push(allocation);
   }
   const costs = candidates
-    .map((allocation) => ({ allocation: allocation, lostCpuMs: lostWork(allocation, context) }))
+    .map((allocation) => ({ allocation, lostCpuMs: lostWork(allocation, context) }))
     .sort((x, y) => x.lostCpuMs - y.lostCpuMs);
-  for (const { allocation: allocation } of costs) {
+  for (const { allocation } of costs) {
     if (isEnough(freed())) return;
     state.stopping.add(allocation);
     addStoppingUsage(state, allocation.spec as JobSpec);
-    plan.stops.push({ allocation: allocation, graceS: gracePeriodS(allocation) });
+    plan.stops.push({ allocation, graceS: gracePeriodS(allocation) });
   }
 }
 
--- a/src/scheduling/preemption.ts
+++ b/src/scheduling/preemption.ts
@@ -136,7 +136,7 @@
 
 /** Would its team without this task still use all of a guarantee that the task counts for? None: it is all borrowed. */
 function exceedsGuarantee(spec: JobSpec, state: CycleState, context: SchedulingContext): boolean {
-  const guarantee = context.teams.get(spec.team)?.guarantee;
+  const guarantee = context.teams.get(spec.team)?.guaranteed;
   if (!guarantee) return true;
   const counted = RESOURCE_KINDS.filter((kind) => guarantee[kind] > 0 && spec[kind] > 0);
   const usage = usageAfterStops(state, spec.team, context);
@@ -174,20 +174,20 @@
   // What each costs is only worth finding out where it would be enough.
   if (!fits(job.spec, freeAtMost)) return null;
   const candidates = preemptible.map((allocation) => ({
-    allocation: allocation,
+    allocation,
     cost: preemptionCost(shard, allocation, context),
   }));
   candidates.sort((x, y) => x.cost - y.cost);
   const free = { ...freeBefore };
   const chosen: Allocation[] = [];
   let cost = 0;
-  for (const { allocation: allocation, cost: allocationCost } of candidates) {
+  for (const { allocation, cost: allocationCost } of candidates) {
     if (fits(job.spec, free)) break;
     adjustFreeResources(free, allocation.spec as JobSpec, -1);
     cost += allocationCost;
     chosen.push(allocation);
   }
-  return fits(job.spec, free) ? { machine: machine, allocations: chosen, cost } : null;
+  return fits(job.spec, free) ? { machine, allocations: chosen, cost } : null;
 }
 
 const criticalPreemptionDelayMs = (shard: Shard, job: ShardJob, context: SchedulingContext): number =>
@@ -237,7 +237,7 @@
     const freedMachine = shard.machines.get(allocation.machine);
     if (freedMachine)
       adjustFreeResources(freeAfterStopsOn(freedMachine, state, context), allocation.spec as JobSpec, -1);
-    plan.stops.push({ allocation: allocation, graceS: gracePeriodS(allocation) });
+    plan.stops.push({ allocation, graceS: gracePeriodS(allocation) });
   }
   adjustFreeResources(freeOnTarget, job.spec, 1);
   adjustFreeResources(state.freeResources.get(machine.id), job.spec, 1);
--- a/src/scheduling/reservations.ts
+++ b/src/scheduling/reservations.ts
@@ -2,7 +2,7 @@
  * What is kept for jobs that have waited too long: machines that empty for them, and a share of their team's limit.
  * Without it smaller tasks would take each piece of a machine or of a limit as soon as it comes free. Pure.
  */
-import type { MachineType } from '../cloud/wire.js';
+import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import { mayRunOn } from '../model/constraints.js';
 import {
@@ -39,11 +39,11 @@
 }
 
 /** Smaller tasks find a piece of some machine soon. */
-const needsMostResources = (type: MachineType, spec: JobSpec): boolean =>
+const needsMostResources = (type: InstanceType, spec: JobSpec): boolean =>
   fits(spec, type) && dominantShare(spec, type) >= MIN_RESERVABLE_SHARE;
 
 /** Free CPUs, or GPUs as CPUs where the task needs them and they are scarcer. Memory does not choose the machine. */
-const freeReservableCpus = (freeResources: Resources, type: MachineType, spec: JobSpec): number =>
+const freeReservableCpus = (freeResources: Resources, type: InstanceType, spec: JobSpec): number =>
   freeAsCpus(freeResources, type, { cpus: 0, gpus: spec.gpus, memoryGb: 0 });
 
 /**
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -141,9 +141,9 @@
 
   private createContext(now: SteadyMs, shard: Shard): SchedulingContext {
     const { core } = this;
-    const others = [...core.settings.parts].filter((p) => p.part !== shard.id);
+    const others = [...core.settings.shards].filter((p) => p.shard !== shard.id);
     const usageElsewhere = new Map<TeamId, Resources>();
-    for (const { part: shardId } of others) {
+    for (const { shard: shardId } of others) {
       const used =
         core.shards.get(shardId)?.totals.usageByTeam ?? core.shardAnnouncements.get(shardId)?.usage ?? [];
       for (const [team, amount] of used)
@@ -157,7 +157,7 @@
       usageOnOtherShards: (team) => usageElsewhere.get(team) ?? ZERO,
       guaranteed: memoize((job) => this.guarantees.has(job)),
       peerHasCapacity: (spec) => this.peerHasCapacity(shard, spec, now),
-      maxLatenessFactor: (jobClass) => core.settings.latest.get(jobClass) ?? 1,
+      maxLatenessFactor: (jobClass) => core.settings.deadlineFactorByClass.get(jobClass) ?? 1,
       runtimeCorrection: (jobClass) => this.runtimeEstimator.correctionFactor(jobClass),
       reportMs: core.heartbeatIntervalMs,
       gangWaitMs: core.settings.gangWaitS * 1000,
--- a/src/shards/machine.ts
+++ b/src/shards/machine.ts
@@ -1,5 +1,5 @@
 /** A machine of a part, what is bound to it, and what is free on it. */
-import type { MachineType } from '../cloud/wire.js';
+import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import { subtract, ZERO, type MutableResources } from '../model/resources.js';
 import type { ExitCause } from '../model/exit-cause.js';
@@ -139,7 +139,7 @@
     lastHeartbeatAt: null,
     lastHeartbeatSequence: null,
     agentEpochSeenAt: null,
-    reconciled: reconciled,
+    reconciled,
     interruptedAt: null,
     allocations: new Map(),
     used: { ...ZERO },
@@ -166,7 +166,7 @@
 export const hasUnknownUsage = (m: Machine): boolean => !m.reconciled || m.unknownSizeCount > 0;
 
 /** What is free on a machine; nothing while something of unknown size is on it. */
-export function freeResources(machine: Machine, type: MachineType | undefined): MutableResources {
+export function freeResources(machine: Machine, type: InstanceType | undefined): MutableResources {
   if (!type || machine.unknownSizeCount > 0) return { ...ZERO };
   return subtract(type, machine.used);
 }
--- a/src/shards/registered-machines.ts
+++ b/src/shards/registered-machines.ts
@@ -1,5 +1,5 @@
 /** Which machines the state service names for which part, counted as they come and go. */
-import type { MachineType } from '../cloud/wire.js';
+import type { InstanceType } from '../cloud/wire.js';
 import { addTo, ZERO, type MutableResources, type Resources } from '../model/resources.js';
 import type { MachineId, ShardId, InstanceTypeId } from '../model/units.js';
 import type { MachineRecord } from './codec.js';
@@ -24,13 +24,13 @@
     } else this.records.delete(id);
   }
 
-  private count({ shard: shard, type }: MachineRecord, sign: 1 | -1): void {
+  private count({ shard, type }: MachineRecord, sign: 1 | -1): void {
     const types = this.counts.get(shard) ?? new Map<InstanceTypeId, number>();
     this.counts.set(shard, types.set(type, (types.get(type) ?? 0) + sign));
   }
 
   /** What a part's machines have together; a machine of unknown type counts as one CPU. */
-  capacity(shard: ShardId, types: ReadonlyMap<InstanceTypeId, MachineType>): Resources {
+  capacity(shard: ShardId, types: ReadonlyMap<InstanceTypeId, InstanceType>): Resources {
     const sum: MutableResources = { ...ZERO };
     for (const [type, count] of this.counts.get(shard) ?? []) addTo(sum, types.get(type) ?? ONE_CPU, count);
     return sum;
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -1,5 +1,5 @@
 /** What the owner of a part holds in memory: its machines, what is bound to them, and the tasks entrusted to it. */
-import type { MachineType } from '../cloud/wire.js';
+import type { InstanceType } from '../cloud/wire.js';
 import { type Resources } from '../model/resources.js';
 import type { RangeSet } from '../model/ranges.js';
 import type { ShardJob } from './job.js';
@@ -65,7 +65,7 @@
     private currentFencingToken: FencingToken,
     public version: Revision,
     readonly acquiredAt: SteadyMs,
-    readonly types: ReadonlyMap<InstanceTypeId, MachineType>,
+    readonly types: ReadonlyMap<InstanceTypeId, InstanceType>,
   ) {
     this.firstFencingToken = currentFencingToken;
     this.acquiredVersion = version;
--- a/src/shards/totals.ts
+++ b/src/shards/totals.ts
@@ -2,7 +2,7 @@
  * Running totals of one part: what its teams use, which machines cannot be accounted for, which have free room,
  * and which hold an image. Kept up to date with every binding, so that no decision walks over all machines.
  */
-import type { MachineType } from '../cloud/wire.js';
+import type { InstanceType } from '../cloud/wire.js';
 import {
   addTo,
   clear,
@@ -69,7 +69,7 @@
   }
 
   /** Guards the limit after a takeover: a machine not heard from may be full of any one team's tasks. */
-  unaccountedCapacity(types: ReadonlyMap<InstanceTypeId, MachineType>): Resources {
+  unaccountedCapacity(types: ReadonlyMap<InstanceTypeId, InstanceType>): Resources {
     const sum: MutableResources = { ...ZERO };
     for (const [name, count] of this.unaccountedByType) {
       if (count > 0) addTo(sum, types.get(name) ?? UNLIMITED, count);
@@ -102,7 +102,7 @@
   }
 
   /** Files the machine under what it has free now. */
-  updateFreeCapacity(machine: Machine, types: ReadonlyMap<InstanceTypeId, MachineType>): void {
+  updateFreeCapacity(machine: Machine, types: ReadonlyMap<InstanceTypeId, InstanceType>): void {
     const free = freeResources(machine, types.get(machine.type));
     for (const kind of RESOURCE_KINDS) this.free[kind].update(machine, free[kind]);
   }
@@ -115,7 +115,7 @@
    * Machines with at least as much free of the resource of which the need takes most: every machine that has room is
    * among them, and the fewest others.
    */
-  machinesWithFree(need: Resources, types: ReadonlyMap<InstanceTypeId, MachineType>): Iterable<Machine> {
+  machinesWithFree(need: Resources, types: ReadonlyMap<InstanceTypeId, InstanceType>): Iterable<Machine> {
     const kind = dominantKind(need, largestOf(types.values()));
     return this.free[kind].atLeast(need[kind]);
   }
--- a/src/simulation/clock.ts
+++ b/src/simulation/clock.ts
@@ -1,21 +1,22 @@
 /** Discrete events in time order, and steady clocks that drift from true time. Times are in milliseconds. */
 import type { Clock, Millis, SteadyMs } from '../model/units.js';
 
-interface Event {
+interface QueuedEvent {
   readonly at: number;
-  readonly order: number;
+  readonly sequence: number;
   readonly run: () => void;
   cancelled: boolean;
 }
 
-export interface Scheduled {
+export interface ScheduledTimer {
   cancel(): void;
 }
 
-const before = (a: Event, b: Event): boolean => a.at < b.at || (a.at === b.at && a.order < b.order);
+const isBefore = (a: QueuedEvent, b: QueuedEvent): boolean =>
+  a.at < b.at || (a.at === b.at && a.sequence < b.sequence);
 
 /** Lets every promise that can go on do so before the next event. */
-const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+const flushPromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 /** All events of one simulation. Events of the same time run in the order in which they were scheduled. */
 export class EventQueue {
@@ -23,13 +24,18 @@
   now = 0;
   /** Events run so far. */
   count = 0;
-  private order = 0;
+  private lastSequence = 0;
   private stopped = false;
-  private readonly heap: Event[] = [];
-
-  after(delay: number, run: () => void): Scheduled {
-    this.order += 1;
-    const event: Event = { at: this.now + Math.max(0, delay), order: this.order, run, cancelled: false };
+  private readonly heap: QueuedEvent[] = [];
+
+  after(delay: number, run: () => void): ScheduledTimer {
+    this.lastSequence += 1;
+    const event: QueuedEvent = {
+      at: this.now + Math.max(0, delay),
+      sequence: this.lastSequence,
+      run,
+      cancelled: false,
+    };
     this.insert(event);
     return { cancel: () => (event.cancelled = true) };
   }
@@ -40,7 +46,7 @@
   }
 
   async run(until: number): Promise<void> {
-    await settle();
+    await flushPromises();
     while (!this.stopped) {
       const next = this.heap[0];
       if (!next || next.at > until) break;
@@ -49,45 +55,45 @@
       this.now = next.at;
       this.count += 1;
       next.run();
-      await settle();
+      await flushPromises();
     }
     if (!this.stopped) this.now = until;
   }
 
-  private insert(event: Event): void {
+  private insert(event: QueuedEvent): void {
     const { heap } = this;
-    let at = heap.push(event) - 1;
-    while (at > 0) {
-      const above = (at - 1) >> 1;
-      if (!before(event, heap[above] as Event)) break;
-      heap[at] = heap[above] as Event;
-      at = above;
+    let index = heap.push(event) - 1;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
+      if (!isBefore(event, heap[parent] as QueuedEvent)) break;
+      heap[index] = heap[parent] as QueuedEvent;
+      index = parent;
     }
-    heap[at] = event;
+    heap[index] = event;
   }
 
   private removeFirst(): void {
     const { heap } = this;
     const last = heap.pop();
     if (!last || heap.length === 0) return;
-    let at = 0;
+    let index = 0;
     for (;;) {
-      let below = 2 * at + 1;
-      const right = heap[below + 1];
-      if (right && before(right, heap[below] as Event)) below += 1;
-      const next = heap[below];
-      if (!next || !before(next, last)) break;
-      heap[at] = next;
-      at = below;
+      let child = 2 * index + 1;
+      const right = heap[child + 1];
+      if (right && isBefore(right, heap[child] as QueuedEvent)) child += 1;
+      const next = heap[child];
+      if (!next || !isBefore(next, last)) break;
+      heap[index] = next;
+      index = child;
     }
-    heap[at] = last;
+    heap[index] = last;
   }
 }
 
 /** Something that computes: a controller's process, a machine's worker, or one of the regional services. */
 export class Host {
   /** Counts its starts: what an earlier life has scheduled never runs. */
-  life = 1;
+  lifetime = 1;
   up = true;
   private pausedUntil = 0;
 
@@ -108,7 +114,7 @@
   }
 
   end(): void {
-    this.life += 1;
+    this.lifetime += 1;
     this.up = false;
     this.pausedUntil = 0;
   }
@@ -117,11 +123,11 @@
     this.up = true;
   }
 
-  after(delay: number, run: () => void): Scheduled {
-    const { life } = this;
+  after(delay: number, run: () => void): ScheduledTimer {
+    const { lifetime } = this;
     let cancelled = false;
     const fire = (): void => {
-      if (cancelled || this.life !== life) return;
+      if (cancelled || this.lifetime !== lifetime) return;
       if (this.paused) this.queue.after(this.pausedUntil - this.queue.now, fire);
       else run();
     };
@@ -130,7 +136,7 @@
   }
 }
 
-const CLOCK_START = 1_000_000;
+const CLOCK_START_MS = 1_000_000;
 
 /** The steady clock of one life of a host: runs a little fast or slow, and its timers fire in whole steps. */
 export class DriftingClock implements Clock {
@@ -143,10 +149,10 @@
   ) {}
 
   now(): SteadyMs {
-    return (CLOCK_START + this.queue.now * (1 + this.drift)) as SteadyMs;
+    return (CLOCK_START_MS + this.queue.now * (1 + this.drift)) as SteadyMs;
   }
 
-  after(delay: Millis, run: () => void): Scheduled {
+  after(delay: Millis, run: () => void): ScheduledTimer {
     const steps = Math.ceil(Math.max(0, delay) / this.stepMs);
     return this.host.after((steps * this.stepMs) / (1 + this.drift), run);
   }
--- a/src/simulation/controllers.ts
+++ b/src/simulation/controller-node.ts
@@ -1,25 +1,25 @@
 /** The real controllers, each on a host of its own, with ports that lead into the model. */
 import { Controller, type Ports } from '../controller.js';
-import type { Call, Outcome } from '../http/client.js';
+import type { Call, CallOutcome } from '../http/client.js';
 import type { Handler } from '../http/server.js';
-import type { Log } from '../log.js';
-import { frame, FrameReader, type Mesh } from '../mesh/mesh.js';
+import type { Log } from '../logging/log.js';
+import { frame, FrameReader, type PeerTransport } from '../peers/peer-transport.js';
 import { parseTuning, type Settings } from '../settings/settings.js';
 import type { Address, Incarnation } from '../model/units.js';
 import { DriftingClock, Host, type EventQueue } from './clock.js';
 import type { Network } from './network.js';
-import type { Reply } from './state-service.js';
+import type { Reply } from './store-service.js';
 import type { Trace } from './trace.js';
 
-const ANSWER_MS = 4500;
+const RESPONSE_TIMEOUT_MS = 4500;
 
 /** What a controller's requests reach. */
-export interface Surroundings {
+export interface ControllerEnvironment {
   readonly queue: EventQueue;
   readonly network: Network;
   readonly trace: Trace;
   readonly log: Log;
-  readonly state: { readonly host: Host; serve(from: Host, call: Call, reply: Reply): void };
+  readonly store: { readonly host: Host; serve(from: Host, call: Call, reply: Reply): void };
   readonly cloud: { readonly host: Host; serve(call: Call, reply: Reply): void };
   /** The machine at an address; null: nobody is there. */
   readonly machine: (
@@ -38,15 +38,15 @@
     readonly name: string,
     private readonly settings: Settings,
     private readonly drift: number,
-    private readonly around: Surroundings,
+    private readonly environment: ControllerEnvironment,
   ) {
-    this.host = new Host(name, settings.zone, around.queue);
+    this.host = new Host(name, settings.zone, environment.queue);
     this.host.up = false;
   }
 
   start(): void {
     if (this.host.up) return;
-    const { trace, queue, log, tuning } = this.around;
+    const { trace, queue, log, tuning } = this.environment;
     this.host.start();
     trace.add(`${this.name} starts`);
     const clock = new DriftingClock(queue, this.host, this.drift, 1);
@@ -56,7 +56,7 @@
 
   end(): void {
     if (!this.host.up) return;
-    this.around.trace.add(`${this.name} ends`);
+    this.environment.trace.add(`${this.name} ends`);
     this.host.end();
     this.handler = null;
     this.receive = null;
@@ -66,38 +66,38 @@
   serve(call: Call, reply: Reply): void {
     if (!this.handler) return reply({ status: 503, body: { error: 'starting' } });
     const body = Buffer.from(call.body === undefined ? '' : JSON.stringify(call.body));
-    let settled = false;
-    const late = this.host.after(ANSWER_MS, () => {
-      settled = true;
+    let responded = false;
+    const timeout = this.host.after(RESPONSE_TIMEOUT_MS, () => {
+      responded = true;
       reply({ status: 503, body: { error: 'not answered in time' }, retryAfterS: 1 });
     });
-    const { life } = this.host;
+    const { lifetime } = this.host;
     const handled = Promise.resolve(this.handler({ method: call.method, path: call.path, body }));
     void handled.then(
-      (answer) => {
-        if (settled || this.host.life !== life) return;
-        late.cancel();
-        reply(answer);
+      (response) => {
+        if (responded || this.host.lifetime !== lifetime) return;
+        timeout.cancel();
+        reply(response);
       },
       (error: unknown) => {
-        this.around.trace.add(`${this.name} fails at ${call.path}: ${String(error)}`);
+        this.environment.trace.add(`${this.name} fails at ${call.path}: ${String(error)}`);
         reply({ status: 500, body: { error: 'internal error' } });
       },
     );
   }
 
   private ports(): Ports {
-    const { state, cloud, machine } = this.around;
-    const toState = this.caller(state.host, (call, reply) => state.serve(this.host, call, reply));
+    const { store: state, cloud, machine } = this.environment;
+    const storeCaller = this.caller(state.host, (call, reply) => state.serve(this.host, call, reply));
     return {
-      state: toState,
-      stateWatch: toState,
+      state: storeCaller,
+      stateWatch: storeCaller,
       cloud: this.caller(cloud.host, (call, reply) => cloud.serve(call, reply)),
       worker: (address) => ({
         call: (call) => {
           const target = machine(address);
-          if (!target) return this.nobody(call);
-          return this.caller(target.host, (c, reply) => target.serve(c, reply)).call(call);
+          if (!target) return this.unreachable(call);
+          return this.caller(target.host, (received, reply) => target.serve(received, reply)).call(call);
         },
         close: () => undefined,
       }),
@@ -106,7 +106,7 @@
         this.handler = handler;
         return Promise.resolve();
       },
-      incarnation: () => `${this.name}-${this.host.life}` as Incarnation,
+      incarnation: () => `${this.name}-${this.host.lifetime}` as Incarnation,
     };
   }
 
@@ -114,8 +114,8 @@
   private caller(
     to: Host,
     serve: (call: Call, reply: Reply) => void,
-  ): { call: (call: Call) => Promise<Outcome> } {
-    const { network } = this.around;
+  ): { call: (call: Call) => Promise<CallOutcome> } {
+    const { network } = this.environment;
     return {
       call: (call) =>
         network.exchange({
@@ -127,20 +127,20 @@
     };
   }
 
-  private nobody(call: Call): Promise<Outcome> {
+  private unreachable(call: Call): Promise<CallOutcome> {
     return new Promise((resolve) => this.host.after(call.timeout, () => resolve({ kind: 'unsent' })));
   }
 
-  private mesh(receive: (message: unknown) => void): Mesh {
+  private mesh(receive: (message: unknown) => void): PeerTransport {
     this.receive = receive;
     const send = (to: string, message: unknown): void => {
-      const peer = this.around.node(to);
+      const peer = this.environment.node(to);
       if (!peer?.host.up) return;
       const bytes = frame(message);
-      this.around.network.send(this.host, peer.host, () => {
-        for (const m of new FrameReader().push(bytes)) peer.receive?.(m);
+      this.environment.network.send(this.host, peer.host, () => {
+        for (const message of new FrameReader().push(bytes)) peer.receive?.(message);
       });
     };
-    return { send, broadcast: (m) => this.settings.peers.forEach((p) => send(p.node, m)) };
+    return { send, broadcast: (message) => this.settings.peers.forEach((peer) => send(peer.node, message)) };
   }
 }
--- a/src/simulation/fuzz-process.ts
+++ b/src/simulation/fuzz-process.ts
@@ -1,6 +1,6 @@
 /** A process of its own that runs the schedules it is sent, one after another. Started by `fuzz.ts`. */
 import { fuzzOne } from './fuzz-run.js';
-import type { Rule } from './judge.js';
+import type { Rule } from './invariant-checker.js';
 import { parseScenario } from './scenario.js';
 
 /** What the parent sends: a seed, and a scenario file's text or none. */
--- a/src/simulation/fuzz-run.ts
+++ b/src/simulation/fuzz-run.ts
@@ -1,8 +1,8 @@
 /** One schedule of a fuzz: generated, run, and shrunk when it breaks a rule. */
-import { randomScenario } from './generate.js';
-import { RULES, type Rule, type Violation } from './judge.js';
+import { randomScenario } from './scenario-generator.js';
+import { RULES, type Rule, type Violation } from './invariant-checker.js';
 import { formatScenario, type Scenario } from './scenario.js';
-import { shrink, trialOf } from './shrink.js';
+import { shrink, trialForRule } from './shrink.js';
 import { Simulation } from './simulation.js';
 
 export interface FuzzFinding {
@@ -25,7 +25,7 @@
 const HEADER = '# Shrunk by "simulate fuzz"; replay: simulate run FILE\n';
 
 async function findingOf(scenario: Scenario, violation: Violation): Promise<FuzzFinding> {
-  const small = await shrink(scenario, trialOf(violation.rule));
+  const small = await shrink(scenario, trialForRule(violation.rule));
   const about = `# Breaks ${violation.rule}; before it was shrunk: ${violation.detail}\n`;
   return {
     violation,
@@ -42,12 +42,12 @@
 ): Promise<FuzzOutcome> {
   try {
     const scenario = randomScenario(seed, base);
-    const result = await new Simulation(scenario, { seed, stopAt: rules }).run();
+    const result = await new Simulation(scenario, { seed, stopOnRules: rules }).run();
     const { simulatedS, events, hash } = result;
     const violation = result.violations.find((v) => rules.includes(v.rule));
     const finding = violation ? await findingOf(scenario, violation) : null;
     return { seed, simulatedS, events, hash, finding, error: null };
-  } catch (e) {
-    return { seed, simulatedS: 0, events: 0, hash: '', finding: null, error: String((e as Error).stack) };
+  } catch (error) {
+    return { seed, simulatedS: 0, events: 0, hash: '', finding: null, error: String((error as Error).stack) };
   }
 }
--- a/src/simulation/fuzz.ts
+++ b/src/simulation/fuzz.ts
@@ -2,7 +2,7 @@
 import { fork, type ChildProcess } from 'node:child_process';
 import type { FuzzOutcome } from './fuzz-run.js';
 import type { FuzzRequest } from './fuzz-process.js';
-import type { Rule } from './judge.js';
+import type { Rule } from './invariant-checker.js';
 import { formatScenario, type Scenario } from './scenario.js';
 
 export interface FuzzOptions {
--- a/src/simulation/gangs.ts
+++ b/src/simulation/gangs.ts
@@ -2,17 +2,17 @@
  * What the tasks of one gang do to each other, whichever machines they are on: those of one attempt start together, run
  * at the speed of the slowest, save together, complete together, and lose each other. As PROTOCOL's page on gangs says.
  */
-import type { EventQueue, Scheduled } from './clock.js';
-import type { JobStorage, UserJob } from './jobs.js';
+import type { EventQueue, ScheduledTimer } from './clock.js';
+import type { JobStorage, UserJob } from './user-jobs.js';
 import type { Observer } from './observer.js';
 import type { RandomStream } from './random.js';
 import type { Trace } from './trace.js';
 
 export interface GangTimes {
   /** How long a task waits for the others before it gives up, in milliseconds. */
-  readonly waitMs: number;
+  readonly startTimeoutMs: number;
   /** Within this time a task notices that another is gone, and must all be told to stop, in milliseconds. */
-  readonly peerMs: number;
+  readonly peerTimeoutMs: number;
 }
 
 export type GangExit = 'done' | 'peers' | 'alone' | 'halted';
@@ -23,19 +23,19 @@
   readonly slowness: number;
   readonly hanging: boolean;
   run(): void;
-  save(): void;
+  beginCheckpoint(): void;
   exit(cause: GangExit, saved: boolean): void;
-  after(delayMs: number, run: () => void): Scheduled;
+  after(delayMs: number, run: () => void): ScheduledTimer;
 }
 
 /** A task notices the loss of another after this share of `peerMs` at the earliest. */
-const EARLIEST_NOTICE = 0.1;
+const MIN_DETECTION_SHARE = 0.1;
 /** The tasks of a gang that has saved exit within this time of each other. */
 const EXIT_SPREAD_MS = 60;
 
-type Phase = 'gathering' | 'running' | 'stopping' | 'broken' | 'over';
+type AttemptPhase = 'gathering' | 'running' | 'stopping' | 'broken' | 'over';
 
-interface Surroundings {
+interface GangEnvironment {
   readonly queue: EventQueue;
   readonly random: RandomStream;
   readonly storage: JobStorage;
@@ -45,30 +45,30 @@
 }
 
 class GangAttempt {
-  private phase: Phase = 'gathering';
+  private phase: AttemptPhase = 'gathering';
   private readonly members = new Set<GangMember>();
   /** Those that were there when it started. */
   private readonly started = new Set<GangMember>();
-  private readonly told = new Set<GangMember>();
-  private readonly saved = new Set<GangMember>();
+  private readonly stopRequested = new Set<GangMember>();
+  private readonly checkpointed = new Set<GangMember>();
   /** Progress of the job in milliseconds of run time, up to `runningSince`. */
   private progressBefore = 0;
   /** null: it makes no progress at present. */
   private runningSince: number | null = null;
   private slowness = 1;
-  private completion: Scheduled | null = null;
+  private completion: ScheduledTimer | null = null;
 
   constructor(
     private readonly job: UserJob,
     private readonly attempt: number,
-    private readonly around: Surroundings,
+    private readonly environment: GangEnvironment,
   ) {}
 
   join(member: GangMember): void {
-    const { queue, observer, times } = this.around;
+    const { queue, observer, times } = this.environment;
     this.members.add(member);
-    member.after(times.waitMs, () => {
-      if (this.phase === 'gathering' || this.isLatecomer(member)) this.dismiss(member, 'alone', 0);
+    member.after(times.startTimeoutMs, () => {
+      if (this.phase === 'gathering' || this.isLatecomer(member)) this.exitMember(member, 'alone', 0);
     });
     if (this.phase !== 'gathering') {
       observer.gangRejoined(this.job.id, member.task);
@@ -84,9 +84,9 @@
 
   private start(): void {
     if (this.phase !== 'gathering' || this.members.size < this.job.tasks) return;
-    const { storage, observer, trace } = this.around;
+    const { storage, observer, trace } = this.environment;
     this.phase = 'running';
-    this.progressBefore = storage.saved.get(this.job.id) ?? 0;
+    this.progressBefore = storage.checkpoints.get(this.job.id) ?? 0;
     this.slowness = Math.max(...[...this.members].map((m) => m.slowness));
     trace.add(`gang ${this.job.id} (attempt ${this.attempt}) runs`);
     for (const member of this.members) {
@@ -94,19 +94,19 @@
       member.run();
     }
     observer.gangStarted(this.job.id);
-    this.proceed();
+    this.resumeProgress();
     for (const member of this.members) if (member.hanging) this.hang(member);
   }
 
-  private proceed(): void {
-    const { queue } = this.around;
+  private resumeProgress(): void {
+    const { queue } = this.environment;
     if (this.phase !== 'running' || this.runningSince !== null) return;
     this.runningSince = queue.now;
-    const left = (this.job.runS * 1000 - this.progressBefore) * this.slowness;
-    if (Number.isFinite(left)) this.completion = queue.after(left, () => this.complete());
+    const remainingMs = (this.job.runS * 1000 - this.progressBefore) * this.slowness;
+    if (Number.isFinite(remainingMs)) this.completion = queue.after(remainingMs, () => this.complete());
   }
 
-  private halt(): void {
+  private pauseProgress(): void {
     this.completion?.cancel();
     this.progressBefore = this.progress();
     this.runningSince = null;
@@ -114,16 +114,16 @@
 
   private progress(): number {
     if (this.runningSince === null) return this.progressBefore;
-    return this.progressBefore + (this.around.queue.now - this.runningSince) / this.slowness;
+    return this.progressBefore + (this.environment.queue.now - this.runningSince) / this.slowness;
   }
 
   private complete(): void {
     this.phase = 'over';
-    for (let i = 0; i < this.job.tasks; i += 1) this.around.storage.results.add(`${this.job.id}/${i}`);
-    for (const member of [...this.members]) this.dismiss(member, 'done', 0);
+    for (let i = 0; i < this.job.tasks; i += 1) this.environment.storage.results.add(`${this.job.id}/${i}`);
+    for (const member of [...this.members]) this.exitMember(member, 'done', 0);
   }
 
-  private dismiss(member: GangMember, cause: GangExit, delayMs: number, saved = false): void {
+  private exitMember(member: GangMember, cause: GangExit, delayMs: number, saved = false): void {
     const exit = (): void => {
       if (this.members.delete(member)) member.exit(cause, saved);
     };
@@ -134,21 +134,21 @@
   /** The task is gone: killed, failed, or lost with its machine or its lease. */
   leave(member: GangMember): void {
     if (!this.members.delete(member) || !this.started.has(member)) return;
-    if (this.phase === 'running' || this.phase === 'stopping') this.fallApart();
+    if (this.phase === 'running' || this.phase === 'stopping') this.failAttempt();
   }
 
   /** What was done since the last checkpoint is lost; the others notice one after the other. */
-  private fallApart(noticedWithinMs = this.around.times.peerMs): void {
-    const { storage, random } = this.around;
-    this.halt();
+  private failAttempt(detectedWithinMs = this.environment.times.peerTimeoutMs): void {
+    const { storage, random } = this.environment;
+    this.pauseProgress();
     this.phase = 'broken';
-    const interval = this.job.checkpointS * 1000;
+    const interval = this.job.checkpointIntervalS * 1000;
     if (interval > 0) {
       const kept = Math.floor(this.progressBefore / interval) * interval;
-      storage.saved.set(this.job.id, Math.max(storage.saved.get(this.job.id) ?? 0, kept));
+      storage.checkpoints.set(this.job.id, Math.max(storage.checkpoints.get(this.job.id) ?? 0, kept));
     }
     for (const member of [...this.members])
-      this.dismiss(member, 'peers', noticedWithinMs * random.between(EARLIEST_NOTICE, 1));
+      this.exitMember(member, 'peers', detectedWithinMs * random.between(MIN_DETECTION_SHARE, 1));
   }
 
   /** The task was told to stop. */
@@ -156,69 +156,69 @@
     if (!this.members.has(member)) return;
     const saves =
       (this.phase === 'running' || this.phase === 'stopping') &&
-      this.job.checkpointS > 0 &&
-      graceS >= this.job.saveS;
-    if (saves) return this.beginSaving(member);
+      this.job.checkpointIntervalS > 0 &&
+      graceS >= this.job.checkpointDurationS;
+    if (saves) return this.beginCheckpoint(member);
     this.members.delete(member);
     member.exit('halted', false);
-    if (this.phase === 'running' || this.phase === 'stopping') this.fallApart();
+    if (this.phase === 'running' || this.phase === 'stopping') this.failAttempt();
   }
 
-  private beginSaving(member: GangMember): void {
-    if (this.told.has(member)) return;
-    const { queue, times } = this.around;
+  private beginCheckpoint(member: GangMember): void {
+    if (this.stopRequested.has(member)) return;
+    const { queue, times } = this.environment;
     if (this.phase === 'running') {
-      this.halt();
+      this.pauseProgress();
       this.phase = 'stopping';
-      queue.after(times.peerMs, () => {
-        if (this.phase === 'stopping' && this.told.size < this.job.tasks) this.fallApart();
+      queue.after(times.peerTimeoutMs, () => {
+        if (this.phase === 'stopping' && this.stopRequested.size < this.job.tasks) this.failAttempt();
       });
     }
-    this.told.add(member);
-    member.save();
-    member.after(this.job.saveS * 1000, () => this.hasSaved(member));
+    this.stopRequested.add(member);
+    member.beginCheckpoint();
+    member.after(this.job.checkpointDurationS * 1000, () => this.checkpointCompleted(member));
   }
 
-  private hasSaved(member: GangMember): void {
+  private checkpointCompleted(member: GangMember): void {
     if (this.phase !== 'stopping' || !this.members.has(member)) return;
-    this.saved.add(member);
-    if (this.saved.size < this.job.tasks) return;
-    const { storage, random } = this.around;
+    this.checkpointed.add(member);
+    if (this.checkpointed.size < this.job.tasks) return;
+    const { storage, random } = this.environment;
     this.phase = 'over';
-    storage.saved.set(this.job.id, this.progressBefore);
+    storage.checkpoints.set(this.job.id, this.progressBefore);
     for (const other of [...this.members])
-      this.dismiss(other, 'halted', random.between(0, EXIT_SPREAD_MS), true);
+      this.exitMember(other, 'halted', random.between(0, EXIT_SPREAD_MS), true);
   }
 
   /** A machine hangs: no progress, and after a while the others take its task for lost. */
   hang(member: GangMember): void {
     if (!this.started.has(member) || (this.phase !== 'running' && this.phase !== 'stopping')) return;
-    const { queue, times, random } = this.around;
-    this.halt();
-    const noticedAfterMs = times.peerMs * random.between(EARLIEST_NOTICE, 1);
-    queue.after(noticedAfterMs, () => {
-      const open = this.phase === 'running' || this.phase === 'stopping';
+    const { queue, times, random } = this.environment;
+    this.pauseProgress();
+    const detectedAfterMs = times.peerTimeoutMs * random.between(MIN_DETECTION_SHARE, 1);
+    queue.after(detectedAfterMs, () => {
+      const active = this.phase === 'running' || this.phase === 'stopping';
       const stillHanging = this.members.has(member) && member.hanging;
-      if (open && stillHanging) this.fallApart(times.peerMs - noticedAfterMs);
+      if (active && stillHanging) this.failAttempt(times.peerTimeoutMs - detectedAfterMs);
     });
   }
 
   resume(): void {
-    if (![...this.members].some((m) => m.hanging)) this.proceed();
+    if (![...this.members].some((m) => m.hanging)) this.resumeProgress();
   }
 }
 
 /** All gangs of the modelled world, by job and attempt. */
-export class Gangs {
+export class GangRegistry {
   private readonly attempts = new Map<string, GangAttempt>();
 
-  constructor(private readonly around: Surroundings) {}
+  constructor(private readonly environment: GangEnvironment) {}
 
   /** The attempt that the tasks with this number share. */
   attempt(job: UserJob, number: number): GangAttempt {
     const key = `${job.id}#${number}`;
     let attempt = this.attempts.get(key);
-    if (!attempt) this.attempts.set(key, (attempt = new GangAttempt(job, number, this.around)));
+    if (!attempt) this.attempts.set(key, (attempt = new GangAttempt(job, number, this.environment)));
     return attempt;
   }
 }
--- a/src/simulation/image-cache.ts
+++ b/src/simulation/image-cache.ts
@@ -1,5 +1,5 @@
 /** The images of one machine: fetches that share a rate, and a cache of the most recently used ones. */
-import type { EventQueue, Scheduled } from './clock.js';
+import type { EventQueue, ScheduledTimer } from './clock.js';
 
 interface Fetch {
   readonly gb: number;
@@ -9,9 +9,9 @@
 
 export class ImageCache {
   /** Size by image, least recently used first. */
-  private readonly held = new Map<string, number>();
+  private readonly sizeByImage = new Map<string, number>();
   private readonly fetches = new Map<string, Fetch>();
-  private timer: Scheduled | null = null;
+  private timer: ScheduledTimer | null = null;
   private updatedAt = 0;
 
   constructor(
@@ -21,63 +21,63 @@
   ) {}
 
   /** Calls back once the image is here, maybe at once; `waiter` names who waits. */
-  want(image: string, gb: number, waiter: string, ready: () => void): void {
-    const size = this.held.get(image);
+  request(image: string, gb: number, waiter: string, ready: () => void): void {
+    const size = this.sizeByImage.get(image);
     if (size !== undefined) {
-      this.held.delete(image);
-      this.held.set(image, size);
+      this.sizeByImage.delete(image);
+      this.sizeByImage.set(image, size);
       return ready();
     }
-    this.progress();
+    this.advanceFetches();
     const fetch = this.fetches.get(image) ?? { gb, leftGb: gb, waiting: new Map<string, () => void>() };
     fetch.waiting.set(waiter, ready);
     this.fetches.set(image, fetch);
-    this.arm();
+    this.scheduleCompletion();
   }
 
   /** The waiter is gone; a fetch that nobody waits for is given up. */
   abandon(image: string, waiter: string): void {
     const fetch = this.fetches.get(image);
     if (!fetch?.waiting.delete(waiter) || fetch.waiting.size > 0) return;
-    this.progress();
+    this.advanceFetches();
     this.fetches.delete(image);
-    this.arm();
+    this.scheduleCompletion();
   }
 
-  private progress(): void {
+  private advanceFetches(): void {
     const elapsed = (this.queue.now - this.updatedAt) / 1000;
     this.updatedAt = this.queue.now;
     const each = (elapsed * this.gbPerS) / Math.max(1, this.fetches.size);
     for (const fetch of this.fetches.values()) fetch.leftGb -= each;
   }
 
-  private arm(): void {
+  private scheduleCompletion(): void {
     this.timer?.cancel();
     if (this.fetches.size === 0) return;
     const least = Math.min(...[...this.fetches.values()].map((f) => f.leftGb));
     const wait = (Math.max(0, least) * this.fetches.size * 1000) / this.gbPerS;
-    this.timer = this.queue.after(wait + 0.001, () => this.finish());
+    this.timer = this.queue.after(wait + 0.001, () => this.completeFetches());
   }
 
-  private finish(): void {
-    this.progress();
+  private completeFetches(): void {
+    this.advanceFetches();
     const ready: (() => void)[] = [];
     for (const [image, fetch] of this.fetches) {
       if (fetch.leftGb > 1e-6) continue;
       this.fetches.delete(image);
-      this.keep(image, fetch.gb);
+      this.store(image, fetch.gb);
       ready.push(...fetch.waiting.values());
     }
-    this.arm();
+    this.scheduleCompletion();
     for (const run of ready) run();
   }
 
-  private keep(image: string, gb: number): void {
-    this.held.set(image, gb);
-    let total = [...this.held.values()].reduce((sum, size) => sum + size, 0);
-    for (const [oldest, size] of this.held) {
+  private store(image: string, gb: number): void {
+    this.sizeByImage.set(image, gb);
+    let total = [...this.sizeByImage.values()].reduce((sum, size) => sum + size, 0);
+    for (const [oldest, size] of this.sizeByImage) {
       if (total <= this.capacityGb || oldest === image) break;
-      this.held.delete(oldest);
+      this.sizeByImage.delete(oldest);
       total -= size;
     }
   }
--- a/src/simulation/state-store.ts
+++ b/src/simulation/key-value-table.ts
@@ -28,51 +28,51 @@
   | { readonly kind: 'conflict'; readonly failed: readonly string[]; readonly ledger: number }
   | { readonly kind: 'no-lease' };
 
-const HISTORY = 10_000;
+const MIN_KEPT_CHANGES = 10_000;
 
-export class StateStore {
+export class KeyValueTable {
   readonly rows = new Map<string, Row>();
   readonly leases = new Set<number>();
-  ledger = 0;
+  revision = 0;
   private nextLease = 1;
   private history: StoredChange[] = [];
   /** Changes up to this revision are no longer kept. */
-  private forgotten = 0;
+  private compactedRevision = 0;
 
   constructor(private readonly checkConditions: boolean) {}
 
   transact(body: TransactionBody): TransactionResult {
     const apply = body.apply ?? [];
-    for (const a of apply) {
-      if (a.put !== undefined && a.mooring !== undefined && !this.leases.has(a.mooring))
+    for (const change of apply) {
+      if (change.put !== undefined && change.mooring !== undefined && !this.leases.has(change.mooring))
         return { kind: 'no-lease' };
     }
     const failed = (body.when ?? [])
       .filter((c) => (this.rows.get(c.path)?.entry ?? 0) !== c.entry)
       .map((c) => c.path);
-    if (failed.length > 0 && this.checkConditions) return { kind: 'conflict', failed, ledger: this.ledger };
-    if (apply.length > 0) this.ledger += 1;
-    for (const a of apply) {
-      if (a.put !== undefined) this.put(a.put, a.data, a.mooring);
-      else if (a.drop !== undefined) this.drop(a.drop);
+    if (failed.length > 0 && this.checkConditions) return { kind: 'conflict', failed, ledger: this.revision };
+    if (apply.length > 0) this.revision += 1;
+    for (const change of apply) {
+      if (change.put !== undefined) this.put(change.put, change.data, change.mooring);
+      else if (change.drop !== undefined) this.drop(change.drop);
     }
-    return { kind: 'done', ledger: this.ledger };
+    return { kind: 'done', ledger: this.revision };
   }
 
   private put(key: string, data: unknown, mooring: number | undefined): void {
-    this.rows.set(key, { data, entry: this.ledger, mooring });
-    this.remember({ put: key, data, entry: this.ledger });
+    this.rows.set(key, { data, entry: this.revision, mooring });
+    this.appendToHistory({ put: key, data, entry: this.revision });
   }
 
   private drop(key: string): void {
-    if (this.rows.delete(key)) this.remember({ drop: key, entry: this.ledger });
+    if (this.rows.delete(key)) this.appendToHistory({ drop: key, entry: this.revision });
   }
 
-  private remember(change: StoredChange): void {
+  private appendToHistory(change: StoredChange): void {
     this.history.push(change);
-    if (this.history.length < 2 * HISTORY) return;
-    const old = this.history.splice(0, this.history.length - HISTORY);
-    this.forgotten = old.at(-1)?.entry ?? this.forgotten;
+    if (this.history.length < 2 * MIN_KEPT_CHANGES) return;
+    const old = this.history.splice(0, this.history.length - MIN_KEPT_CHANGES);
+    this.compactedRevision = old.at(-1)?.entry ?? this.compactedRevision;
   }
 
   grantLease(): number {
@@ -86,18 +86,18 @@
   endLease(id: number): void {
     if (!this.leases.delete(id)) return;
     const keys = [...this.rows].filter(([, row]) => row.mooring === id).map(([key]) => key);
-    if (keys.length > 0) this.ledger += 1;
+    if (keys.length > 0) this.revision += 1;
     for (const key of keys) this.drop(key);
   }
 
-  list(prefix: string, after: string, most: number): { keys: string[]; more: boolean } {
+  list(prefix: string, after: string, limit: number): { keys: string[]; more: boolean } {
     const keys = [...this.rows.keys()].filter((k) => k.startsWith(prefix) && k > after).sort();
-    return { keys: keys.slice(0, most), more: keys.length > most };
+    return { keys: keys.slice(0, limit), more: keys.length > limit };
   }
 
   /** Changes of keys with the prefix after a revision; null: too old to know. */
   changesAfter(prefix: string, revision: number): StoredChange[] | null {
-    if (revision < this.forgotten) return null;
+    if (revision < this.compactedRevision) return null;
     let first = this.history.length;
     while (first > 0 && (this.history[first - 1]?.entry ?? 0) > revision) first -= 1;
     return this.history.slice(first).filter((c) => (c.put ?? c.drop ?? '').startsWith(prefix));
--- a/src/simulation/load-balancer.ts
+++ b/src/simulation/load-balancer.ts
@@ -2,21 +2,21 @@
 import type { Call } from '../http/client.js';
 import type { Millis } from '../model/units.js';
 import type { EventQueue, Host } from './clock.js';
-import type { ControllerNode } from './controllers.js';
+import type { ControllerNode } from './controller-node.js';
 import type { ExchangeOutcome, Network } from './network.js';
 import type { RandomStream } from './random.js';
 
-const PROBE_GAP_MS = 1000;
+const PROBE_INTERVAL_MS = 1000;
 const PROBE_TIMEOUT_MS = 1000;
-const RECENT_PROBES = 6;
-const RECENT_FAILURES = 3;
-const LEAST_PAUSE_MS = 3000;
-const LONGEST_PAUSE_MS = 60_000;
-const REMEMBER_MS = 120_000;
-const RAMP_MS = 10_000;
-const ACCEPT_MS = 500;
-const TRIES = 3;
-const SKIP_MS = 3000;
+const PROBE_WINDOW = 6;
+const UNHEALTHY_FAILURE_COUNT = 3;
+const MIN_REMOVAL_MS = 3000;
+const MAX_REMOVAL_MS = 60_000;
+const REMOVAL_MEMORY_MS = 120_000;
+const SLOW_START_MS = 10_000;
+const CONNECT_TIMEOUT_MS = 500;
+const MAX_ATTEMPTS = 3;
+const SKIP_BACKEND_MS = 3000;
 
 interface Backend {
   readonly node: ControllerNode;
@@ -26,9 +26,9 @@
   probes: boolean[];
   healthySince: number;
   removedAt: number;
-  pauseMs: number;
-  open: number;
-  failedInARow: number;
+  removalMs: number;
+  openConnections: number;
+  consecutiveFailures: number;
   skipUntil: number;
 }
 
@@ -49,89 +49,95 @@
       probes: [],
       healthySince: 0,
       removedAt: -Infinity,
-      pauseMs: 0,
-      open: 0,
-      failedInARow: 0,
+      removalMs: 0,
+      openConnections: 0,
+      consecutiveFailures: 0,
       skipUntil: 0,
     }));
-    for (const b of this.backends)
-      this.queue.after(this.random.between(0, PROBE_GAP_MS), () => this.probe(b));
+    for (const backend of this.backends)
+      this.queue.after(this.random.between(0, PROBE_INTERVAL_MS), () => this.probe(backend));
   }
 
-  private probe(b: Backend): void {
-    this.queue.after(PROBE_GAP_MS * this.random.between(0.95, 1.05), () => this.probe(b));
+  private probe(backend: Backend): void {
+    this.queue.after(PROBE_INTERVAL_MS * this.random.between(0.95, 1.05), () => this.probe(backend));
     const call: Call = { method: 'GET', path: '/up', timeout: PROBE_TIMEOUT_MS as Millis };
-    void this.exchange(b, call).then((o) => this.judge(b, o.kind === 'answer' && o.status === 200));
+    void this.exchange(backend, call).then((outcome) =>
+      this.updateHealth(backend, outcome.kind === 'answer' && outcome.status === 200),
+    );
   }
 
-  private judge(b: Backend, ok: boolean): void {
+  private updateHealth(backend: Backend, succeeded: boolean): void {
     const { now } = this.queue;
-    b.probes = [...b.probes, ok].slice(-RECENT_PROBES);
-    const lastTwo = b.probes.slice(-2);
-    const failures = b.probes.filter((p) => !p).length;
-    if (b.healthy) {
-      if (lastTwo.some(Boolean) && failures < RECENT_FAILURES) return;
-      b.healthy = false;
-      b.pauseMs =
-        now - b.removedAt < REMEMBER_MS ? Math.min(LONGEST_PAUSE_MS, b.pauseMs * 2) : LEAST_PAUSE_MS;
-      b.removedAt = now;
+    backend.probes = [...backend.probes, succeeded].slice(-PROBE_WINDOW);
+    const lastTwo = backend.probes.slice(-2);
+    const failures = backend.probes.filter((p) => !p).length;
+    if (backend.healthy) {
+      if (lastTwo.some(Boolean) && failures < UNHEALTHY_FAILURE_COUNT) return;
+      backend.healthy = false;
+      backend.removalMs =
+        now - backend.removedAt < REMOVAL_MEMORY_MS
+          ? Math.min(MAX_REMOVAL_MS, backend.removalMs * 2)
+          : MIN_REMOVAL_MS;
+      backend.removedAt = now;
       return;
     }
-    const enough = b.everHealthy ? lastTwo.length === 2 && lastTwo.every(Boolean) : ok;
-    if (!enough || (b.everHealthy && now - b.removedAt < b.pauseMs)) return;
-    b.healthy = true;
-    b.healthySince = b.everHealthy ? now : now - RAMP_MS;
-    b.everHealthy = true;
-    b.probes = [];
+    const enough = backend.everHealthy ? lastTwo.length === 2 && lastTwo.every(Boolean) : succeeded;
+    if (!enough || (backend.everHealthy && now - backend.removedAt < backend.removalMs)) return;
+    backend.healthy = true;
+    backend.healthySince = backend.everHealthy ? now : now - SLOW_START_MS;
+    backend.everHealthy = true;
+    backend.probes = [];
   }
 
-  private exchange(b: Backend, call: Call): Promise<ExchangeOutcome> {
-    const { node } = b;
+  private exchange(backend: Backend, call: Call): Promise<ExchangeOutcome> {
+    const { node } = backend;
     const serve = (reply: Parameters<ControllerNode['serve']>[1]): void => node.serve(call, reply);
     return this.network.exchange({ from: this.host, to: node.host, timeoutMs: call.timeout, serve });
   }
 
   /** Fewest open connections first; a node that has just turned healthy gets its share gradually. */
-  private order(): Backend[] {
+  private candidates(): Backend[] {
     const { now } = this.queue;
-    const load = (b: Backend): number =>
-      (b.open + 1 + this.random.unit() / 2) / Math.min(1, 0.05 + (now - b.healthySince) / RAMP_MS);
+    const load = (backend: Backend): number =>
+      (backend.openConnections + 1 + this.random.unit() / 2) /
+      Math.min(1, 0.05 + (now - backend.healthySince) / SLOW_START_MS);
     return this.backends
-      .filter((b) => b.healthy && now >= b.skipUntil)
-      .map((b) => ({ b, load: load(b) }))
+      .filter((backend) => backend.healthy && now >= backend.skipUntil)
+      .map((backend) => ({ b: backend, load: load(backend) }))
       .sort((x, y) => x.load - y.load)
-      .map(({ b }) => b);
+      .map(({ b: backend }) => backend);
   }
 
   /** One request on a new connection. */
   async request(call: Call): Promise<ExchangeOutcome> {
-    for (const b of this.order().slice(0, TRIES)) {
-      if (await this.accepts(b)) return this.forward(b, call);
+    for (const backend of this.candidates().slice(0, MAX_ATTEMPTS)) {
+      if (await this.canConnect(backend)) return this.forward(backend, call);
     }
     return { kind: 'unsent' };
   }
 
-  private async accepts(b: Backend): Promise<boolean> {
-    const { host } = b.node;
-    const cut = this.network.blocking(this.host, host) ?? this.network.blocking(host, this.host);
-    if (host.up && !cut) {
-      b.failedInARow = 0;
+  private async canConnect(backend: Backend): Promise<boolean> {
+    const { host } = backend.node;
+    const partition =
+      this.network.blockingPartition(this.host, host) ?? this.network.blockingPartition(host, this.host);
+    if (host.up && !partition) {
+      backend.consecutiveFailures = 0;
       return true;
     }
-    b.failedInARow += 1;
-    if (b.failedInARow >= 3) {
-      b.failedInARow = 0;
-      b.skipUntil = this.queue.now + SKIP_MS;
+    backend.consecutiveFailures += 1;
+    if (backend.consecutiveFailures >= 3) {
+      backend.consecutiveFailures = 0;
+      backend.skipUntil = this.queue.now + SKIP_BACKEND_MS;
     }
-    const refused = cut ? cut.mode === 'refuse' : true;
-    await new Promise<void>((resolve) => this.queue.after(refused ? 1 : ACCEPT_MS, resolve));
+    const refused = partition ? partition.mode === 'refuse' : true;
+    await new Promise<void>((resolve) => this.queue.after(refused ? 1 : CONNECT_TIMEOUT_MS, resolve));
     return false;
   }
 
-  private async forward(b: Backend, call: Call): Promise<ExchangeOutcome> {
-    b.open += 1;
-    const outcome = await this.exchange(b, call);
-    b.open -= 1;
+  private async forward(backend: Backend, call: Call): Promise<ExchangeOutcome> {
+    backend.openConnections += 1;
+    const outcome = await this.exchange(backend, call);
+    backend.openConnections -= 1;
     return outcome;
   }
 
--- a/src/simulation/machines.ts
+++ b/src/simulation/machines.ts
@@ -1,181 +1,203 @@
 /** The machines that are up, each with its worker, and their links to the controllers. */
 import type { Call } from '../http/client.js';
 import { Host, type EventQueue } from './clock.js';
-import type { Cloud, CloudMachine } from './cloud.js';
-import type { ControllerNode } from './controllers.js';
+import type { SimulatedCloud, CloudMachine } from './cloud.js';
+import type { ControllerNode } from './controller-node.js';
 import type { Defects } from './defects.js';
-import type { Gangs } from './gangs.js';
-import type { JobStorage } from './jobs.js';
-import type { MachineView } from './judge.js';
+import type { GangRegistry } from './gangs.js';
+import type { JobStorage } from './user-jobs.js';
+import type { MachineView } from './invariant-checker.js';
 import type { Network, Response } from './network.js';
-import type { MachineFacts, Observer } from './observer.js';
+import type { MachineSpec, Observer } from './observer.js';
 import type { RandomStream } from './random.js';
-import type { Reply } from './state-service.js';
+import type { Reply } from './store-service.js';
 import type { Trace } from './trace.js';
 import { Worker, type WorkerTimes } from './worker.js';
 
-const REPORT_TIMEOUT_MS = 4000;
-const LATE_MS = { low: 2000, high: 16_000 };
+const HEARTBEAT_TIMEOUT_MS = 4000;
+const LATE_COMMAND_DELAY_MS = { low: 2000, high: 16_000 };
 /** Machines of one type differ by a tenth in speed, and by a third in how fast they fetch. */
-const SPEED = { low: 0.95, high: 1.05 };
-const FETCH = { low: 0.75, high: 1.25 };
+const SLOWNESS_FACTOR = { low: 0.95, high: 1.05 };
+const FETCH_RATE_FACTOR = { low: 0.75, high: 1.25 };
 /** A machine counts as one with room from this long after it is up. */
-const SETTLED_MS = 30_000;
+const USABLE_AFTER_MS = 30_000;
 
 /** What happens to messages between workers and controllers besides the network's own faults. */
 export class WorkerLinks {
-  lateReports = { share: 0, forNext: false };
-  lateCommands = 0;
+  lateHeartbeats = { share: 0, forNext: false };
+  lateCommandShare = 0;
   /** Answers and commands to these are lost. */
-  readonly deaf = new Set<Host>();
+  readonly inboundLost = new Set<Host>();
   /** Reports of these are lost. */
-  readonly mute = new Set<Host>();
-  private kept: { readonly from: Host; readonly body: object }[] = [];
+  readonly heartbeatsLost = new Set<Host>();
+  private delayedHeartbeats: { readonly from: Host; readonly body: object }[] = [];
 
-  keep(from: Host, body: object): void {
-    this.kept.push({ from, body });
+  delayHeartbeat(from: Host, body: object): void {
+    this.delayedHeartbeats.push({ from, body });
   }
 
-  takeKept(): readonly { readonly from: Host; readonly body: object }[] {
-    const out = this.kept;
-    this.kept = [];
-    return out;
+  takeDelayedHeartbeats(): readonly { readonly from: Host; readonly body: object }[] {
+    const heartbeats = this.delayedHeartbeats;
+    this.delayedHeartbeats = [];
+    return heartbeats;
   }
 }
 
-export interface Machine {
-  readonly facts: MachineFacts;
+export interface SimulatedMachine {
+  readonly spec: MachineSpec;
   readonly host: Host;
   readonly worker: Worker;
-  readonly rented: CloudMachine;
+  readonly cloudMachine: CloudMachine;
 }
 
-export interface MachineSurroundings {
+export interface MachineEnvironment {
   readonly queue: EventQueue;
   readonly random: RandomStream;
   readonly network: Network;
   readonly trace: Trace;
   readonly observer: Observer;
   readonly storage: JobStorage;
-  readonly gangs: Gangs;
+  readonly gangs: GangRegistry;
   readonly nodes: readonly ControllerNode[];
   readonly times: WorkerTimes;
   readonly defects: Defects;
   readonly links: WorkerLinks;
-  readonly cloud: () => Cloud;
+  readonly cloud: () => SimulatedCloud;
 }
 
-export class Machines {
-  private readonly up = new Map<string, Machine>();
-  private readonly byAddress = new Map<string, Machine>();
+export class SimulatedMachines {
+  private readonly machinesById = new Map<string, SimulatedMachine>();
+  private readonly byAddress = new Map<string, SimulatedMachine>();
 
-  constructor(private readonly around: MachineSurroundings) {}
+  constructor(private readonly environment: MachineEnvironment) {}
 
-  all(): Machine[] {
-    return [...this.up.values()];
+  all(): SimulatedMachine[] {
+    return [...this.machinesById.values()];
   }
 
   /** Those on which a task could be started now. */
-  views(): MachineView[] {
-    const { queue } = this.around;
+  usableMachines(): MachineView[] {
+    const { queue } = this.environment;
     return this.all()
-      .filter((m) => !m.worker.sick && !m.worker.hanging && m.worker.noticeEndsAt === null)
-      .filter((m) => queue.now - m.rented.upAt > SETTLED_MS)
-      .map((m) => ({ facts: m.facts, free: m.worker.resources, holds: m.worker.holds() }));
+      .filter(
+        (machine) =>
+          !machine.worker.failing && !machine.worker.hanging && machine.worker.interruptionAt === null,
+      )
+      .filter((machine) => queue.now - machine.cloudMachine.readyAt > USABLE_AFTER_MS)
+      .map((machine) => ({
+        spec: machine.spec,
+        free: machine.worker.freeResources,
+        occupyingTasks: machine.worker.occupyingTasks(),
+      }));
   }
 
-  boot(rented: CloudMachine): void {
-    const { queue, random } = this.around;
-    const { type } = rented;
-    const facts: MachineFacts = {
-      id: rented.id,
+  boot(cloudMachine: CloudMachine): void {
+    const { queue, random } = this.environment;
+    const { type } = cloudMachine;
+    const spec: MachineSpec = {
+      id: cloudMachine.id,
       type: type.name,
-      zone: rented.zone,
-      spot: rented.spot,
+      zone: cloudMachine.zone,
+      spot: cloudMachine.spot,
       cpus: type.cpus,
       gpus: type.gpus,
       memoryGb: type.memoryGb,
     };
-    const host = new Host(rented.id, rented.zone, queue);
-    const own = random.fork(rented.id);
-    const speed = { gbPerS: type.fetchGbPerS * own.between(FETCH.low, FETCH.high), cacheGb: type.cacheGb };
-    const worker = new Worker(facts, host, rented.endpoint, speed, {
-      ...this.around,
-      random: own,
-      controllers: this.around.nodes.map((n) => n.name),
-      report: (controller, body) => this.report(host, controller, body),
+    const host = new Host(cloudMachine.id, cloudMachine.zone, queue);
+    const machineRandom = random.fork(cloudMachine.id);
+    const speed = {
+      gbPerS: type.fetchGbPerS * machineRandom.between(FETCH_RATE_FACTOR.low, FETCH_RATE_FACTOR.high),
+      cacheGb: type.cacheGb,
+    };
+    const worker = new Worker(spec, host, cloudMachine.endpoint, speed, {
+      ...this.environment,
+      random: machineRandom,
+      controllers: this.environment.nodes.map((n) => n.name),
+      sendHeartbeat: (controller, body) => this.sendHeartbeat(host, controller, body),
     });
-    worker.slowness = own.between(SPEED.low, SPEED.high);
-    const machine: Machine = { facts, host, worker, rented };
-    this.up.set(rented.id, machine);
-    this.byAddress.set(rented.endpoint, machine);
+    worker.slowness = machineRandom.between(SLOWNESS_FACTOR.low, SLOWNESS_FACTOR.high);
+    const machine: SimulatedMachine = { spec, host, worker, cloudMachine };
+    this.machinesById.set(cloudMachine.id, machine);
+    this.byAddress.set(cloudMachine.endpoint, machine);
   }
 
-  gone(rented: CloudMachine): void {
-    const machine = this.up.get(rented.id);
+  remove(cloudMachine: CloudMachine): void {
+    const machine = this.machinesById.get(cloudMachine.id);
     if (!machine) return;
-    this.up.delete(rented.id);
+    this.machinesById.delete(cloudMachine.id);
     machine.worker.destroy();
   }
 
-  fail(machine: Machine): void {
-    this.around.cloud().fail(machine.rented);
+  fail(machine: SimulatedMachine): void {
+    this.environment.cloud().fail(machine.cloudMachine);
   }
 
   /** With a notice of about that many seconds; 0: with none. */
-  takeBack(machine: Machine, noticeS: number): void {
-    const { queue, random, cloud } = this.around;
-    const notice = noticeS * 1000 * random.between(0.5, 1.5);
-    if (noticeS > 0) machine.worker.setNotice(queue.now + noticeS * 1000);
-    queue.after(notice, () => cloud().take(machine.rented));
+  interrupt(machine: SimulatedMachine, noticeS: number): void {
+    const { queue, random, cloud } = this.environment;
+    const delayMs = noticeS * 1000 * random.between(0.5, 1.5);
+    if (noticeS > 0) machine.worker.setInterruption(queue.now + noticeS * 1000);
+    queue.after(delayMs, () => cloud().interrupt(machine.cloudMachine));
   }
 
   /** Who answers at an address; a machine that is gone is silent. */
-  at(address: string): { readonly host: Host; serve(call: Call, reply: Reply): void } | null {
+  endpointAt(address: string): { readonly host: Host; serve(call: Call, reply: Reply): void } | null {
     const machine = this.byAddress.get(address);
     if (!machine) return null;
-    return { host: machine.host, serve: (call, reply) => this.command(machine, call, reply) };
+    return { host: machine.host, serve: (call, reply) => this.serveCommand(machine, call, reply) };
   }
 
-  private command(machine: Machine, call: Call, reply: Reply): void {
-    const { links, random } = this.around;
-    if (links.deaf.has(machine.host)) return;
-    if (call.path === '/orders' && random.chance(links.lateCommands)) {
-      machine.host.after(random.between(LATE_MS.low, LATE_MS.high), () => machine.worker.serve(call));
+  private serveCommand(machine: SimulatedMachine, call: Call, reply: Reply): void {
+    const { links, random } = this.environment;
+    if (links.inboundLost.has(machine.host)) return;
+    if (call.path === '/orders' && random.chance(links.lateCommandShare)) {
+      machine.host.after(random.between(LATE_COMMAND_DELAY_MS.low, LATE_COMMAND_DELAY_MS.high), () =>
+        machine.worker.serve(call),
+      );
       return;
     }
     reply(machine.worker.serve(call));
   }
 
-  private async report(host: Host, controller: number, body: object): Promise<Response | null> {
-    const { links, nodes, random, network } = this.around;
+  private async sendHeartbeat(host: Host, controller: number, body: object): Promise<Response | null> {
+    const { links, nodes, random, network } = this.environment;
     const node = nodes[controller] as ControllerNode;
-    if (random.chance(links.lateReports.share)) this.copyLate(host, node, body);
-    const call = { method: 'POST', path: '/agent/beat', body, timeout: REPORT_TIMEOUT_MS } as unknown as Call;
+    if (random.chance(links.lateHeartbeats.share)) this.scheduleHeartbeatCopy(host, node, body);
+    const call = {
+      method: 'POST',
+      path: '/agent/beat',
+      body,
+      timeout: HEARTBEAT_TIMEOUT_MS,
+    } as unknown as Call;
     const outcome = await network.exchange({
       from: host,
       to: node.host,
-      timeoutMs: REPORT_TIMEOUT_MS,
+      timeoutMs: HEARTBEAT_TIMEOUT_MS,
       serve: (reply) => {
-        if (links.mute.has(host)) return;
+        if (links.heartbeatsLost.has(host)) return;
         node.serve(call, (response) => {
-          if (!links.deaf.has(host)) reply(response);
+          if (!links.inboundLost.has(host)) reply(response);
         });
       },
     });
     return outcome.kind === 'answer' ? outcome : null;
   }
 
-  private copyLate(host: Host, node: ControllerNode, body: object): void {
-    const { links, queue, random, times } = this.around;
-    if (links.lateReports.forNext) return links.keep(host, body);
+  private scheduleHeartbeatCopy(host: Host, node: ControllerNode, body: object): void {
+    const { links, queue, random, times } = this.environment;
+    if (links.lateHeartbeats.forNext) return links.delayHeartbeat(host, body);
     const delay = random.between(2000, 2 * times.leaseMs);
-    queue.after(delay, () => this.deliverCopy(node, body));
+    queue.after(delay, () => this.deliverHeartbeatCopy(node, body));
   }
 
   /** An old report arrives again; nobody waits for its answer. */
-  deliverCopy(node: ControllerNode, body: object): void {
-    const call = { method: 'POST', path: '/agent/beat', body, timeout: REPORT_TIMEOUT_MS } as unknown as Call;
+  deliverHeartbeatCopy(node: ControllerNode, body: object): void {
+    const call = {
+      method: 'POST',
+      path: '/agent/beat',
+      body,
+      timeout: HEARTBEAT_TIMEOUT_MS,
+    } as unknown as Call;
     if (node.host.up) node.serve(call, () => undefined);
   }
 }
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -3,15 +3,15 @@
  * refuse. A connection that was given up carries no late request; one that stands may deliver what was sent on it long
  * after the sender has given up (PROTOCOL, "Delayed messages").
  */
-import type { Outcome } from '../http/client.js';
+import type { CallOutcome } from '../http/client.js';
 import type { EventQueue, Host } from './clock.js';
 import type { RandomStream } from './random.js';
 
-export type CutMode = 'drop' | 'hold' | 'refuse';
+export type PartitionMode = 'drop' | 'hold' | 'refuse';
 
 /** A part of the network in which nothing passes from one host to another. */
-export interface Cut {
-  readonly mode: CutMode;
+export interface Partition {
+  readonly mode: PartitionMode;
   blocks(from: Host, to: Host): boolean;
 }
 
@@ -30,9 +30,9 @@
   readonly retryAfterS?: number;
 }
 
-export type ExchangeOutcome = Outcome & { readonly retryAfterS?: number };
+export type ExchangeOutcome = CallOutcome & { readonly retryAfterS?: number };
 
-interface Held {
+interface HeldMessage {
   readonly from: Host;
   readonly to: Host;
   readonly arrive: () => void;
@@ -46,12 +46,12 @@
   readonly serve: (reply: (response: Response) => void) => void;
 }
 
-const RESEND_MS = 200;
-const IDLE_MS = 20_000;
+const RESEND_DELAY_MS = 200;
+const CONNECTION_IDLE_TIMEOUT_MS = 20_000;
 
 export class Network {
-  private readonly cuts = new Set<Cut>();
-  private held: Held[] = [];
+  private readonly partitions = new Set<Partition>();
+  private heldMessages: HeldMessage[] = [];
   /** Until when a connection stands, by sender, receiver and their lives. */
   private readonly connections = new Map<string, number>();
   private readonly lastArrival = new Map<string, number>();
@@ -62,74 +62,74 @@
     private readonly random: RandomStream,
   ) {}
 
-  cut(cut: Cut): void {
-    this.cuts.add(cut);
+  addPartition(partition: Partition): void {
+    this.partitions.add(partition);
   }
 
   /** What was held is delivered in the order in which it was sent. */
-  heal(cut: Cut): void {
-    this.cuts.delete(cut);
-    const waiting = this.held;
-    this.held = [];
-    for (const h of waiting) this.send(h.from, h.to, h.arrive);
+  heal(partition: Partition): void {
+    this.partitions.delete(partition);
+    const waiting = this.heldMessages;
+    this.heldMessages = [];
+    for (const message of waiting) this.send(message.from, message.to, message.arrive);
   }
 
-  blocking(from: Host, to: Host): Cut | null {
-    for (const cut of this.cuts) if (cut.blocks(from, to)) return cut;
+  blockingPartition(from: Host, to: Host): Partition | null {
+    for (const partition of this.partitions) if (partition.blocks(from, to)) return partition;
     return null;
   }
 
   private latency(from: Host, to: Host): number {
     const near = from.zone !== null && from.zone === to.zone;
     const base = near ? this.options.sameZoneMs : this.options.crossZoneMs;
-    const lost = this.random.chance(this.options.loss) ? RESEND_MS : 0;
+    const lost = this.random.chance(this.options.loss) ? RESEND_DELAY_MS : 0;
     return base * (1 + this.options.jitter * this.random.unit()) + lost;
   }
 
   /** One packet; packets between two hosts arrive in order. */
   send(from: Host, to: Host, arrive: () => void): void {
-    const cut = this.blocking(from, to);
-    if (cut) {
-      if (cut.mode === 'hold') this.held.push({ from, to, arrive });
+    const partition = this.blockingPartition(from, to);
+    if (partition) {
+      if (partition.mode === 'hold') this.heldMessages.push({ from, to, arrive });
       return;
     }
     const key = `${from.name}>${to.name}`;
-    const due = Math.max(this.queue.now + this.latency(from, to), this.lastArrival.get(key) ?? 0);
-    this.lastArrival.set(key, due);
-    to.after(due - this.queue.now, arrive);
+    const arrivesAt = Math.max(this.queue.now + this.latency(from, to), this.lastArrival.get(key) ?? 0);
+    this.lastArrival.set(key, arrivesAt);
+    to.after(arrivesAt - this.queue.now, arrive);
   }
 
   /** How an attempt to connect ends: established, refused at once, or never answered. */
   private connect(from: Host, to: Host): 'open' | 'refused' | 'silent' {
-    const cut = this.blocking(from, to) ?? this.blocking(to, from);
-    if (cut) return cut.mode === 'refuse' ? 'refused' : 'silent';
+    const partition = this.blockingPartition(from, to) ?? this.blockingPartition(to, from);
+    if (partition) return partition.mode === 'refuse' ? 'refused' : 'silent';
     // A machine without power is silent; where only the process has ended, its system refuses.
     if (!to.up) return to.name.startsWith('m-') ? 'silent' : 'refused';
     return 'open';
   }
 
-  exchange(e: Exchange): Promise<ExchangeOutcome> {
-    const { from, to } = e;
-    const key = `${from.name}/${from.life}>${to.name}/${to.life}`;
-    const standing = to.up && (this.connections.get(key) ?? 0) > this.queue.now;
+  exchange(exchange: Exchange): Promise<ExchangeOutcome> {
+    const { from, to } = exchange;
+    const key = `${from.name}/${from.lifetime}>${to.name}/${to.lifetime}`;
+    const connected = to.up && (this.connections.get(key) ?? 0) > this.queue.now;
     return new Promise((resolve) => {
-      if (standing) return this.request(e, key, resolve);
+      if (connected) return this.request(exchange, key, resolve);
       const result = this.connect(from, to);
       if (result === 'open') {
         // The handshake takes a round trip.
-        from.after(2 * this.latency(from, to), () => this.request(e, key, resolve));
+        from.after(2 * this.latency(from, to), () => this.request(exchange, key, resolve));
       } else {
-        const wait = result === 'refused' ? 2 * this.latency(from, to) : e.timeoutMs;
+        const wait = result === 'refused' ? 2 * this.latency(from, to) : exchange.timeoutMs;
         from.after(wait, () => resolve({ kind: 'unsent' }));
       }
     });
   }
 
-  private request(e: Exchange, key: string, resolve: (o: ExchangeOutcome) => void): void {
-    const { from, to } = e;
+  private request(exchange: Exchange, key: string, resolve: (outcome: ExchangeOutcome) => void): void {
+    const { from, to } = exchange;
     let settled = false;
-    this.connections.set(key, this.queue.now + IDLE_MS);
-    const giveUp = from.after(e.timeoutMs, () => {
+    this.connections.set(key, this.queue.now + CONNECTION_IDLE_TIMEOUT_MS);
+    const giveUp = from.after(exchange.timeoutMs, () => {
       settled = true;
       this.connections.delete(key);
       resolve({ kind: 'unknown' });
@@ -140,12 +140,12 @@
         if (settled) return;
         settled = true;
         giveUp.cancel();
-        this.connections.set(key, this.queue.now + IDLE_MS);
+        this.connections.set(key, this.queue.now + CONNECTION_IDLE_TIMEOUT_MS);
         resolve({ kind: 'answer', ...copy });
       });
     };
     this.send(from, to, () => {
-      if (to.up) e.serve(reply);
+      if (to.up) exchange.serve(reply);
     });
   }
 }
--- a/src/simulation/observer.ts
+++ b/src/simulation/observer.ts
@@ -1,7 +1,7 @@
 /** What can be seen from outside: tasks on machines, and what users ask and are told. The judge watches these. */
-import type { UserJob } from './jobs.js';
+import type { UserJob } from './user-jobs.js';
 
-export interface MachineFacts {
+export interface MachineSpec {
   readonly id: string;
   readonly type: string;
   readonly zone: string;
@@ -13,7 +13,7 @@
 
 export type UserRequestKind = 'submit' | 'ask' | 'cancel';
 
-export interface UserAnswer {
+export interface UserResponse {
   readonly kind: UserRequestKind;
   readonly job: string;
   /** When the request was sent and answered, in simulated milliseconds. */
@@ -23,19 +23,19 @@
   readonly status: number | null;
   readonly state: string | null;
   /** The request was not a plain one: a submission that lacks a field, or a question about a job nobody submitted. */
-  readonly odd: boolean;
+  readonly irregular: boolean;
 }
 
 export interface Observer {
   /** The task holds its image on the machine: from now on it is there. */
-  taskStarted(machine: MachineFacts, task: string): void;
+  taskStarted(machine: MachineSpec, task: string): void;
   /** It exited, was killed, or the machine is gone. */
-  taskEnded(machine: MachineFacts, task: string, completed: boolean): void;
+  taskEnded(machine: MachineSpec, task: string, completed: boolean): void;
   /** All tasks of a gang run. */
   gangStarted(job: string): void;
   /** A task has joined an attempt of its gang that had started already, where nobody waits for it. */
   gangRejoined(job: string, task: string): void;
   jobSubmitted(job: UserJob): void;
   cancelRequested(job: string): void;
-  answered(answer: UserAnswer): void;
+  responseReceived(answer: UserResponse): void;
 }
--- a/src/simulation/random.ts
+++ b/src/simulation/random.ts
@@ -19,7 +19,7 @@
   }
 
   /** A whole number from `low` to `high`, both included. */
-  whole(low: number, high: number): number {
+  integer(low: number, high: number): number {
     return high <= low ? low : uniformInt(this.generator, low, high);
   }
 
@@ -37,14 +37,15 @@
   }
 
   pick<T>(items: readonly T[]): T {
-    return items[this.whole(0, items.length - 1)] as T;
+    return items[this.integer(0, items.length - 1)] as T;
   }
 
   /** Up to `count` different items, in random order. */
   sample<T>(items: readonly T[], count: number): T[] {
     const rest = [...items];
     const out: T[] = [];
-    while (out.length < count && rest.length > 0) out.push(...rest.splice(this.whole(0, rest.length - 1), 1));
+    while (out.length < count && rest.length > 0)
+      out.push(...rest.splice(this.integer(0, rest.length - 1), 1));
     return out;
   }
 }
--- a/src/simulation/shrink.ts
+++ b/src/simulation/shrink.ts
@@ -1,21 +1,21 @@
 /** Makes a scenario that breaks a rule smaller, as long as it still breaks the same rule. */
-import type { Rule } from './judge.js';
+import type { Rule } from './invariant-checker.js';
 import type { Fault, Scenario } from './scenario.js';
 import { Simulation } from './simulation.js';
 
 /** Runs that one shrinking may cost. */
-const MOST_RUNS = 80;
+const MAX_RUNS = 80;
 const AFTER_VIOLATION_S = 0.5;
-const LEAST_FOR_S = 0.5;
+const MIN_FAULT_DURATION_S = 0.5;
 
 /** When the scenario breaks the rule first, in simulated seconds, or null. */
 export type Trial = (scenario: Scenario) => Promise<number | null>;
 
 /** Tries a scenario with its own seed, up to the first break of the rule. */
-export const trialOf =
+export const trialForRule =
   (rule: Rule): Trial =>
   async (scenario) => {
-    const result = await new Simulation(scenario, { seed: scenario.seed, stopAt: [rule] }).run();
+    const result = await new Simulation(scenario, { seed: scenario.seed, stopOnRules: [rule] }).run();
     return result.violations.find((v) => v.rule === rule)?.atS ?? null;
   };
 
@@ -28,19 +28,19 @@
   ) {}
 
   private async accept(candidate: Scenario): Promise<boolean> {
-    if (this.runs >= MOST_RUNS) return false;
+    if (this.runs >= MAX_RUNS) return false;
     this.runs += 1;
-    const atS = await this.trial(candidate);
-    if (atS === null) return false;
-    const duration_s = Math.min(candidate.duration_s, Math.ceil((atS + AFTER_VIOLATION_S) * 10) / 10);
+    const violatedAtS = await this.trial(candidate);
+    if (violatedAtS === null) return false;
+    const duration_s = Math.min(candidate.duration_s, Math.ceil((violatedAtS + AFTER_VIOLATION_S) * 10) / 10);
     this.best = { ...candidate, duration_s };
     return true;
   }
 
   /** Leaves out one item after another, the last first; true: something could be left out. */
-  private async leaveOut<T>(
-    itemsOf: (s: Scenario) => readonly T[],
-    replace: (s: Scenario, items: T[]) => Scenario,
+  private async removeItems<T>(
+    itemsOf: (scenario: Scenario) => readonly T[],
+    replace: (scenario: Scenario, items: T[]) => Scenario,
     least: number,
   ): Promise<boolean> {
     let changed = false;
@@ -52,11 +52,11 @@
     return changed;
   }
 
-  private async shorten(): Promise<boolean> {
+  private async shortenFaults(): Promise<boolean> {
     let changed = false;
     for (let i = 0; i < this.best.faults.length; i += 1) {
       const fault = this.best.faults[i] as Fault;
-      if (!('for_s' in fault) || fault.for_s / 2 < LEAST_FOR_S) continue;
+      if (!('for_s' in fault) || fault.for_s / 2 < MIN_FAULT_DURATION_S) continue;
       const shorter = { ...fault, for_s: fault.for_s / 2 };
       const faults = this.best.faults.map((f, at) => (at === i ? shorter : f));
       if (await this.accept({ ...this.best, faults })) changed = true;
@@ -68,20 +68,20 @@
     // The shortest run first: every later trial is as short.
     if (!(await this.accept(this.best))) return this.best;
     for (let again = true; again;) {
-      again = await this.leaveOut(
-        (s) => s.faults,
-        (s, faults) => ({ ...s, faults }),
+      again = await this.removeItems(
+        (scenario) => scenario.faults,
+        (scenario, faults) => ({ ...scenario, faults }),
         0,
       );
       if (
-        await this.leaveOut(
-          (s) => s.load,
-          (s, load) => ({ ...s, load }),
+        await this.removeItems(
+          (scenario) => scenario.load,
+          (scenario, load) => ({ ...scenario, load }),
           1,
         )
       )
         again = true;
-      if (await this.shorten()) again = true;
+      if (await this.shortenFaults()) again = true;
     }
     return this.best;
   }
