--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -1,31 +1,31 @@
 /** One run: the real controllers on a modelled outside, from one scenario and one seed. */
 import { pino } from 'pino';
-import { silentLog, type Log } from '../log.js';
+import { silentLog, type Log } from '../logging/log.js';
 import { SHARDS_PREFIX } from '../shards/codec.js';
 import { parseSettings } from '../settings/settings.js';
 import type { LogLevel } from '../settings/settings.js';
 import { Arrivals } from './arrivals.js';
 import { EventQueue, Host } from './clock.js';
-import { Cloud, type CloudType } from './cloud.js';
-import { ControllerNode, type Surroundings } from './controllers.js';
+import { SimulatedCloud, type SimulatedInstanceType } from './cloud.js';
+import { ControllerNode, type ControllerEnvironment } from './controller-node.js';
 import type { Defect, Defects } from './defects.js';
-import { FaultSchedule } from './faults.js';
-import { Gangs } from './gangs.js';
-import { JobStorage } from './jobs.js';
-import { Judge, type Rule, type Violation } from './judge.js';
+import { FaultSchedule } from './fault-schedule.js';
+import { GangRegistry } from './gangs.js';
+import { JobStorage } from './user-jobs.js';
+import { InvariantChecker, type Rule, type Violation } from './invariant-checker.js';
 import { LoadBalancer } from './load-balancer.js';
-import { Machines, WorkerLinks } from './machines.js';
+import { SimulatedMachines, WorkerLinks } from './machines.js';
 import { Network } from './network.js';
-import type { MachineFacts, Observer } from './observer.js';
+import type { MachineSpec, Observer } from './observer.js';
 import { RandomStream } from './random.js';
 import type { Scenario } from './scenario.js';
-import { settingsText } from './settings-text.js';
-import { StateService } from './state-service.js';
-import type { TransactionBody } from './state-store.js';
+import { formatSettings } from './settings-text.js';
+import { StoreService } from './store-service.js';
+import type { TransactionBody } from './key-value-table.js';
 import { Trace } from './trace.js';
 import { Users } from './users.js';
 
-const MOST_DRIFT = 0.0005;
+const MAX_CLOCK_DRIFT = 0.0005;
 /** Between the starts of controllers and machines at the beginning. */
 const START_SPREAD_MS = 400;
 
@@ -35,7 +35,7 @@
   /** Keeps the lines of the trace, not only their hash. */
   readonly keepTrace?: boolean;
   /** Ends the run as soon as one of these rules is broken. */
-  readonly stopAt?: readonly Rule[];
+  readonly stopOnRules?: readonly Rule[];
   /** Controllers' logs go to standard error at this level; none: no logs. */
   readonly logLevel?: LogLevel;
   readonly defects?: readonly Defect[];
@@ -57,23 +57,23 @@
   readonly queue = new EventQueue();
   readonly trace: Trace;
   readonly network: Network;
-  readonly state: StateService;
-  readonly cloud: Cloud;
-  readonly judge: Judge;
-  readonly machines: Machines;
+  readonly storeService: StoreService;
+  readonly cloud: SimulatedCloud;
+  readonly invariantChecker: InvariantChecker;
+  readonly machines: SimulatedMachines;
   readonly nodes: readonly ControllerNode[];
   readonly users: Users;
   readonly arrivals: Arrivals;
   readonly faults: FaultSchedule;
   readonly links = new WorkerLinks();
-  readonly stateHost: Host;
+  readonly storeHost: Host;
   readonly userHost: Host;
   /** Share of the jobs that end that are called off at the moment of the end. */
-  cancelAtEnd = 0;
+  cancelOnCompletionShare = 0;
   private readonly cloudHost: Host;
   private readonly random: RandomStream;
   private readonly storage = new JobStorage();
-  private readonly completed = new Map<string, number>();
+  private readonly completedTasksByJob = new Map<string, number>();
 
   constructor(
     readonly scenario: Scenario,
@@ -83,17 +83,17 @@
     const { deployment } = scenario;
     this.random = new RandomStream(options.seed);
     this.trace = new Trace(queue, options.keepTrace ?? false);
-    this.stateHost = new Host('state', null, queue);
+    this.storeHost = new Host('state', null, queue);
     this.cloudHost = new Host('cloud', null, queue);
     this.userHost = new Host('users', null, queue);
     this.network = this.buildNetwork();
     const defects: Defects = new Set(options.defects ?? []);
-    this.state = this.buildState(defects);
+    this.storeService = this.buildStoreService(defects);
     this.cloud = this.buildCloud();
-    this.judge = this.buildJudge();
+    this.invariantChecker = this.buildInvariantChecker();
     const observer = this.observer();
     this.nodes = this.buildNodes();
-    this.machines = new Machines({
+    this.machines = new SimulatedMachines({
       queue,
       random: this.random.fork('machines'),
       network: this.network,
@@ -102,7 +102,7 @@
       storage: this.storage,
       gangs: this.buildGangs(observer),
       nodes: this.nodes,
-      times: { reportMs: deployment.report_s * 1000, leaseMs: deployment.lease_s * 1000 },
+      times: { heartbeatIntervalMs: deployment.report_s * 1000, leaseMs: deployment.lease_s * 1000 },
       defects,
       links: this.links,
       cloud: () => this.cloud,
@@ -110,7 +110,7 @@
     this.users = this.buildUsers(observer);
     this.arrivals = new Arrivals(queue, this.random.fork('arrivals'), (job, cancelAfterMs) => {
       this.trace.add(`job ${job.id} arrives (${job.class}, ${job.tasks} tasks)`);
-      void this.users.follow(job, cancelAfterMs);
+      void this.users.runJob(job, cancelAfterMs);
     });
     this.faults = new FaultSchedule(this, this.random.fork('faults'));
   }
@@ -121,61 +121,61 @@
     return new Network(this.queue, options, this.random.fork('network'));
   }
 
-  private buildState(defects: Defects): StateService {
+  private buildStoreService(defects: Defects): StoreService {
     const { rps, write_rps, value_kb, txn_ops } = this.scenario.deployment.state;
     const limits = { rps, writeRps: write_rps, valueKb: value_kb, txnOps: txn_ops };
-    const state = new StateService(this.queue, limits, this.random.fork('state'), defects);
-    state.onCommit = (body, from) => this.committed(body, from);
+    const state = new StoreService(this.queue, limits, this.random.fork('state'), defects);
+    state.onCommit = (body, from) => this.onCommit(body, from);
     return state;
   }
 
-  private buildCloud(): Cloud {
+  private buildCloud(): SimulatedCloud {
     const { types, zones, cloud } = this.scenario.deployment;
-    const list: CloudType[] = types.map((t) => ({
-      name: t.name,
-      cpus: t.cpus,
-      gpus: t.gpus,
-      memoryGb: t.memory_gb,
-      cacheGb: t.cache_gb,
-      fetchGbPerS: t.fetch_gb_per_s,
-      price: t.price,
-      spotPrice: t.spot_price,
-      bootS: t.boot_s,
-      zones: t.zones ?? zones,
+    const instanceTypes: SimulatedInstanceType[] = types.map((type) => ({
+      name: type.name,
+      cpus: type.cpus,
+      gpus: type.gpus,
+      memoryGb: type.memory_gb,
+      cacheGb: type.cache_gb,
+      fetchGbPerS: type.fetch_gb_per_s,
+      price: type.price,
+      spotPrice: type.spot_price,
+      bootS: type.boot_s,
+      zones: type.zones ?? zones,
     }));
-    return new Cloud(
+    return new SimulatedCloud(
       this.queue,
-      { types: list, rps: cloud.rps, listLagS: cloud.list_lag_s, capacity: cloud.capacity },
+      { types: instanceTypes, rps: cloud.rps, listLagS: cloud.list_lag_s, capacity: cloud.capacity },
       this.random.fork('cloud'),
       this.trace,
-      (m) => this.machines.boot(m),
-      (m) => this.machines.gone(m),
+      (machine) => this.machines.boot(machine),
+      (machine) => this.machines.remove(machine),
     );
   }
 
-  private buildJudge(): Judge {
+  private buildInvariantChecker(): InvariantChecker {
     const { teams, cancel_s } = this.scenario.deployment;
-    const judge = new Judge(this.queue, {
-      teams: teams.map((t) => ({ name: t.name, cpusMax: t.cpus_max, gpusMax: t.gpus_max })),
+    const checker = new InvariantChecker(this.queue, {
+      teams: teams.map((team) => ({ name: team.name, cpusMax: team.cpus_max, gpusMax: team.gpus_max })),
       cancelS: cancel_s,
-      machines: () => this.machines.views(),
+      machines: () => this.machines.usableMachines(),
     });
-    judge.onViolation = (v) => {
-      this.trace.add(`BROKEN ${v.rule}: ${v.detail}`);
-      if (this.options.stopAt?.includes(v.rule)) this.queue.stop();
+    checker.onViolation = (violation) => {
+      this.trace.add(`BROKEN ${violation.rule}: ${violation.detail}`);
+      if (this.options.stopOnRules?.includes(violation.rule)) this.queue.stop();
     };
-    return judge;
+    return checker;
   }
 
-  private buildGangs(observer: Observer): Gangs {
+  private buildGangs(observer: Observer): GangRegistry {
     const { gang_wait_s, gang_peer_s } = this.scenario.deployment;
-    return new Gangs({
+    return new GangRegistry({
       queue: this.queue,
       random: this.random.fork('gangs'),
       storage: this.storage,
       trace: this.trace,
       observer,
-      times: { waitMs: gang_wait_s * 1000, peerMs: gang_peer_s * 1000 },
+      times: { startTimeoutMs: gang_wait_s * 1000, peerTimeoutMs: gang_peer_s * 1000 },
     });
   }
 
@@ -190,21 +190,24 @@
             { level, base: { node: name }, timestamp: () => `,"atS":${this.queue.now / 1000}` },
             pino.destination({ fd: 2, sync: true }),
           );
-    const around = (name: string): Surroundings => ({
+    const environmentOf = (name: string): ControllerEnvironment => ({
       queue: this.queue,
       network: this.network,
       trace: this.trace,
       log: openLog(name),
-      state: { host: this.stateHost, serve: (from, call, reply) => this.state.serve(from, call, reply) },
+      store: {
+        host: this.storeHost,
+        serve: (from, call, reply) => this.storeService.serve(from, call, reply),
+      },
       cloud: { host: this.cloudHost, serve: (call, reply) => this.cloud.serve(call, reply) },
-      machine: (address) => this.machines.at(address),
-      node: (other) => this.nodes.find((n) => n.name === other),
+      machine: (address) => this.machines.endpointAt(address),
+      node: (other) => this.nodes.find((node) => node.name === other),
       tuning: deployment.properties,
     });
-    return deployment.controllers.map((_, i) => {
-      const name = `n${i}`;
-      const settings = parseSettings(settingsText(deployment, i), `${name}.toml`);
-      return new ControllerNode(name, settings, random.between(0, MOST_DRIFT), around(name));
+    return deployment.controllers.map((_, index) => {
+      const name = `n${index}`;
+      const settings = parseSettings(formatSettings(deployment, index), `${name}.toml`);
+      return new ControllerNode(name, settings, random.between(0, MAX_CLOCK_DRIFT), environmentOf(name));
     });
   }
 
@@ -214,33 +217,33 @@
     const balancer = new LoadBalancer(this.nodes, this.userHost, queue, network, random);
     return new Users(queue, balancer, this.random.fork('users'), trace, observer, this.storage, {
       controllers: this.nodes.length,
-      onEvent: (name) => this.faults.happened({ name }),
+      onEvent: (name) => this.faults.onEvent({ name }),
     });
   }
 
   /** Passes on to the judge what it sees, and to the faults what they may wait for. */
   private observer(): Observer {
-    const { judge } = this;
+    const { invariantChecker: checker } = this;
     return {
-      taskStarted: (machine: MachineFacts, task: string) => {
-        judge.taskStarted(machine, task);
-        this.faults.happened({ name: 'task_started', machine: machine.id });
+      taskStarted: (machine: MachineSpec, task: string) => {
+        checker.taskStarted(machine, task);
+        this.faults.onEvent({ name: 'task_started', machine: machine.id });
         if (this.storage.jobOf(task)?.shape === 'gang')
-          this.faults.happened({ name: 'gang_gathers', machine: machine.id });
+          this.faults.onEvent({ name: 'gang_gathers', machine: machine.id });
       },
-      taskEnded: (machine: MachineFacts, task: string, done: boolean) => {
-        judge.taskEnded(machine, task, done);
+      taskEnded: (machine: MachineSpec, task: string, done: boolean) => {
+        checker.taskEnded(machine, task, done);
         if (done) this.countCompleted(task);
       },
       gangStarted: (job) => {
-        judge.gangStarted(job);
-        const machine = judge.machineOf(`${job}/0`);
-        this.faults.happened({ name: 'gang_started', ...(machine === null ? {} : { machine }) });
+        checker.gangStarted(job);
+        const machine = checker.machineOf(`${job}/0`);
+        this.faults.onEvent({ name: 'gang_started', ...(machine === null ? {} : { machine }) });
       },
-      gangRejoined: (job, task) => judge.gangRejoined(job, task),
-      jobSubmitted: (job) => judge.jobSubmitted(job),
-      cancelRequested: (job) => judge.cancelRequested(job),
-      answered: (answer) => judge.answered(answer),
+      gangRejoined: (job, task) => checker.gangRejoined(job, task),
+      jobSubmitted: (job) => checker.jobSubmitted(job),
+      cancelRequested: (job) => checker.cancelRequested(job),
+      responseReceived: (answer) => checker.responseReceived(answer),
     };
   }
 
@@ -248,48 +251,48 @@
   private countCompleted(task: string): void {
     const job = this.storage.jobOf(task);
     if (!job) return;
-    const done = (this.completed.get(job.id) ?? 0) + 1;
-    this.completed.set(job.id, done);
-    if (done === job.tasks && this.random.chance(this.cancelAtEnd)) this.users.cancel(job.id);
+    const done = (this.completedTasksByJob.get(job.id) ?? 0) + 1;
+    this.completedTasksByJob.set(job.id, done);
+    if (done === job.tasks && this.random.chance(this.cancelOnCompletionShare)) this.users.cancel(job.id);
   }
 
-  private committed(body: TransactionBody, from: string): void {
-    const keys = (body.apply ?? []).map((a) => a.put ?? a.drop ?? '');
-    this.faults.happened({ name: 'commit', node: from, keys });
-    if (!keys.some((k) => k.startsWith(SHARDS_PREFIX))) return;
+  private onCommit(body: TransactionBody, from: string): void {
+    const keys = (body.apply ?? []).map((change) => change.put ?? change.drop ?? '');
+    this.faults.onEvent({ name: 'commit', node: from, keys });
+    if (!keys.some((key) => key.startsWith(SHARDS_PREFIX))) return;
     this.trace.add(`${from} writes ${keys.join(' ')}`);
-    this.faults.happened({ name: 'part_claimed', node: from, keys });
-    for (const { body: report } of this.links.takeKept())
+    this.faults.onEvent({ name: 'part_claimed', node: from, keys });
+    for (const { body: report } of this.links.takeDelayedHeartbeats())
       for (const node of this.nodes)
-        this.queue.after(this.random.between(1, 50), () => this.machines.deliverCopy(node, report));
+        this.queue.after(this.random.between(1, 50), () => this.machines.deliverHeartbeatCopy(node, report));
   }
 
   startNode(node: ControllerNode): void {
     if (node.host.up) return;
     node.start();
-    this.faults.happened({ name: 'controller_started', node: node.name });
+    this.faults.onEvent({ name: 'controller_started', node: node.name });
   }
 
   private startMachines(): void {
     const { machines } = this.scenario.deployment;
-    const catalog = new Map(this.cloud.types.map((t) => [t.name, t]));
-    for (const m of machines) {
-      for (let i = 0; i < m.count; i += 1) {
-        const type = catalog.get(m.type);
-        if (type) this.cloud.create(type, m.zone, m.spot, this.random.between(0, START_SPREAD_MS));
+    const catalog = new Map(this.cloud.types.map((type) => [type.name, type]));
+    for (const group of machines) {
+      for (let index = 0; index < group.count; index += 1) {
+        const type = catalog.get(group.type);
+        if (type) this.cloud.create(type, group.zone, group.spot, this.random.between(0, START_SPREAD_MS));
       }
     }
   }
 
   async run(): Promise<SimulationResult> {
-    const { queue, scenario, judge } = this;
+    const { queue, scenario, invariantChecker: checker } = this;
     this.startMachines();
     for (const node of this.nodes)
       queue.after(this.random.between(0, START_SPREAD_MS), () => this.startNode(node));
     this.arrivals.start(scenario.load);
     this.faults.start(scenario.faults);
     await queue.run(Math.min(scenario.duration_s, this.options.untilS ?? Infinity) * 1000);
-    judge.finish();
+    checker.finish();
     for (const node of this.nodes) node.host.end();
     return {
       scenario: scenario.name,
@@ -297,13 +300,13 @@
       simulatedS: queue.now / 1000,
       events: queue.count,
       hash: this.trace.digest(),
-      violations: judge.violations,
+      violations: checker.violations,
       figures: {
-        ...judge.counts,
+        ...checker.counts,
         submitted: this.storage.jobs.size,
         machines: this.cloud.machines.size,
-        faultsBegun: this.faults.begun,
-        refusedForLimits: this.state.tooMany,
+        faultsBegun: this.faults.begunCount,
+        refusedForLimits: this.storeService.throttledRequests,
       },
       trace: this.trace.lines,
     };
--- a/src/simulation/state-service.ts
+++ b/src/simulation/store-service.ts
@@ -4,9 +4,9 @@
 import type { Defects } from './defects.js';
 import type { Response } from './network.js';
 import type { RandomStream } from './random.js';
-import { StateStore, type StoredChange, type TransactionBody } from './state-store.js';
+import { KeyValueTable, type StoredChange, type TransactionBody } from './key-value-table.js';
 
-export interface StateLimits {
+export interface StoreServiceLimits {
   readonly rps: number;
   readonly writeRps: number;
   readonly valueKb: number;
@@ -22,14 +22,14 @@
 
 export type Reply = (response: Response) => void;
 
-const LONGEST_TRANSACTION = 64 * 1024;
-const LATE_LEASE_MS = 100;
-const MOST_LISTED = 1000;
+const MAX_TRANSACTION_BYTES = 64 * 1024;
+const MAX_LEASE_EXPIRY_DELAY_MS = 100;
+const MAX_LISTED_KEYS = 1000;
 /** Now and then a response takes a few hundred milliseconds. */
-const SLOW_SHARE = 0.003;
+const SLOW_RESPONSE_SHARE = 0.003;
 
 /** A token bucket that allows bursts of one second's worth. */
-export class RateLimit {
+export class TokenBucket {
   private level: number;
   private at = 0;
 
@@ -57,82 +57,84 @@
   endsAt: number;
 }
 
-export class StateService {
-  readonly store: StateStore;
+export class StoreService {
+  readonly table: KeyValueTable;
   /** Nobody is served. */
   outage = false;
   /** Controllers that alone are refused. */
-  readonly refused = new Set<string>();
+  readonly refusedControllers = new Set<string>();
   /** Added to every response. */
-  slowMs = 0;
-  fate: () => TransactionFate = () => ({ kind: 'normal' });
+  extraDelayMs = 0;
+  nextTransactionFate: () => TransactionFate = () => ({ kind: 'normal' });
   onCommit: (body: TransactionBody, from: string) => void = () => undefined;
   /** How often something was refused for a limit. */
-  tooMany = 0;
+  throttledRequests = 0;
   private readonly leases = new Map<number, Lease>();
   private readonly watches = new Set<() => void>();
-  private readonly requests: RateLimit;
-  private readonly changes: RateLimit;
+  private readonly requestBucket: TokenBucket;
+  private readonly changeBucket: TokenBucket;
 
   constructor(
     private readonly queue: EventQueue,
-    private readonly limits: StateLimits,
+    private readonly limits: StoreServiceLimits,
     private readonly random: RandomStream,
     private readonly defects: Defects,
   ) {
-    this.store = new StateStore(!defects.has('state-ignores-conditions'));
-    this.requests = new RateLimit(queue, limits.rps);
-    this.changes = new RateLimit(queue, limits.writeRps);
+    this.table = new KeyValueTable(!defects.has('state-ignores-conditions'));
+    this.requestBucket = new TokenBucket(queue, limits.rps);
+    this.changeBucket = new TokenBucket(queue, limits.writeRps);
   }
 
   serve(from: Host, call: Call, reply: Reply): void {
-    const slow = this.random.chance(SLOW_SHARE) ? this.random.between(100, 400) : 0;
-    this.queue.after(this.random.between(0.5, 4) + slow + this.slowMs, () => this.handle(from, call, reply));
+    const slow = this.random.chance(SLOW_RESPONSE_SHARE) ? this.random.between(100, 400) : 0;
+    this.queue.after(this.random.between(0.5, 4) + slow + this.extraDelayMs, () =>
+      this.handle(from, call, reply),
+    );
   }
 
   private handle(from: Host, call: Call, reply: Reply): void {
-    if (!this.requests.take(1)) return this.refuse(reply);
+    if (!this.requestBucket.take(1)) return this.throttle(reply);
     const url = new URL(call.path, 'http://state');
-    if (this.silentFor(from.name)) return reply({ status: 503, body: { error: 'trouble' } });
-    if (url.pathname === '/follow') return this.follow(from.name, url, reply);
+    if (this.isUnavailableTo(from.name)) return reply({ status: 503, body: { error: 'trouble' } });
+    if (url.pathname === '/follow') return this.watch(from.name, url, reply);
     if (url.pathname === '/txn') return this.transaction(from.name, call.body as TransactionBody, reply);
     if (url.pathname.startsWith('/leases')) return reply(this.lease(from.name, call, url.pathname));
     reply(url.pathname === '/kv' ? this.list(url) : this.read(url.pathname.slice('/kv/'.length)));
   }
 
-  private refuse(reply: Reply): void {
-    this.tooMany += 1;
+  private throttle(reply: Reply): void {
+    this.throttledRequests += 1;
     reply({ status: 429, body: { error: 'too many requests' } });
   }
 
-  private silentFor(node: string): boolean {
-    return this.outage || this.refused.has(node);
+  private isUnavailableTo(node: string): boolean {
+    return this.outage || this.refusedControllers.has(node);
   }
 
   private read(path: string): Response {
     const key = decodeURIComponent(path);
-    const row = this.store.rows.get(key);
-    if (!row) return { status: 404, body: { ledger: this.store.ledger } };
+    const row = this.table.rows.get(key);
+    if (!row) return { status: 404, body: { ledger: this.table.revision } };
     return { status: 200, body: { path: key, ...row } };
   }
 
   private list(url: URL): Response {
-    const most = Math.min(MOST_LISTED, Number(url.searchParams.get('most') ?? MOST_LISTED));
-    const { keys, more } = this.store.list(
+    const limit = Math.min(MAX_LISTED_KEYS, Number(url.searchParams.get('most') ?? MAX_LISTED_KEYS));
+    const { keys, more } = this.table.list(
       url.searchParams.get('under') ?? '',
       url.searchParams.get('from') ?? '',
-      most,
+      limit,
     );
-    const entries = keys.map((path) => ({ path, ...this.store.rows.get(path) }));
-    return { status: 200, body: { entries, hasNext: more, ledger: this.store.ledger } };
+    const entries = keys.map((path) => ({ path, ...this.table.rows.get(path) }));
+    return { status: 200, body: { entries, hasNext: more, ledger: this.table.revision } };
   }
 
   private transaction(from: string, body: TransactionBody, reply: Reply): void {
-    const malformed = this.malformed(body);
+    const malformed = this.validationError(body);
     if (malformed) return reply({ status: 400, body: { error: malformed } });
-    const ops = body.apply?.length ?? 0;
-    if (ops > 0 && !this.changes.take(ops)) return this.refuse(reply);
-    const fate = ops === 0 ? { kind: 'normal' as const } : this.fate();
+    const operationCount = body.apply?.length ?? 0;
+    if (operationCount > 0 && !this.changeBucket.take(operationCount)) return this.throttle(reply);
+    const fate = operationCount === 0 ? { kind: 'normal' as const } : this.nextTransactionFate();
     if (fate.kind === 'late') {
       this.queue.after(fate.delayMs, () => {
         if (!this.outage) this.apply(from, body);
@@ -143,18 +145,20 @@
     if (fate.kind === 'normal') reply(response);
   }
 
-  private malformed(body: TransactionBody): string | null {
-    const ops = body.apply ?? [];
-    if (ops.length > this.limits.txnOps) return 'too many changes';
+  private validationError(body: TransactionBody): string | null {
+    const operationCount = body.apply ?? [];
+    if (operationCount.length > this.limits.txnOps) return 'too many changes';
     if ((body.when?.length ?? 0) > 4 * this.limits.txnOps) return 'too many conditions';
-    if (JSON.stringify(body).length > LONGEST_TRANSACTION) return 'transaction too large';
-    const tooLarge = ops.some((a) => JSON.stringify(a.data ?? null).length > this.limits.valueKb * 1024);
+    if (JSON.stringify(body).length > MAX_TRANSACTION_BYTES) return 'transaction too large';
+    const tooLarge = operationCount.some(
+      (a) => JSON.stringify(a.data ?? null).length > this.limits.valueKb * 1024,
+    );
     return tooLarge ? 'value too large' : null;
   }
 
   private apply(from: string, body: TransactionBody): Response {
     const copy = JSON.parse(JSON.stringify(body)) as TransactionBody;
-    const result = this.store.transact(copy);
+    const result = this.table.transact(copy);
     if (result.kind === 'no-lease') return { status: 400, body: { error: 'no such lease' } };
     if (result.kind === 'conflict')
       return { status: 409, body: { failed: result.failed, ledger: result.ledger } };
@@ -166,10 +170,10 @@
   private lease(from: string, call: Call, path: string): Response {
     const id = Number(/^\/leases\/(\d+)/.exec(path)?.[1] ?? 0);
     if (path === '/leases') {
-      const granted = this.store.grantLease();
+      const granted = this.table.grantLease();
       const { ttlMs } = call.body as { ttlMs: number };
       this.leases.set(granted, { ttlMs, owner: from, endsAt: this.queue.now + ttlMs });
-      this.watchLease(granted);
+      this.scheduleLeaseExpiry(granted);
       return { status: 200, body: { mooring: granted } };
     }
     const lease = this.leases.get(id);
@@ -180,17 +184,19 @@
   }
 
   /** A lease may end a little late, never early; in an outage none ends. */
-  private watchLease(id: number): void {
+  private scheduleLeaseExpiry(id: number): void {
     const lease = this.leases.get(id);
     if (!lease) return;
     const wait = lease.endsAt - this.queue.now;
     if (wait <= 0 && !this.outage) return this.endLease(id);
-    this.queue.after(Math.max(wait, 1) + this.random.between(0, LATE_LEASE_MS), () => this.watchLease(id));
+    this.queue.after(Math.max(wait, 1) + this.random.between(0, MAX_LEASE_EXPIRY_DELAY_MS), () =>
+      this.scheduleLeaseExpiry(id),
+    );
   }
 
   private endLease(id: number): void {
     this.leases.delete(id);
-    this.store.endLease(id);
+    this.table.endLease(id);
     this.notify();
   }
 
@@ -201,7 +207,7 @@
   }
 
   endRefusal(node: string): void {
-    this.refused.delete(node);
+    this.refusedControllers.delete(node);
     this.notify();
   }
 
@@ -209,29 +215,29 @@
     for (const watch of [...this.watches]) watch();
   }
 
-  private shown(news: readonly StoredChange[]): readonly StoredChange[] {
-    if (!this.defects.has('state-watch-loses-deletions')) return news;
-    return news.filter((c) => c.drop === undefined);
+  private visibleChanges(changes: readonly StoredChange[]): readonly StoredChange[] {
+    if (!this.defects.has('state-watch-loses-deletions')) return changes;
+    return changes.filter((c) => c.drop === undefined);
   }
 
-  private follow(node: string, url: URL, reply: Reply): void {
+  private watch(node: string, url: URL, reply: Reply): void {
     const prefix = url.searchParams.get('under') ?? '';
     const from = Number(url.searchParams.get('from') ?? 0);
-    let over = false;
-    const look = (): void => {
+    let timedOut = false;
+    const deliver = (): void => {
       // A watch that is open in an outage stays open.
-      if (this.silentFor(node)) return;
-      const news = this.store.changesAfter(prefix, from);
-      if (news !== null && news.length === 0 && !over) return;
-      this.watches.delete(look);
-      if (news === null) reply({ status: 410, body: { error: 'too old' } });
-      else reply({ status: 200, body: { ledger: this.store.ledger, news: this.shown(news) } });
+      if (this.isUnavailableTo(node)) return;
+      const changes = this.table.changesAfter(prefix, from);
+      if (changes !== null && changes.length === 0 && !timedOut) return;
+      this.watches.delete(deliver);
+      if (changes === null) reply({ status: 410, body: { error: 'too old' } });
+      else reply({ status: 200, body: { ledger: this.table.revision, news: this.visibleChanges(changes) } });
     };
-    this.watches.add(look);
-    look();
+    this.watches.add(deliver);
+    deliver();
     this.queue.after(Number(url.searchParams.get('blockMs') ?? 0), () => {
-      over = true;
-      if (this.watches.has(look)) look();
+      timedOut = true;
+      if (this.watches.has(deliver)) deliver();
     });
   }
 }
--- a/src/simulation/jobs.ts
+++ b/src/simulation/user-jobs.ts
@@ -19,20 +19,20 @@
   readonly image: string;
   readonly imageGb: number;
   readonly estimateS: number;
-  readonly checkpointS: number;
-  readonly saveS: number;
+  readonly checkpointIntervalS: number;
+  readonly checkpointDurationS: number;
   /** How long a task really runs; Infinity for services. */
   readonly runS: number;
 }
 
-const SHAPES = { array: 'batch', gang: 'gang', service: 'standing' } as const;
+const WIRE_SHAPES = { array: 'batch', gang: 'gang', service: 'standing' } as const;
 
 /** The body of a submission, in the words of PROTOCOL. */
 export const encodeSubmission = (job: UserJob): Record<string, unknown> => ({
   uid: job.id,
   lane: job.class,
   crew: job.team,
-  shape: SHAPES[job.shape],
+  shape: WIRE_SHAPES[job.shape],
   rank: job.priority,
   legs: job.tasks,
   vcpus: job.cpus,
@@ -46,8 +46,8 @@
   apart: job.spread,
   driftboats: job.spot,
   passageS: job.shape === 'service' ? 0 : job.estimateS,
-  moorS: job.checkpointS,
-  stowS: job.saveS,
+  moorS: job.checkpointIntervalS,
+  stowS: job.checkpointDurationS,
   tideS: null,
 });
 
@@ -55,7 +55,7 @@
 export class JobStorage {
   readonly jobs = new Map<string, UserJob>();
   /** Progress that was saved, in milliseconds of run time, by task; that of a gang by its job. */
-  readonly saved = new Map<string, number>();
+  readonly checkpoints = new Map<string, number>();
   /** Tasks whose result is kept. */
   readonly results = new Set<string>();
 
--- a/src/simulation/users.ts
+++ b/src/simulation/users.ts
@@ -2,22 +2,22 @@
 import type { Call } from '../http/client.js';
 import type { Millis } from '../model/units.js';
 import type { EventQueue } from './clock.js';
-import { encodeSubmission, type JobStorage, type UserJob } from './jobs.js';
+import { encodeSubmission, type JobStorage, type UserJob } from './user-jobs.js';
 import type { LoadBalancer } from './load-balancer.js';
 import type { ExchangeOutcome } from './network.js';
-import type { Observer, UserAnswer, UserRequestKind } from './observer.js';
+import type { Observer, UserResponse, UserRequestKind } from './observer.js';
 import type { RandomStream } from './random.js';
 import type { Trace } from './trace.js';
 
 const SUBMIT_TIMEOUT_MS = 5000;
 const POLL_TIMEOUT_MS = 2000;
-const POLL_GAP_MS = 5000;
-const SUBMIT_FOR_MS = 60_000;
-const RETRY_MS = 1000;
-const LONGEST_RETRY_S = 30;
+const POLL_INTERVAL_MS = 5000;
+const SUBMIT_RETRY_PERIOD_MS = 60_000;
+const RETRY_DELAY_MS = 1000;
+const MAX_RETRY_DELAY_S = 30;
 /** How many looks at each node, and how far apart, `closeLooks` takes. */
-const LOOKS = 3;
-const LOOK_GAP_MS = 4;
+const POLL_ROUNDS = 3;
+const POLL_ROUND_INTERVAL_MS = 4;
 
 export type UserEvent = 'accepted' | 'cancel_confirmed' | 'job_done';
 
@@ -26,7 +26,7 @@
   readonly onEvent: (event: UserEvent, job: string) => void;
 }
 
-interface Followed {
+interface TrackedJob {
   readonly job: UserJob;
   state: string | null;
   cancelling: boolean;
@@ -34,8 +34,8 @@
 
 export class Users {
   /** While set, users ask at all nodes at once after each change that they are told of. */
-  closeLooks = false;
-  private readonly followed = new Map<string, Followed>();
+  pollAllNodesOnChange = false;
+  private readonly trackedJobs = new Map<string, TrackedJob>();
 
   constructor(
     private readonly queue: EventQueue,
@@ -61,68 +61,68 @@
   private async request(
     kind: UserRequestKind,
     id: string,
-    options: { body?: unknown; node?: number; odd?: boolean } = {},
-  ): Promise<{ answer: UserAnswer; retryAfterS: number }> {
+    options: { body?: unknown; node?: number; irregular?: boolean } = {},
+  ): Promise<{ answer: UserResponse; retryAfterS: number }> {
     const sentAt = this.queue.now;
     const call = this.call(kind, id, options.body ?? {});
     const { node } = options;
     const outcome: ExchangeOutcome =
       node === undefined ? await this.balancer.request(call) : await this.balancer.requestAt(node, call);
     const answered = outcome.kind === 'answer';
-    const answer: UserAnswer = {
+    const answer: UserResponse = {
       kind,
       job: id,
       sentAt,
       answeredAt: this.queue.now,
       status: answered ? outcome.status : null,
-      state: answered ? stateIn(outcome.body) : null,
-      odd: options.odd ?? false,
+      state: answered ? stateOf(outcome.body) : null,
+      irregular: options.irregular ?? false,
     };
     const where = node === undefined ? '' : ` at n${node}`;
     this.trace.add(`user ${kind} ${id}${where}: ${answer.status ?? 'no answer'} ${answer.state ?? ''}`);
-    this.observer.answered(answer);
-    this.learn(answer);
+    this.observer.responseReceived(answer);
+    this.updateKnownState(answer);
     return { answer, retryAfterS: outcome.retryAfterS ?? 0 };
   }
 
-  private learn(answer: UserAnswer): void {
-    const job = this.followed.get(answer.job);
+  private updateKnownState(answer: UserResponse): void {
+    const job = this.trackedJobs.get(answer.job);
     if (!job || answer.state === null || job.state === 'done' || job.state === 'cancelled') return;
     const first = job.state === null;
     job.state = answer.state;
-    if (first) this.tell('accepted', answer.job);
-    if (job.state === 'cancelled') this.tell('cancel_confirmed', answer.job);
-    if (job.state === 'done') this.tell('job_done', answer.job);
+    if (first) this.notify('accepted', answer.job);
+    if (job.state === 'cancelled') this.notify('cancel_confirmed', answer.job);
+    if (job.state === 'done') this.notify('job_done', answer.job);
   }
 
-  private tell(event: UserEvent, job: string): void {
+  private notify(event: UserEvent, job: string): void {
     this.options.onEvent(event, job);
-    if (this.closeLooks) void this.lookClosely(job);
+    if (this.pollAllNodesOnChange) void this.pollAllNodes(job);
   }
 
   /** Asks all nodes, again and again within milliseconds, and repeats the submission. */
-  private async lookClosely(id: string): Promise<void> {
-    const job = this.followed.get(id)?.job;
-    for (let look = 0; look < LOOKS; look += 1) {
+  private async pollAllNodes(id: string): Promise<void> {
+    const job = this.trackedJobs.get(id)?.job;
+    for (let look = 0; look < POLL_ROUNDS; look += 1) {
       for (let node = 0; node < this.options.controllers; node += 1) void this.request('ask', id, { node });
       if (job) {
-        const node = this.random.whole(0, this.options.controllers - 1);
+        const node = this.random.integer(0, this.options.controllers - 1);
         void this.request('submit', id, { node, body: encodeSubmission(job) });
       }
-      await this.wait(LOOK_GAP_MS);
+      await this.wait(POLL_ROUND_INTERVAL_MS);
     }
   }
 
   /** The whole life of one job with its user. */
-  async follow(job: UserJob, cancelAfterMs: number | null): Promise<void> {
-    const followed: Followed = { job, state: null, cancelling: false };
-    this.followed.set(job.id, followed);
+  async runJob(job: UserJob, cancelAfterMs: number | null): Promise<void> {
+    const tracked: TrackedJob = { job, state: null, cancelling: false };
+    this.trackedJobs.set(job.id, tracked);
     this.storage.jobs.set(job.id, job);
     this.observer.jobSubmitted(job);
     if (!(await this.submit(job))) return;
     if (cancelAfterMs !== null) this.queue.after(cancelAfterMs, () => this.cancel(job.id));
-    while (followed.state !== 'done' && followed.state !== 'cancelled') {
-      await this.wait(POLL_GAP_MS * this.random.between(0.9, 1.1));
+    while (tracked.state !== 'done' && tracked.state !== 'cancelled') {
+      await this.wait(POLL_INTERVAL_MS * this.random.between(0.9, 1.1));
       await this.request('ask', job.id);
     }
     for (let again = 0; again < 2; again += 1) {
@@ -132,45 +132,47 @@
   }
 
   private async submit(job: UserJob): Promise<boolean> {
-    const until = this.queue.now + SUBMIT_FOR_MS;
+    const until = this.queue.now + SUBMIT_RETRY_PERIOD_MS;
     while (this.queue.now < until) {
       const { answer, retryAfterS } = await this.request('submit', job.id, { body: encodeSubmission(job) });
       if (answer.state !== null) return true;
       if (answer.status === 400 || answer.status === 422) return false;
-      await this.wait(Math.max(RETRY_MS, Math.min(LONGEST_RETRY_S, retryAfterS) * 1000));
+      await this.wait(Math.max(RETRY_DELAY_MS, Math.min(MAX_RETRY_DELAY_S, retryAfterS) * 1000));
     }
     return false;
   }
 
   /** Cancels a job, again and again until the answer says cancelled or done. */
   cancel(id: string): void {
-    const followed = this.followed.get(id);
-    if (!followed || followed.cancelling) return;
-    followed.cancelling = true;
+    const tracked = this.trackedJobs.get(id);
+    if (!tracked || tracked.cancelling) return;
+    tracked.cancelling = true;
     this.observer.cancelRequested(id);
-    void this.repeatCancel(followed);
+    void this.repeatCancel(tracked);
   }
 
-  private async repeatCancel(followed: Followed): Promise<void> {
+  private async repeatCancel(tracked: TrackedJob): Promise<void> {
     for (;;) {
-      const { answer, retryAfterS } = await this.request('cancel', followed.job.id);
+      const { answer, retryAfterS } = await this.request('cancel', tracked.job.id);
       if (answer.state === 'cancelled' || answer.state === 'done') return;
-      await this.wait(Math.max(RETRY_MS, Math.min(LONGEST_RETRY_S, retryAfterS) * 1000));
+      await this.wait(Math.max(RETRY_DELAY_MS, Math.min(MAX_RETRY_DELAY_S, retryAfterS) * 1000));
     }
   }
 
   /** Accepted jobs of which no user has heard the end, in order of submission. */
   unfinished(): UserJob[] {
-    return [...this.followed.values()]
-      .filter((f) => (f.state === 'pending' || f.state === 'running') && !f.cancelling)
-      .map((f) => f.job);
+    return [...this.trackedJobs.values()]
+      .filter(
+        (tracked) => (tracked.state === 'pending' || tracked.state === 'running') && !tracked.cancelling,
+      )
+      .map((tracked) => tracked.job);
   }
 
   /** One odd request: a repeated submission, a cancellation of a done job, a bad job, or a question about no job. */
-  odd(number: number): void {
-    const done = [...this.followed.values()].filter((f) => f.state === 'done');
+  sendIrregularRequest(number: number): void {
+    const done = [...this.trackedJobs.values()].filter((tracked) => tracked.state === 'done');
     const open = this.unfinished();
-    const choice = this.random.whole(0, 4);
+    const choice = this.random.integer(0, 4);
     if (choice === 0 && open.length > 0) {
       const job = this.random.pick(open);
       void this.request('submit', job.id, { body: encodeSubmission(job) });
@@ -180,17 +182,17 @@
       // A repetition that lacks a field: the job is known, so it may not be refused.
       const job = this.random.pick(open);
       void this.request('submit', job.id, { body: without(encodeSubmission(job), 'vcpus') });
-    } else if (choice === 3) this.submitBad(number);
-    else void this.request('ask', `req-nobody${number}`, { odd: true });
+    } else if (choice === 3) this.submitMalformed(number);
+    else void this.request('ask', `req-nobody${number}`, { irregular: true });
   }
 
-  private submitBad(number: number): void {
-    const any = [...this.followed.values()][0]?.job;
+  private submitMalformed(number: number): void {
+    const any = [...this.trackedJobs.values()][0]?.job;
     if (!any) return;
     const id = `req-odd${number}`;
     const plain = encodeSubmission({ ...any, id });
     const body = this.random.chance(0.5) ? without(plain, 'legs') : { ...plain, vcpus: 1e6, hulls: null };
-    void this.request('submit', id, { body, odd: true });
+    void this.request('submit', id, { body, irregular: true });
   }
 }
 
@@ -198,7 +200,7 @@
   return Object.fromEntries(Object.entries(body).filter(([name]) => name !== field));
 }
 
-function stateIn(body: unknown): string | null {
+function stateOf(body: unknown): string | null {
   const state = (body as { status?: unknown } | null)?.status;
   return typeof state === 'string' ? state : null;
 }
--- a/src/simulation/worker.ts
+++ b/src/simulation/worker.ts
@@ -1,31 +1,31 @@
 /** One machine's worker: reports, sessions, tokens, lease, commands and tasks, as PROTOCOL says. */
 import type { Call } from '../http/client.js';
-import type { EventQueue, Host, Scheduled } from './clock.js';
+import type { EventQueue, Host, ScheduledTimer } from './clock.js';
 import type { Defects } from './defects.js';
 import { ImageCache } from './image-cache.js';
-import type { GangAttempt, GangExit, GangMember, Gangs } from './gangs.js';
-import type { JobStorage, UserJob } from './jobs.js';
+import type { GangAttempt, GangExit, GangMember, GangRegistry } from './gangs.js';
+import type { JobStorage, UserJob } from './user-jobs.js';
 import type { Response } from './network.js';
-import type { MachineFacts, Observer } from './observer.js';
+import type { MachineSpec, Observer } from './observer.js';
 import type { RandomStream } from './random.js';
 import type { Trace } from './trace.js';
 
-interface Order {
+interface WireCommand {
   readonly order: 'launch' | 'kill' | 'clear';
   readonly leg: string;
   readonly sailing: number;
   readonly ebbS?: number;
 }
 
-interface DirectBody {
+interface DirectCommandBody {
   readonly helm?: number;
   readonly watch?: number;
-  readonly orders?: readonly Order[];
+  readonly orders?: readonly WireCommand[];
 }
 
 type ExitCause = GangExit | 'error' | 'full' | 'busy' | 'unknown';
 
-interface Task {
+interface WorkerTask {
   readonly name: string;
   readonly attempt: number;
   readonly job: UserJob | null;
@@ -35,229 +35,231 @@
   /** When the present run began, and how much was saved before it, in milliseconds. */
   runningSince: number;
   progressBefore: number;
-  timer: Scheduled | null;
+  timer: ScheduledTimer | null;
   /** Its place among the tasks of its gang, once it has its image. */
   gang: { readonly attempt: GangAttempt; readonly member: GangMember } | null;
 }
 
 export interface WorkerTimes {
-  readonly reportMs: number;
+  readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
 }
 
 /** What a worker reaches: the controllers by number, null for no answer. */
-export type ReportLink = (controller: number, body: object) => Promise<Response | null>;
+export type HeartbeatLink = (controller: number, body: object) => Promise<Response | null>;
 
-export interface WorkerSurroundings {
+export interface WorkerEnvironment {
   readonly queue: EventQueue;
   readonly random: RandomStream;
   readonly trace: Trace;
   readonly observer: Observer;
   readonly storage: JobStorage;
-  readonly gangs: Gangs;
+  readonly gangs: GangRegistry;
   readonly controllers: readonly string[];
   readonly times: WorkerTimes;
   readonly defects: Defects;
-  readonly report: ReportLink;
+  readonly sendHeartbeat: HeartbeatLink;
 }
 
-const LEAST_GAP_MS = 500;
-const LEASE_CHECK_MS = 100;
-const ERROR_AFTER_MS = 1500;
+const MIN_HEARTBEAT_INTERVAL_MS = 500;
+const LEASE_CHECK_INTERVAL_MS = 100;
+const MAX_FAILURE_DELAY_MS = 1500;
 const EPSILON = 1e-9;
 
 export class Worker {
   /** Every task that it starts fails. */
-  sick = false;
+  failing = false;
   /** How much longer than normal its tasks run. */
   slowness = 1;
-  noticeEndsAt: number | null = null;
-  private readonly tasks = new Map<string, Task>();
+  interruptionAt: number | null = null;
+  private readonly tasks = new Map<string, WorkerTask>();
   private readonly images: ImageCache;
-  private session = 1;
+  private agentEpoch = 1;
   private sequence = 0;
-  private token = 0;
-  private controller: number;
-  private leaseFrom: number;
-  private lastReportAt = -Infinity;
-  private reporting = false;
-  private changed = false;
-  private nextReport: Scheduled | null = null;
-  private tokenChangeAt = -Infinity;
+  private fencingToken = 0;
+  private controllerIndex: number;
+  private leaseRenewedAt: number;
+  private lastHeartbeatAt = -Infinity;
+  private heartbeatInFlight = false;
+  private statusChanged = false;
+  private nextHeartbeat: ScheduledTimer | null = null;
+  private fencingTokenChangedAt = -Infinity;
   private hangingSince: number | null = null;
 
   constructor(
-    readonly facts: MachineFacts,
+    readonly spec: MachineSpec,
     readonly host: Host,
     readonly endpoint: string,
     speed: { gbPerS: number; cacheGb: number },
-    private readonly around: WorkerSurroundings,
+    private readonly environment: WorkerEnvironment,
   ) {
-    this.images = new ImageCache(around.queue, speed.gbPerS, speed.cacheGb);
-    this.controller = around.random.whole(0, around.controllers.length - 1);
-    this.leaseFrom = around.queue.now;
-    this.scheduleReport(0);
-    this.checkLease();
+    this.images = new ImageCache(environment.queue, speed.gbPerS, speed.cacheGb);
+    this.controllerIndex = environment.random.integer(0, environment.controllers.length - 1);
+    this.leaseRenewedAt = environment.queue.now;
+    this.scheduleHeartbeat(0);
+    this.scheduleLeaseCheck();
   }
 
-  get resources(): { cpus: number; gpus: number; memoryGb: number } {
-    const free = { cpus: this.facts.cpus, gpus: this.facts.gpus, memoryGb: this.facts.memoryGb };
-    for (const t of this.tasks.values()) {
-      if (t.status === 'exited' || !t.job) continue;
-      free.cpus -= t.job.cpus;
-      free.gpus -= t.job.gpus;
-      free.memoryGb -= t.job.memoryGb;
+  get freeResources(): { cpus: number; gpus: number; memoryGb: number } {
+    const free = { cpus: this.spec.cpus, gpus: this.spec.gpus, memoryGb: this.spec.memoryGb };
+    for (const task of this.tasks.values()) {
+      if (task.status === 'exited' || !task.job) continue;
+      free.cpus -= task.job.cpus;
+      free.gpus -= task.job.gpus;
+      free.memoryGb -= task.job.memoryGb;
     }
     return free;
   }
 
   /** Names of the tasks that hold room here, those that wait for their image included. */
-  holds(): string[] {
-    return [...this.tasks.values()].filter((t) => t.status !== 'exited').map((t) => t.name);
+  occupyingTasks(): string[] {
+    return [...this.tasks.values()].filter((task) => task.status !== 'exited').map((task) => task.name);
   }
 
-  running(): string[] {
-    return [...this.tasks.values()].filter((t) => t.status === 'running').map((t) => t.name);
+  runningTasks(): string[] {
+    return [...this.tasks.values()].filter((task) => task.status === 'running').map((task) => task.name);
   }
 
   get hanging(): boolean {
     return this.host.paused;
   }
 
-  report(): object {
+  buildHeartbeat(): object {
     this.sequence += 1;
-    const left = this.noticeEndsAt === null ? null : (this.noticeEndsAt - this.around.queue.now) / 1000;
-    const silent = this.around.defects.has('worker-reports-nothing');
+    const secondsLeft =
+      this.interruptionAt === null ? null : (this.interruptionAt - this.environment.queue.now) / 1000;
+    const omitTasks = this.environment.defects.has('worker-reports-nothing');
     return {
-      berth: this.facts.id,
+      berth: this.spec.id,
       endpoint: this.endpoint,
-      hull: this.facts.type,
-      harbor: this.facts.zone,
-      driftboats: this.facts.spot,
-      watch: this.session,
+      hull: this.spec.type,
+      harbor: this.spec.zone,
+      driftboats: this.spec.spot,
+      watch: this.agentEpoch,
       logNo: this.sequence,
-      helm: this.token,
-      recallS: left === null ? null : Math.max(0, left),
-      legs: silent ? [] : [...this.tasks.values()].map(describe),
+      helm: this.fencingToken,
+      recallS: secondsLeft === null ? null : Math.max(0, secondsLeft),
+      legs: omitTasks ? [] : [...this.tasks.values()].map(encodeTaskStatus),
     };
   }
 
-  private scheduleReport(delay: number): void {
-    this.nextReport?.cancel();
-    const earliest = this.lastReportAt + LEAST_GAP_MS - this.around.queue.now;
-    this.nextReport = this.host.after(Math.max(delay, earliest), () => void this.sendReport());
+  private scheduleHeartbeat(delay: number): void {
+    this.nextHeartbeat?.cancel();
+    const earliest = this.lastHeartbeatAt + MIN_HEARTBEAT_INTERVAL_MS - this.environment.queue.now;
+    this.nextHeartbeat = this.host.after(Math.max(delay, earliest), () => void this.sendHeartbeat());
   }
 
-  private noteChange(): void {
-    this.changed = true;
-    if (!this.reporting) this.scheduleReport(0);
+  private noteStatusChange(): void {
+    this.statusChanged = true;
+    if (!this.heartbeatInFlight) this.scheduleHeartbeat(0);
   }
 
-  private async sendReport(): Promise<void> {
-    const { queue, random, times } = this.around;
-    this.expire();
-    this.reporting = true;
-    this.changed = false;
+  private async sendHeartbeat(): Promise<void> {
+    const { queue, random, times } = this.environment;
+    this.expireLease();
+    this.heartbeatInFlight = true;
+    this.statusChanged = false;
     const sentAt = queue.now;
-    this.lastReportAt = sentAt;
-    const { session } = this;
-    const answer = await this.around.report(this.controller, this.report());
-    this.expire();
-    this.reporting = false;
-    if (answer?.status === 200) {
-      const current = session === this.session || this.around.defects.has('worker-ignores-sessions');
-      if (current) this.accept(answer.body, sentAt);
-      this.scheduleReport(this.changed ? 0 : times.reportMs * random.between(0.75, 1.25));
-    } else if (answer?.status === 421 && this.redirect(answer.body)) {
-      this.scheduleReport(random.between(0, 500));
+    this.lastHeartbeatAt = sentAt;
+    const { agentEpoch } = this;
+    const response = await this.environment.sendHeartbeat(this.controllerIndex, this.buildHeartbeat());
+    this.expireLease();
+    this.heartbeatInFlight = false;
+    if (response?.status === 200) {
+      const current =
+        agentEpoch === this.agentEpoch || this.environment.defects.has('worker-ignores-sessions');
+      if (current) this.acceptResponse(response.body, sentAt);
+      this.scheduleHeartbeat(this.statusChanged ? 0 : times.heartbeatIntervalMs * random.between(0.75, 1.25));
+    } else if (response?.status === 421 && this.redirect(response.body)) {
+      this.scheduleHeartbeat(random.between(0, 500));
     } else {
-      this.controller = (this.controller + 1) % this.around.controllers.length;
-      this.scheduleReport(1000);
+      this.controllerIndex = (this.controllerIndex + 1) % this.environment.controllers.length;
+      this.scheduleHeartbeat(1000);
     }
   }
 
   private redirect(body: unknown): boolean {
     const named = (body as { harbormaster?: string | null } | null)?.harbormaster ?? '';
-    const to = this.around.controllers.indexOf(named);
-    if (to < 0 || to === this.controller) return false;
-    this.controller = to;
+    const to = this.environment.controllers.indexOf(named);
+    if (to < 0 || to === this.controllerIndex) return false;
+    this.controllerIndex = to;
     return true;
   }
 
-  private accept(body: unknown, sentAt: number): void {
-    const reply = body as { helm?: number; orders?: readonly Order[] };
-    if (!this.acceptsToken(reply.helm)) return;
-    this.leaseFrom = sentAt;
-    for (const order of reply.orders ?? []) this.execute(order);
+  private acceptResponse(body: unknown, sentAt: number): void {
+    const reply = body as { helm?: number; orders?: readonly WireCommand[] };
+    if (!this.acceptFencingToken(reply.helm)) return;
+    this.leaseRenewedAt = sentAt;
+    for (const command of reply.orders ?? []) this.execute(command);
   }
 
-  private acceptsToken(token: number | undefined): boolean {
-    if (token === undefined) return false;
-    if (token < this.token) return this.around.defects.has('worker-ignores-tokens');
-    if (token > this.token) {
-      this.token = token;
-      const { queue, times } = this.around;
-      if (queue.now - this.tokenChangeAt > times.leaseMs / 2) {
-        this.tokenChangeAt = queue.now;
-        this.noteChange();
+  private acceptFencingToken(fencingToken: number | undefined): boolean {
+    if (fencingToken === undefined) return false;
+    if (fencingToken < this.fencingToken) return this.environment.defects.has('worker-ignores-tokens');
+    if (fencingToken > this.fencingToken) {
+      this.fencingToken = fencingToken;
+      const { queue, times } = this.environment;
+      if (queue.now - this.fencingTokenChangedAt > times.leaseMs / 2) {
+        this.fencingTokenChangedAt = queue.now;
+        this.noteStatusChange();
       }
     }
     return true;
   }
 
   /** Also while the machine hangs: it may go on within its lease only. */
-  private checkLease(): void {
-    const { life } = this.host;
-    this.around.queue.after(LEASE_CHECK_MS, () => {
-      if (this.host.life !== life) return;
-      this.expire();
-      this.checkLease();
+  private scheduleLeaseCheck(): void {
+    const { lifetime } = this.host;
+    this.environment.queue.after(LEASE_CHECK_INTERVAL_MS, () => {
+      if (this.host.lifetime !== lifetime) return;
+      this.expireLease();
+      this.scheduleLeaseCheck();
     });
   }
 
   /** Without an answer in time the worker kills and forgets every task and goes on to its next session. */
-  private expire(): void {
-    const { queue, times, defects, trace } = this.around;
-    if (queue.now - this.leaseFrom <= times.leaseMs) return;
+  private expireLease(): void {
+    const { queue, times, defects, trace } = this.environment;
+    if (queue.now - this.leaseRenewedAt <= times.leaseMs) return;
     if (defects.has('worker-ignores-its-lease')) return;
-    if (this.tasks.size > 0) trace.add(`${this.facts.id} lease over, forgets ${this.tasks.size} tasks`);
-    for (const t of this.tasks.values()) this.leave(t, false);
+    if (this.tasks.size > 0) trace.add(`${this.spec.id} lease over, forgets ${this.tasks.size} tasks`);
+    for (const task of this.tasks.values()) this.removeTask(task, false);
     this.tasks.clear();
-    this.session += 1;
-    this.leaseFrom = queue.now;
-    this.noteChange();
+    this.agentEpoch += 1;
+    this.leaseRenewedAt = queue.now;
+    this.noteStatusChange();
   }
 
   /** A request that came straight to the machine's address. */
   serve(call: Call): Response {
-    this.expire();
-    if (call.path === '/status') return { status: 200, body: this.report() };
-    const body = JSON.parse(JSON.stringify(call.body ?? {})) as DirectBody;
+    this.expireLease();
+    if (call.path === '/status') return { status: 200, body: this.buildHeartbeat() };
+    const body = JSON.parse(JSON.stringify(call.body ?? {})) as DirectCommandBody;
     if (body.helm === undefined || body.watch === undefined) return { status: 400, body: {} };
-    const current = body.watch === this.session || this.around.defects.has('worker-ignores-sessions');
-    if (!current || !this.acceptsToken(body.helm)) return { status: 409, body: this.report() };
-    for (const order of body.orders ?? []) this.execute(order);
-    return { status: 200, body: this.report() };
+    const current = body.watch === this.agentEpoch || this.environment.defects.has('worker-ignores-sessions');
+    if (!current || !this.acceptFencingToken(body.helm)) return { status: 409, body: this.buildHeartbeat() };
+    for (const command of body.orders ?? []) this.execute(command);
+    return { status: 200, body: this.buildHeartbeat() };
   }
 
-  private execute(order: Order): void {
-    const key = `${order.leg}#${order.sailing}`;
-    const known = this.tasks.get(key);
-    if (order.order === 'launch') {
-      if (!known) this.launch(order, key);
-    } else if (order.order === 'clear') {
-      if (known?.status === 'exited') this.tasks.delete(key);
-    } else if (known && known.status !== 'exited') this.kill(known, order.ebbS ?? 0);
-    this.noteChange();
+  private execute(command: WireCommand): void {
+    const key = `${command.leg}#${command.sailing}`;
+    const existing = this.tasks.get(key);
+    if (command.order === 'launch') {
+      if (!existing) this.launch(command, key);
+    } else if (command.order === 'clear') {
+      if (existing?.status === 'exited') this.tasks.delete(key);
+    } else if (existing && existing.status !== 'exited') this.kill(existing, command.ebbS ?? 0);
+    this.noteStatusChange();
   }
 
-  private launch(order: Order, key: string): void {
-    const job = this.around.storage.jobOf(order.leg);
-    const free = this.resources;
-    const busy = this.holds().includes(order.leg);
-    const task: Task = {
-      name: order.leg,
-      attempt: order.sailing,
+  private launch(command: WireCommand, key: string): void {
+    const job = this.environment.storage.jobOf(command.leg);
+    const free = this.freeResources;
+    const busy = this.occupyingTasks().includes(command.leg);
+    const task: WorkerTask = {
+      name: command.leg,
+      attempt: command.sailing,
       job,
       status: 'pulling',
       cause: null,
@@ -275,45 +277,45 @@
       job.gpus <= free.gpus + EPSILON &&
       job.memoryGb <= free.memoryGb + EPSILON;
     if (!fits) return this.exit(task, 'full');
-    this.images.want(job.image, job.imageGb, key, () => this.begin(task));
+    this.images.request(job.image, job.imageGb, key, () => this.startTask(task));
   }
 
   /** The image is here: the task is on the machine from now on. */
-  private begin(task: Task): void {
-    const { observer, storage, queue, trace } = this.around;
+  private startTask(task: WorkerTask): void {
+    const { observer, storage, queue, trace } = this.environment;
     if (task.status !== 'pulling') return;
-    if (task.job?.shape === 'gang') return this.gather(task, task.job);
+    if (task.job?.shape === 'gang') return this.joinGang(task, task.job);
     task.status = 'running';
     task.runningSince = queue.now;
-    task.progressBefore = storage.saved.get(task.name) ?? 0;
-    trace.add(`${this.facts.id} starts ${task.name} (attempt ${task.attempt})`);
-    observer.taskStarted(this.facts, task.name);
-    this.arm(task);
-    this.noteChange();
+    task.progressBefore = storage.checkpoints.get(task.name) ?? 0;
+    trace.add(`${this.spec.id} starts ${task.name} (attempt ${task.attempt})`);
+    observer.taskStarted(this.spec, task.name);
+    this.scheduleExit(task);
+    this.noteStatusChange();
   }
 
   /** The image is here: the task is on the machine, and waits for the others of its gang. */
-  private gather(task: Task, job: UserJob): void {
-    const { observer, storage, trace, random, gangs } = this.around;
+  private joinGang(task: WorkerTask, job: UserJob): void {
+    const { observer, storage, trace, random, gangs } = this.environment;
     task.status = 'gathering';
-    trace.add(`${this.facts.id} has ${task.name} (attempt ${task.attempt})`);
-    observer.taskStarted(this.facts, task.name);
-    this.noteChange();
-    if (storage.results.has(task.name)) return this.finishSoon(task, 'done', 0);
-    if (this.sick) this.finishSoon(task, 'error', random.between(200, ERROR_AFTER_MS));
+    trace.add(`${this.spec.id} has ${task.name} (attempt ${task.attempt})`);
+    observer.taskStarted(this.spec, task.name);
+    this.noteStatusChange();
+    if (storage.results.has(task.name)) return this.exitAfter(task, 'done', 0);
+    if (this.failing) this.exitAfter(task, 'error', random.between(200, MAX_FAILURE_DELAY_MS));
     const attempt = gangs.attempt(job, task.attempt);
     const member = this.gangMember(task);
     task.gang = { attempt, member };
     attempt.join(member);
   }
 
-  private gangMember(task: Task): GangMember {
+  private gangMember(task: WorkerTask): GangMember {
     const { slowness } = this;
     const { host } = this;
     const show = (status: 'running' | 'saving'): void => {
       if (task.status === 'exited') return;
       task.status = status;
-      this.noteChange();
+      this.noteStatusChange();
     };
     return {
       task: task.name,
@@ -322,7 +324,7 @@
         return host.paused;
       },
       run: () => show('running'),
-      save: () => show('saving'),
+      beginCheckpoint: () => show('saving'),
       exit: (cause, saved) => {
         if (task.status === 'exited') return;
         task.saved = saved;
@@ -333,117 +335,117 @@
   }
 
   /** Sets the timer of what comes next: completion, failure, or the next checkpoint. */
-  private arm(task: Task): void {
-    const { storage, defects, random } = this.around;
+  private scheduleExit(task: WorkerTask): void {
+    const { storage, defects, random } = this.environment;
     const { job } = task;
     if (!job) return;
-    if (storage.results.has(task.name)) return this.finishSoon(task, 'done', 0);
-    if (this.sick) return this.finishSoon(task, 'error', random.between(200, ERROR_AFTER_MS));
-    if (defects.has('worker-claims-done') && job.shape === 'array')
-      return this.finishSoon(task, 'done', 1000);
-    const left = (job.runS * 1000 - task.progressBefore) * this.slowness;
-    if (Number.isFinite(left)) this.finishSoon(task, 'done', left);
+    if (storage.results.has(task.name)) return this.exitAfter(task, 'done', 0);
+    if (this.failing) return this.exitAfter(task, 'error', random.between(200, MAX_FAILURE_DELAY_MS));
+    if (defects.has('worker-claims-done') && job.shape === 'array') return this.exitAfter(task, 'done', 1000);
+    const remainingMs = (job.runS * 1000 - task.progressBefore) * this.slowness;
+    if (Number.isFinite(remainingMs)) this.exitAfter(task, 'done', remainingMs);
   }
 
-  private finishSoon(task: Task, cause: ExitCause, delay: number): void {
+  private exitAfter(task: WorkerTask, cause: ExitCause, delay: number): void {
     task.timer = this.host.after(delay, () => this.exit(task, cause));
   }
 
   /** Run time so far, in normal speed. */
-  private progress(task: Task): number {
-    return task.progressBefore + (this.around.queue.now - task.runningSince) / this.slowness;
+  private progressMs(task: WorkerTask): number {
+    return task.progressBefore + (this.environment.queue.now - task.runningSince) / this.slowness;
   }
 
-  private kill(task: Task, graceS: number): void {
+  private kill(task: WorkerTask, graceS: number): void {
     const { job } = task;
-    if (this.around.defects.has('worker-ignores-stops')) return;
+    if (this.environment.defects.has('worker-ignores-stops')) return;
     if (task.gang) return task.gang.attempt.stop(task.gang.member, graceS);
-    const saves = task.status === 'running' && job && job.checkpointS > 0 && graceS >= job.saveS;
+    const saves =
+      task.status === 'running' && job && job.checkpointIntervalS > 0 && graceS >= job.checkpointDurationS;
     if (!saves) {
       if (task.status !== 'saving' || graceS <= 0) this.exit(task, 'halted');
       return;
     }
     task.timer?.cancel();
-    const reached = this.progress(task);
+    const reached = this.progressMs(task);
     task.status = 'saving';
-    task.timer = this.host.after(job.saveS * 1000, () => {
-      this.around.storage.saved.set(task.name, reached);
+    task.timer = this.host.after(job.checkpointDurationS * 1000, () => {
+      this.environment.storage.checkpoints.set(task.name, reached);
       task.saved = true;
       this.exit(task, 'halted');
     });
   }
 
-  private exit(task: Task, cause: ExitCause): void {
-    this.leave(task, cause === 'done');
+  private exit(task: WorkerTask, cause: ExitCause): void {
+    this.removeTask(task, cause === 'done');
     task.status = 'exited';
     task.cause = cause;
-    this.around.trace.add(`${this.facts.id} ends ${task.name} (attempt ${task.attempt}): ${cause}`);
-    this.noteChange();
+    this.environment.trace.add(`${this.spec.id} ends ${task.name} (attempt ${task.attempt}): ${cause}`);
+    this.noteStatusChange();
   }
 
   /** Takes the task off the machine; what it saved by itself is kept. */
-  private leave(task: Task, completed: boolean): void {
-    const { observer, storage, defects } = this.around;
+  private removeTask(task: WorkerTask, completed: boolean): void {
+    const { observer, storage, defects } = this.environment;
     task.timer?.cancel();
     if (task.status === 'pulling' && task.job)
       this.images.abandon(task.job.image, `${task.name}#${task.attempt}`);
     if (task.status === 'pulling' || task.status === 'exited') return;
     task.gang?.attempt.leave(task.gang.member);
-    if (task.status === 'running' && !task.gang && task.job && task.job.checkpointS > 0) {
-      const interval = task.job.checkpointS * 1000;
-      const kept = Math.floor(this.progress(task) / interval) * interval;
-      storage.saved.set(task.name, Math.max(storage.saved.get(task.name) ?? 0, kept));
+    if (task.status === 'running' && !task.gang && task.job && task.job.checkpointIntervalS > 0) {
+      const interval = task.job.checkpointIntervalS * 1000;
+      const kept = Math.floor(this.progressMs(task) / interval) * interval;
+      storage.checkpoints.set(task.name, Math.max(storage.checkpoints.get(task.name) ?? 0, kept));
     }
-    const really = completed && !defects.has('worker-claims-done');
-    if (really) storage.results.add(task.name);
-    observer.taskEnded(this.facts, task.name, really);
+    const completedForReal = completed && !defects.has('worker-claims-done');
+    if (completedForReal) storage.results.add(task.name);
+    observer.taskEnded(this.spec, task.name, completedForReal);
   }
 
   /** The machine does nothing for a while; its tasks lose that time. */
   hang(duration: number): void {
     if (this.hangingSince !== null) return;
-    const { queue } = this.around;
+    const { queue } = this.environment;
     const from = queue.now;
     this.hangingSince = from;
     this.host.pause(duration);
     for (const { gang } of this.tasks.values()) gang?.attempt.hang(gang.member);
     this.host.after(duration, () => {
       this.hangingSince = null;
-      this.expire();
-      for (const t of this.tasks.values()) {
-        t.gang?.attempt.resume();
-        if (t.status !== 'running' || t.gang) continue;
-        t.timer?.cancel();
-        t.runningSince += queue.now - from;
-        this.rearm(t);
+      this.expireLease();
+      for (const task of this.tasks.values()) {
+        task.gang?.attempt.resume();
+        if (task.status !== 'running' || task.gang) continue;
+        task.timer?.cancel();
+        task.runningSince += queue.now - from;
+        this.rescheduleExit(task);
       }
     });
   }
 
-  private rearm(task: Task): void {
-    const done = this.around.queue.now - task.runningSince;
+  private rescheduleExit(task: WorkerTask): void {
+    const done = this.environment.queue.now - task.runningSince;
     const total = ((task.job?.runS ?? 0) * 1000 - task.progressBefore) * this.slowness;
     if (Number.isFinite(total))
-      this.finishSoon(task, this.sick ? 'error' : 'done', Math.max(0, total - done));
+      this.exitAfter(task, this.failing ? 'error' : 'done', Math.max(0, total - done));
   }
 
-  setNotice(endsAt: number): void {
-    this.noticeEndsAt = endsAt;
-    this.noteChange();
+  setInterruption(endsAt: number): void {
+    this.interruptionAt = endsAt;
+    this.noteStatusChange();
   }
 
   /** The machine and all that was on it are gone. */
   destroy(): void {
     this.host.end();
-    for (const t of this.tasks.values()) this.leave(t, false);
+    for (const task of this.tasks.values()) this.removeTask(task, false);
     this.tasks.clear();
   }
 }
 
-const describe = (t: Task): object => ({
-  leg: t.name,
-  sailing: t.attempt,
-  status: t.status,
-  ...(t.cause === null ? {} : { cause: t.cause }),
-  ...(t.saved ? { saved: true } : {}),
+const encodeTaskStatus = (task: WorkerTask): object => ({
+  leg: task.name,
+  sailing: task.attempt,
+  status: task.status,
+  ...(task.cause === null ? {} : { cause: task.cause }),
+  ...(task.saved ? { saved: true } : {}),
 });
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,5 +1,5 @@
 /** Client of the state service: says for every request whether it was carried out, was not, or may have been. */
-import type { Call, Outcome } from '../http/client.js';
+import type { Call, CallOutcome } from '../http/client.js';
 import type { Settings } from '../settings/settings.js';
 import type { Clock, LeaseId, Millis, Revision, StoreKey } from '../model/units.js';
 import { millis, steady } from '../model/units.js';
@@ -42,7 +42,7 @@
 }
 
 export interface Caller {
-  call(call: Call): Promise<Outcome>;
+  call(call: Call): Promise<CallOutcome>;
 }
 
 const REQUEST_TIMEOUT = millis(1500);
@@ -75,7 +75,7 @@
     private readonly settings: Settings,
     private readonly random: () => number,
   ) {
-    this.controllers = settings.parts.length;
+    this.controllers = settings.shards.length;
     this.requestLimiter = new RateLimiter(clock, this.requestRate, MIN_BURST);
     this.writeLimiter = new RateLimiter(clock, this.writeRate, MIN_BURST);
   }
@@ -117,11 +117,11 @@
   }
 
   private get writeLimit(): number {
-    return this.limitsLowered ? this.settings.nextStateWriteRps : this.settings.stateWriteRps;
+    return this.limitsLowered ? this.settings.nextStoreWriteRps : this.settings.storeWriteRps;
   }
 
   private get requestLimit(): number {
-    return this.limitsLowered ? this.settings.nextStateRps : this.settings.stateRps;
+    return this.limitsLowered ? this.settings.nextStoreRps : this.settings.storeRps;
   }
 
   /** Changes a second that are this controller's own. */
@@ -156,7 +156,7 @@
   }
 
   /** One request within the budget; a 429 is repeated a few times, everything else is the caller's. */
-  private async request(call: Call, priority: RequestPriority, writes: number): Promise<Outcome> {
+  private async request(call: Call, priority: RequestPriority, writes: number): Promise<CallOutcome> {
     const deadline = this.clock.now() + QUEUE_TIMEOUT;
     const remaining = (): Millis => millis(Math.max(0, deadline - this.clock.now()));
     for (let attempt = 0; ; attempt += 1) {
--- a/src/store/rate-limiter.ts
+++ b/src/store/rate-limiter.ts
@@ -83,8 +83,8 @@
     return new Promise((resolve) => {
       const request: QueuedRequest = {
         cost,
-        priority: priority,
-        resolve: resolve,
+        priority,
+        resolve,
         deadline: (this.clock.now() + queueTimeout) as SteadyMs,
       };
       const position = this.queue.findIndex((w) => w.priority > priority);
--- a/src/store/watcher.ts
+++ b/src/store/watcher.ts
@@ -1,5 +1,5 @@
 /** Keeps the view current: one list, then one watch after another; starts over when the watch is too old. */
-import type { Log } from '../log.js';
+import type { Log } from '../logging/log.js';
 import type { Clock, Millis } from '../model/units.js';
 import { millis } from '../model/units.js';
 import type { KeyValueClient } from './client.js';
--- a/src/workers/direct-commands.ts
+++ b/src/workers/direct-commands.ts
@@ -1,6 +1,6 @@
 /** Sends orders straight to workers, where waiting for their next report would be too slow. */
 import type { Core } from '../core.js';
-import type { Outcome } from '../http/client.js';
+import type { CallOutcome } from '../http/client.js';
 import type { Allocation, UnacknowledgedLaunch, Machine, Shard } from '../shards/model.js';
 import type { SteadyMs } from '../model/units.js';
 import { millis, plus } from '../model/units.js';
@@ -74,11 +74,7 @@
     return Math.max(MIN_CONCURRENT_CALLS, Math.floor(this.core.settings.maxConnections * DIRECT_CALL_SHARE));
   }
 
-  private async deliver(
-    shard: Shard,
-    machine: Machine,
-    { commands: commands, launches }: Delivery,
-  ): Promise<void> {
+  private async deliver(shard: Shard, machine: Machine, { commands, launches }: Delivery): Promise<void> {
     machine.directRequestInFlight = true;
     this.activeCalls += 1;
     const token = shard.fencingToken;
@@ -96,7 +92,7 @@
       machine.directRequestInFlight = false;
       this.activeCalls -= 1;
       shard.machinesWithPendingCommands.add(machine);
-      this.applyOutcome(shard, machine, launches, outcome, { fencingToken: token, agentEpoch: agentEpoch });
+      this.applyOutcome(shard, machine, launches, outcome, { fencingToken: token, agentEpoch });
       this.shardUpdates.onShardChanged(shard);
     });
   }
@@ -105,7 +101,7 @@
     shard: Shard,
     machine: Machine,
     launches: readonly Allocation[],
-    outcome: Outcome,
+    outcome: CallOutcome,
     sent: Pick<UnacknowledgedLaunch, 'fencingToken' | 'agentEpoch'>,
   ): void {
     const now = this.core.clock.now();
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,6 +1,6 @@
 /** Answers workers' reports: only the owner of a machine's pool, while it is entitled to, renews its lease. */
 import type { Core } from '../core.js';
-import type { Answer } from '../http/server.js';
+import type { HttpResponse } from '../http/server.js';
 import type { Machine, Shard } from '../shards/model.js';
 import type { ShardLeadership } from '../leadership/leadership.js';
 import { decodeMachineRecord, machineKey } from '../shards/codec.js';
@@ -18,7 +18,7 @@
 const TOKEN_RAISE_INTERVAL_MS = 3000;
 /** Workers are redirected only to an owner that we heard from within this time. */
 const LEADER_LIVENESS_TIMEOUT = millis(2500);
-const MAY_NOT_COMMAND: Answer = { status: 503, body: { error: 'not entitled now' }, retryAfterS: 1 };
+const MAY_NOT_COMMAND: HttpResponse = { status: 503, body: { error: 'not entitled now' }, retryAfterS: 1 };
 
 /** Answers reports with 200 and orders, 421 and the owner, or 503. */
 export class HeartbeatHandler {
@@ -32,7 +32,7 @@
   ) {}
 
   /** Handles a report, given as the request's body. */
-  async handle(body: Buffer): Promise<Answer> {
+  async handle(body: Buffer): Promise<HttpResponse> {
     const heartbeat = parseHeartbeat(body);
     if (!heartbeat) return { status: 400, body: { error: 'not a report' } };
     if (!this.core.storeCache.loaded) return MAY_NOT_COMMAND;
@@ -50,7 +50,7 @@
     return record ? record.shard : this.registration.registerOnHeartbeat(heartbeat);
   }
 
-  private reply(heartbeat: Heartbeat, shardId: ShardId): Answer {
+  private reply(heartbeat: Heartbeat, shardId: ShardId): HttpResponse {
     const shard = this.core.shards.get(shardId);
     const machine = shard?.machines.get(heartbeat.machine);
     if (!shard || !machine) return this.redirect(heartbeat, shardId);
@@ -101,7 +101,7 @@
     void this.leadership.raiseFencingToken(shard);
   }
 
-  private redirect(heartbeat: Heartbeat, shardId: ShardId): Answer {
+  private redirect(heartbeat: Heartbeat, shardId: ShardId): HttpResponse {
     this.leadership.recordRedirectedHeartbeat(shardId, heartbeat.machine);
     const leader = this.core.shardRecord(shardId)?.leader ?? null;
     const reachable =
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -1,5 +1,5 @@
 /** What a worker's message means for its part: which tasks are where, ended, done or lost. */
-import type { Log } from '../log.js';
+import type { Log } from '../logging/log.js';
 import type { ExitCause } from '../model/exit-cause.js';
 import type { GangHistory } from '../model/gang.js';
 import type { Attempt, Millis, SteadyMs, TaskId } from '../model/units.js';
@@ -147,7 +147,7 @@
       index: task.index,
       attempt: task.attempt,
       cause: task.cause,
-      unacknowledged: unacknowledged,
+      unacknowledged,
     });
     if (ours) {
       seen.add(id);
--- a/src/workers/registration.ts
+++ b/src/workers/registration.ts
@@ -77,7 +77,7 @@
   /** Each machine is one controller's to register: two that try the same waste a change of the state service. */
   private isAssignedToUs(id: MachineId): boolean {
     const { core } = this;
-    const alive = core.settings.parts.filter((shardSettings) => core.isAlive(shardSettings.node, null));
+    const alive = core.settings.shards.filter((shardSettings) => core.isAlive(shardSettings.node, null));
     return alive[machineNumber(id) % alive.length]?.node === core.settings.node;
   }
 
@@ -112,7 +112,7 @@
       const { address, type, zone, spot } = heartbeat;
       const shard = core.intendedShards.get(id) ?? chooseShard(core, heartbeat);
       return await new Promise<ShardId | null>((resolve) => {
-        this.pendingRegistrations.push({ id, record: { shard: shard, address, type, zone, spot }, resolve });
+        this.pendingRegistrations.push({ id, record: { shard, address, type, zone, spot }, resolve });
         if (!this.flushing) void this.flushRegistrations();
       });
     } finally {
@@ -122,7 +122,7 @@
   }
 
   private get maxPendingRegistrations(): number {
-    return Math.max(this.core.settings.txnOps, Math.ceil(this.core.store.writeRate * MAX_QUEUE_S));
+    return Math.max(this.core.settings.maxTransactionOps, Math.ceil(this.core.store.writeRate * MAX_QUEUE_S));
   }
 
   private async flushRegistrations(): Promise<void> {
@@ -132,7 +132,7 @@
       const { store: state, settings } = this.core;
       const batchSize = Math.max(
         1,
-        Math.min(settings.txnOps, Math.floor(state.writeRate * MAX_BATCH_FRACTION)),
+        Math.min(settings.maxTransactionOps, Math.floor(state.writeRate * MAX_BATCH_FRACTION)),
       );
       await this.commitBatch(this.pendingRegistrations.splice(0, batchSize));
     }
@@ -181,18 +181,18 @@
  * every controller counts alike while many machines are named at once, unless that part is clearly ahead.
  */
 export function chooseShard(core: Core, heartbeat: Pick<Heartbeat, 'zone' | 'machine'>): ShardId {
-  const inZone = core.settings.parts.filter((shardSettings) => shardSettings.zone === heartbeat.zone);
-  const candidates = inZone.length > 0 ? inZone : core.settings.parts;
+  const inZone = core.settings.shards.filter((shardSettings) => shardSettings.zone === heartbeat.zone);
+  const candidates = inZone.length > 0 ? inZone : core.settings.shards;
   // In the largest machines there are, by CPUs or GPUs, of whichever the part has more: small machines often have
   // as much memory as large ones, which says little about the work that they can take.
   const largest = core.types.size > 0 ? { ...largestOf(core.types.values()), memoryGb: 0 } : ONE_CPU;
   const sizeOf = (shard: ShardId): number =>
     dominantShare(core.registeredMachines.capacity(shard, core.types), largest);
   const sizes = new Map(
-    candidates.map((shardSettings) => [shardSettings.part, sizeOf(shardSettings.part)] as const),
+    candidates.map((shardSettings) => [shardSettings.shard, sizeOf(shardSettings.shard)] as const),
   );
   const nextInTurn =
-    candidates[machineNumber(heartbeat.machine) % candidates.length]?.part ?? core.settings.part;
+    candidates[machineNumber(heartbeat.machine) % candidates.length]?.shard ?? core.settings.shard;
   const smallest = [...sizes].sort((a, b) => a[1] - b[1] || a[0] - b[0])[0];
   return smallest && (sizes.get(nextInTurn) ?? 0) - smallest[1] > MAX_IMBALANCE ? smallest[0] : nextInTurn;
 }
--- a/src/workers/service.ts
+++ b/src/workers/service.ts
@@ -1,6 +1,6 @@
 /** The workers of the pools owned here: their reports, the orders sent to them, and their machines' coming and going. */
 import type { Core } from '../core.js';
-import type { Answer } from '../http/server.js';
+import type { HttpResponse } from '../http/server.js';
 import type { Machine, Shard } from '../shards/model.js';
 import { newMachine } from '../shards/model.js';
 import type { ShardLeadership } from '../leadership/leadership.js';
@@ -44,7 +44,7 @@
   }
 
   /** Answers a worker's report, given as the request's body. */
-  handleHeartbeat(body: Buffer): Promise<Answer> {
+  handleHeartbeat(body: Buffer): Promise<HttpResponse> {
     return this.heartbeatHandler.handle(body);
   }
 
--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { allocate, newMachine, Shard, syncJob, type Allocation } from '../src/shards/model.js';
 import { chooseRelocation } from '../src/scheduling/consolidation.js';
-import type { MachineType } from '../src/cloud/wire.js';
+import type { InstanceType } from '../src/cloud/wire.js';
 import { Priority } from '../src/jobs/spec.js';
 import { RangeSet } from '../src/model/ranges.js';
 import type {
@@ -21,7 +21,14 @@
 const types = new Map([
   [
     'small' as InstanceTypeId,
-    { name: 'small', cpus: 4, gpus: 0, memoryGb: 16, cacheGb: 30, zones: ['east'] } as unknown as MachineType,
+    {
+      name: 'small',
+      cpus: 4,
+      gpus: 0,
+      memoryGb: 16,
+      cacheGb: 30,
+      zones: ['east'],
+    } as unknown as InstanceType,
   ],
 ]);
 
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -1,7 +1,7 @@
 /** Pure decisions: claims, willing list, shares, guarantees, rentals, the budget. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { MachineType } from '../src/cloud/wire.js';
+import type { InstanceType } from '../src/cloud/wire.js';
 import type { Core } from '../src/core.js';
 import {
   planScaleOut,
@@ -146,7 +146,7 @@
 });
 
 test('rentals: cheapest allowed kind first, refused kinds skipped, machines on their way counted', () => {
-  const type = (name: string, cpus: number, price: number, spotPrice: number): MachineType =>
+  const type = (name: string, cpus: number, price: number, spotPrice: number): InstanceType =>
     ({
       name,
       cpus,
@@ -158,7 +158,7 @@
       spotPrice,
       bootS: 30,
       zones: ['east'],
-    }) as unknown as MachineType;
+    }) as unknown as InstanceType;
   const blocked = new Set<string>();
   const ctx: ScaleOutContext = {
     types: [type('small', 4, 0.4, 0.1), type('large', 8, 0.7, 0.3)],
@@ -252,7 +252,7 @@
 
 test('a share of a limit does not wait where its tasks wait for room', () => {
   const red = plainTeam({ cpus: 12, cpusMax: 24 });
-  const settings = { teams: new Map([[red.name, red]]), parts: [{ part: 0 }, { part: 1 }, { part: 2 }] };
+  const settings = { teams: new Map([[red.name, red]]), shards: [{ shard: 0 }, { shard: 1 }, { shard: 2 }] };
   const desk = new QuotaTransferService({
     settings,
     storeCache: new StoreCache(() => undefined),
@@ -273,7 +273,7 @@
   const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
   const machines = [{ type: 't', zone: 'east', spot: false, cpus: 64, gpus: 0, memoryGb: 64, count: 4 }];
   const offer = { shard: 1, zone: 'east', expiresAt: 99_000, machines } as unknown as FreeCapacity;
-  const settings = { parts: [], zone: 'east', valueBytes: 1000 };
+  const settings = { shards: [], zone: 'east', maxValueBytes: 1000 };
   const core = { settings, freeCapacity: new Map([[offer.shard, offer]]), random: seededRandom(1) };
   const unplaced = ['req-scattered', 'req-plain'].map((id, i) => {
     // Every other task of the first is entrusted to somebody else already.
--- a/test/dominant.test.ts
+++ b/test/dominant.test.ts
@@ -1,7 +1,7 @@
 /** Each decision goes by the dominant resource: on machines with 8 GPUs and 64 CPUs, CPUs alone mislead. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { MachineType } from '../src/cloud/wire.js';
+import type { InstanceType } from '../src/cloud/wire.js';
 import type { Core } from '../src/core.js';
 import { planScaleOut, type ScaleOutContext } from '../src/autoscaling/scale-out-plan.js';
 import { assignJob, type AssignmentContext } from '../src/overflow/assignment.js';
@@ -28,7 +28,7 @@
 
 const GPU_MACHINE: Resources = { cpus: 64, gpus: 8, memoryGb: 512 };
 const GPU_TYPE = { ...GPU_MACHINE, name: 'gpu', zones: ['east'], price: 17, spotPrice: 8, bootS: 40 };
-const TYPES = new Map([['gpu' as InstanceTypeId, GPU_TYPE as unknown as MachineType]]);
+const TYPES = new Map([['gpu' as InstanceTypeId, GPU_TYPE as unknown as InstanceType]]);
 const NOW = 1_000_000 as SteadyMs;
 const SERVICE = { kind: 'service', priority: 0, cpus: 5, gpus: 1, memoryGb: 38 };
 
@@ -208,7 +208,7 @@
 });
 
 const NEWS = {
-  settings: { node: 'n1', parts: [{ part: 0 }, { part: 1 }] },
+  settings: { node: 'n1', shards: [{ shard: 0 }, { shard: 1 }] },
   types: TYPES,
   heartbeatIntervalMs: 1500,
 };
@@ -218,7 +218,7 @@
   const core = {
     ...NEWS,
     clock: { now: () => NOW },
-    tuning: { announceExpiry: 1000 },
+    tuning: { announcementExpiry: 1000 },
     shards: new Map([[shard.id, shard]]),
     freeCapacity: new Map(),
     readyCapacity: new Map(),
@@ -262,7 +262,7 @@
     now: NOW,
     homeShard: 0,
     homeZone: 'east',
-    shards: [0, 1, 2].map((shard) => ({ part: shard, zone: 'east' })),
+    shards: [0, 1, 2].map((shard) => ({ shard, zone: 'east' })),
     zones: ['east'],
     types: [GPU_TYPE],
     freeCapacity: new Map(),
@@ -288,7 +288,7 @@
   const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
   shard.reconciled = true;
   const core = {
-    settings: { teams: new Map([[red.name, red]]), parts: [{ part: 0 }, { part: 1 }, { part: 2 }] },
+    settings: { teams: new Map([[red.name, red]]), shards: [{ shard: 0 }, { shard: 1 }, { shard: 2 }] },
     storeCache: new StoreCache(() => undefined),
     clock: { now: () => NOW },
     shards: new Map([[shard.id, shard]]),
@@ -366,8 +366,8 @@
   const partFor = (machines: (readonly [part: number, type: string])[]): number => {
     const named = new RegisteredMachines();
     machines.forEach(([shard, type], i) => named.update(`m-${i}` as never, { shard, type } as never));
-    const parts = [0, 1].map((shard) => ({ part: shard, zone: 'east' }));
-    const core = { settings: { parts }, registeredMachines: named, types } as unknown as Core;
+    const parts = [0, 1].map((shard) => ({ shard, zone: 'east' }));
+    const core = { settings: { shards: parts }, registeredMachines: named, types } as unknown as Core;
     return chooseShard(core, { zone: 'east' as never, machine: 'm-7' as never });
   };
   const of = (shard: number, type: string, count: number) =>
--- a/test/gang-input.test.ts
+++ b/test/gang-input.test.ts
@@ -79,14 +79,14 @@
 test('limits to come may be given in part; what is above today’s changes nothing', () => {
   const today = parseSettings(settingsText(0), 'a.toml');
   const partial = settingsWith('value_kb = 1');
-  assert.equal(partial.valueBytes, 1024);
-  assert.equal(partial.txnOps, today.txnOps);
-  assert.equal(partial.nextStateRps, today.stateRps);
+  assert.equal(partial.maxValueBytes, 1024);
+  assert.equal(partial.maxTransactionOps, today.maxTransactionOps);
+  assert.equal(partial.nextStoreRps, today.storeRps);
   const above = settingsWith('value_kb = 999\ntxn_ops = 999\nrps = 9999\nwrite_rps = 9999');
-  assert.equal(above.valueBytes, today.valueBytes);
-  assert.equal(above.txnOps, today.txnOps);
-  assert.equal(above.nextStateRps, today.stateRps);
-  assert.equal(above.nextStateWriteRps, today.stateWriteRps);
+  assert.equal(above.maxValueBytes, today.maxValueBytes);
+  assert.equal(above.maxTransactionOps, today.maxTransactionOps);
+  assert.equal(above.nextStoreRps, today.storeRps);
+  assert.equal(above.nextStoreWriteRps, today.storeWriteRps);
 });
 
 test('limits to come that are zero or no numbers are refused with the field’s name', () => {
--- a/test/gang-model.test.ts
+++ b/test/gang-model.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { EventQueue, Host } from '../src/simulation/clock.js';
-import { Gangs } from '../src/simulation/gangs.js';
-import { JobStorage, type UserJob } from '../src/simulation/jobs.js';
-import { Judge, type Rule } from '../src/simulation/judge.js';
+import { GangRegistry } from '../src/simulation/gangs.js';
+import { JobStorage, type UserJob } from '../src/simulation/user-jobs.js';
+import { InvariantChecker, type Rule } from '../src/simulation/invariant-checker.js';
 import type { Observer } from '../src/simulation/observer.js';
 import { RandomStream } from '../src/simulation/random.js';
 import { Trace } from '../src/simulation/trace.js';
@@ -29,7 +29,7 @@
 class Workers {
   readonly queue = new EventQueue();
   readonly storage = new JobStorage();
-  readonly judge = new Judge(this.queue, {
+  readonly judge = new InvariantChecker(this.queue, {
     teams: [{ name: 'atlas', cpusMax: 100, gpusMax: 0 }],
     cancelS: 30,
     machines: () => [],
@@ -37,7 +37,7 @@
   readonly workers = new Map<string, Worker>();
   gangStarts = 0;
   private readonly trace = new Trace(this.queue, true);
-  private readonly gangs: Gangs;
+  private readonly gangs: GangRegistry;
 
   constructor(job: Partial<UserJob> = {}, machines = 4) {
     const observer: Observer = {
@@ -50,12 +50,12 @@
       gangRejoined: (id, task) => this.judge.gangRejoined(id, task),
       jobSubmitted: () => undefined,
       cancelRequested: () => undefined,
-      answered: () => undefined,
+      responseReceived: () => undefined,
     };
     const { queue, storage, trace } = this;
     const random = new RandomStream(7);
-    const times = { waitMs: WAIT_MS, peerMs: PEER_MS };
-    this.gangs = new Gangs({ queue, random, storage, trace, observer, times });
+    const times = { startTimeoutMs: WAIT_MS, peerTimeoutMs: PEER_MS };
+    this.gangs = new GangRegistry({ queue, random, storage, trace, observer, times });
     for (let i = 0; i < machines; i += 1)
       this.addWorker(`m-${i}`, i === machines - 1 ? 'ridge' : 'fjord', observer);
     const whole = { ...GANG, ...job };
@@ -79,10 +79,10 @@
         storage: this.storage,
         gangs: this.gangs,
         controllers: ['n0'],
-        times: { reportMs: 1000, leaseMs: 10_000 },
+        times: { heartbeatIntervalMs: 1000, leaseMs: 10_000 },
         defects: new Set(),
         // Every report is answered, with nothing to do.
-        report: () => Promise.resolve({ status: 200, body: { helm: 1, orders: [] } }),
+        sendHeartbeat: () => Promise.resolve({ status: 200, body: { helm: 1, orders: [] } }),
       },
     );
     this.workers.set(id, worker);
@@ -105,7 +105,7 @@
   }
 
   reported(machine: string): readonly ReportedTask[] {
-    return (this.workers.get(machine)?.report() as { legs: readonly ReportedTask[] }).legs;
+    return (this.workers.get(machine)?.buildHeartbeat() as { legs: readonly ReportedTask[] }).legs;
   }
 
   /** What the tasks' own machines say of them: the state, or the cause of their end. */
@@ -117,7 +117,7 @@
   }
 
   progressS(): number {
-    return (this.storage.saved.get(JOB) ?? 0) / 1000;
+    return (this.storage.checkpoints.get(JOB) ?? 0) / 1000;
   }
 
   rules(): Rule[] {
@@ -133,8 +133,8 @@
   tasks: 3,
   imageGb: 0.1,
   estimateS: 30,
-  checkpointS: CHECKPOINT_S,
-  saveS: SAVE_S,
+  checkpointIntervalS: CHECKPOINT_S,
+  checkpointDurationS: SAVE_S,
   runS: 30,
 };
 
--- a/test/gang-reports.test.ts
+++ b/test/gang-reports.test.ts
@@ -1,7 +1,7 @@
 /** Reports about gangs that make no sense: nothing that may still run is freed, and nothing ends. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { silentLog } from '../src/log.js';
+import { silentLog } from '../src/logging/log.js';
 import type { Machine, Shard } from '../src/shards/model.js';
 import { reconcileHeartbeat, type ReconciliationContext } from '../src/workers/reconciliation.js';
 import { decodeHeartbeat } from '../src/workers/wire.js';
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -2,21 +2,23 @@
 import assert from 'node:assert/strict';
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import { test } from 'node:test';
-import { HttpClient, Sockets } from '../src/http/client.js';
+import { HttpClient, KeepAliveLimit } from '../src/http/client.js';
 import { HttpError, HttpParser } from '../src/http/parser.js';
-import { serve, type Handler } from '../src/http/server.js';
-import { silentLog } from '../src/log.js';
+import { startHttpServer, type Handler } from '../src/http/server.js';
+import { silentLog } from '../src/logging/log.js';
 import type { Address } from '../src/model/units.js';
 import { millis } from '../src/model/units.js';
 
-const LIMITS = { head: 512, body: 64 };
+const LIMITS = { maxHeadBytes: 512, maxBodyBytes: 64 };
 const parse = (text: string): ReturnType<HttpParser['push']> =>
   new HttpParser('request', LIMITS).push(Buffer.from(text, 'latin1'));
 
 function verdict(text: string): string {
   try {
     const messages = parse(text);
-    return messages.map((m) => `${m.start[0]} ${m.start[1]} ${m.body.toString()}`).join(' + ') || 'more';
+    return (
+      messages.map((m) => `${m.startLine[0]} ${m.startLine[1]} ${m.body.toString()}`).join(' + ') || 'more'
+    );
   } catch (e) {
     return e instanceof HttpError ? `${e.status} ${e.message}` : String(e);
   }
@@ -80,10 +82,15 @@
   assert.equal(out[0]?.body.toString(), 'abcde');
 });
 
-const OPTIONS = { maxConnections: 4, receive: millis(200), idle: millis(5000), answer: millis(300) };
+const OPTIONS = {
+  maxConnections: 4,
+  receiveTimeout: millis(200),
+  idleTimeout: millis(5000),
+  responseTimeout: millis(300),
+};
 
 async function withServer(work: (port: number) => Promise<void>): Promise<void> {
-  const server = await serve(
+  const server = await startHttpServer(
     '127.0.0.1:0' as Address,
     async (r) => {
       if (r.path === '/throw') throw new Error('handler fails');
@@ -104,12 +111,12 @@
 const TURNS = {
   ...OPTIONS,
   maxConnections: 12,
-  turns: { crowdedAt: 6, mayCloseAfter: (path: string) => path === '/report' },
+  crowding: { crowdedAbove: 6, mayCloseAfter: (path: string) => path === '/report' },
 };
 
 test('more clients than connections are all served: each closes after its answer while many are open', async () => {
   const answer: Handler = (r) => ({ status: 200, body: { path: r.path } });
-  const server = await serve('127.0.0.1:0' as Address, answer, TURNS, silentLog());
+  const server = await startHttpServer('127.0.0.1:0' as Address, answer, TURNS, silentLog());
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}` as Address;
   const count = (): Promise<number> =>
     new Promise((resolve) => server.getConnections((_, open) => resolve(open)));
@@ -194,12 +201,12 @@
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}` as Address;
-  const sockets = new Sockets(3);
+  const sockets = new KeepAliveLimit(3);
   const clients = Array.from({ length: 10 }, () => new HttpClient(address, 2, 1024, sockets));
   const call = { method: 'GET', path: '/x', timeout: millis(5000) } as const;
   const kinds: string[] = [];
   for (const client of clients) kinds.push((await client.call(call)).kind);
-  const kept = sockets.open;
+  const kept = sockets.openConnections;
   for (const client of clients) client.close();
   for (const socket of open) socket.destroy();
   await new Promise((resolve) => server.close(resolve));
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CloudClient } from '../src/cloud/client.js';
-import type { Call, Outcome } from '../src/http/client.js';
+import type { Call, CallOutcome } from '../src/http/client.js';
 import { Shard } from '../src/shards/model.js';
 import { parseSettings } from '../src/settings/settings.js';
 import type { FencingToken } from '../src/model/units.js';
@@ -46,7 +46,7 @@
   const settings = parseSettings(settingsText(0), 'n0.toml');
   let calls = 0;
   const http = {
-    call: ({ path }: Call): Promise<Outcome> => {
+    call: ({ path }: Call): Promise<CallOutcome> => {
       calls += 1;
       if (calls % 3 === 2) return Promise.resolve({ kind: 'answer', status: 429, body: {} });
       const after = /from=m-0*(\d+)/.exec(path);
@@ -57,7 +57,7 @@
   };
   const cloud = new CloudClient(http, clock, settings);
   let listed: number | null = null;
-  void cloud.list().then((all) => (listed = new Set(all?.map((m) => m.id)).size));
+  void cloud.listMachines().then((all) => (listed = new Set(all?.map((m) => m.id)).size));
   for (let ms = 0; ms < 60_000 && listed === null; ms += 100) await clock.advance(100);
   assert.equal(listed, 4000);
 });
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -4,7 +4,7 @@
 
 import type { JobRecord } from '../src/jobs/record.js';
 import type { JobSpec } from '../src/jobs/spec.js';
-import { silentLog } from '../src/log.js';
+import { silentLog } from '../src/logging/log.js';
 import {
   allocate,
   newMachine,
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -5,7 +5,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { test } from 'node:test';
-import { logLevelOf, parseSettings, parseTuning } from '../src/settings/settings.js';
+import { parseLogLevel, parseSettings, parseTuning } from '../src/settings/settings.js';
 import { settingsText } from './standins/world.js';
 
 const said = (work: () => unknown): string => {
@@ -86,8 +86,8 @@
 });
 
 test("operators' properties: unknown names and bad values are errors, comments and defaults are fine", () => {
-  assert.equal(parseTuning('# quiet\nfleet.idle.return.ms = 45000\n', 'p').idleReturn, 45000);
-  assert.equal(parseTuning('', 'p').announceExpiry, 10000);
+  assert.equal(parseTuning('# quiet\nfleet.idle.return.ms = 45000\n', 'p').idleMachineTimeout, 45000);
+  assert.equal(parseTuning('', 'p').announcementExpiry, 10000);
   assert.match(
     said(() => parseTuning('fleet.idle = 1', 'p')),
     /^p: fleet\.idle: expected one of /,
@@ -97,7 +97,7 @@
     'p: random.seed: expected a whole number from 0 to 2147483647, got "much"',
   );
   assert.equal(
-    said(() => logLevelOf('loud')),
+    said(() => parseLogLevel('loud')),
     'environment: LOG_LEVEL: expected error, info or debug, got "loud"',
   );
 });
@@ -140,6 +140,6 @@
 });
 
 test('a log level that is empty or unset is the default', () => {
-  assert.equal(logLevelOf(''), 'info');
-  assert.equal(logLevelOf(undefined), 'info');
+  assert.equal(parseLogLevel(''), 'info');
+  assert.equal(parseLogLevel(undefined), 'info');
 });
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -6,7 +6,7 @@
 import type { Core } from '../src/core.js';
 import { TaskTransferService } from '../src/overflow/task-transfer.js';
 import type { JobRecord } from '../src/jobs/record.js';
-import { silentLog } from '../src/log.js';
+import { silentLog } from '../src/logging/log.js';
 import { Shard, syncJob, type ShardJob } from '../src/shards/model.js';
 import { planCycle } from '../src/scheduling/plan.js';
 import type { SchedulingContext } from '../src/scheduling/cycle.js';
@@ -14,11 +14,11 @@
 import { EventQueue, Host } from '../src/simulation/clock.js';
 import type { Defect } from '../src/simulation/defects.js';
 import { fuzzOne } from '../src/simulation/fuzz-run.js';
-import { randomScenario } from '../src/simulation/generate.js';
-import type { UserJob } from '../src/simulation/jobs.js';
-import { Judge, RULES, type MachineView, type Rule } from '../src/simulation/judge.js';
-import { Network, type CutMode } from '../src/simulation/network.js';
-import type { MachineFacts, UserAnswer } from '../src/simulation/observer.js';
+import { randomScenario } from '../src/simulation/scenario-generator.js';
+import type { UserJob } from '../src/simulation/user-jobs.js';
+import { InvariantChecker, RULES, type MachineView, type Rule } from '../src/simulation/invariant-checker.js';
+import { Network, type PartitionMode } from '../src/simulation/network.js';
+import type { MachineSpec, UserResponse } from '../src/simulation/observer.js';
 import { RandomStream } from '../src/simulation/random.js';
 import {
   checkScenario,
@@ -65,7 +65,7 @@
 const small = (changes: Partial<ScenarioInput> = {}): Scenario => checkScenario(smallInput(changes), 'small');
 
 const run = (scenario: Scenario, defects: Defect[] = [], stopAt: Rule[] = []): Promise<SimulationResult> =>
-  new Simulation(scenario, { seed: scenario.seed, defects, stopAt }).run();
+  new Simulation(scenario, { seed: scenario.seed, defects, stopOnRules: stopAt }).run();
 
 const brokenRules = (result: SimulationResult): Rule[] => [...new Set(result.violations.map((v) => v.rule))];
 
@@ -137,13 +137,13 @@
 class Bench {
   readonly queue = new EventQueue();
   machines: MachineView[] = [];
-  readonly judge = new Judge(this.queue, {
+  readonly judge = new InvariantChecker(this.queue, {
     teams: [{ name: 'atlas', cpusMax: 8, gpusMax: 0 }],
     cancelS: 30,
     machines: () => this.machines,
   });
 
-  machine(id: string, facts: Partial<MachineFacts> = {}): MachineFacts {
+  machine(id: string, facts: Partial<MachineSpec> = {}): MachineSpec {
     return { id, type: 'birch', zone: 'fjord', spot: false, cpus: 8, gpus: 0, memoryGb: 32, ...facts };
   }
 
@@ -152,20 +152,20 @@
   }
 
   answer(
-    kind: UserAnswer['kind'],
+    kind: UserResponse['kind'],
     status: number | null,
     state: string | null,
-    more: Partial<UserAnswer> = {},
+    more: Partial<UserResponse> = {},
   ): void {
     const { now } = this.queue;
-    this.judge.answered({
+    this.judge.responseReceived({
       kind,
       job: 'req-1',
       sentAt: now,
       answeredAt: now,
       status,
       state,
-      odd: false,
+      irregular: false,
       ...more,
     });
   }
@@ -469,7 +469,7 @@
 async function pollsInQuiet(b: Bench, until: number): Promise<void> {
   b.submit();
   b.answer('submit', 201, 'pending');
-  b.judge.troubles(true);
+  b.judge.setFaultsOver(true);
   b.answer('ask', null, null);
   await b.queue.run(until);
 }
@@ -478,8 +478,8 @@
 async function waitsBesideRoom(b: Bench, cpus: number, job: Partial<UserJob> = {}): Promise<void> {
   b.submit(job);
   b.answer('submit', 201, 'pending');
-  b.judge.troubles(true);
-  b.machines = [{ facts: b.machine('m-1'), free: { cpus, gpus: 0, memoryGb: 8 }, holds: [] }];
+  b.judge.setFaultsOver(true);
+  b.machines = [{ spec: b.machine('m-1'), free: { cpus, gpus: 0, memoryGb: 8 }, occupyingTasks: [] }];
   await b.queue.run(100_000);
 }
 
@@ -487,11 +487,11 @@
 async function gathersForLong(b: Bench, runs: boolean): Promise<void> {
   b.submit({ shape: 'gang' });
   b.answer('submit', 201, 'pending');
-  b.judge.troubles(true);
+  b.judge.setFaultsOver(true);
   const machine = b.machine('m-1');
   b.judge.taskStarted(machine, 'req-1/0');
   if (runs) b.judge.gangStarted('req-1');
-  b.machines = [{ facts: machine, free: { cpus: 2, gpus: 0, memoryGb: 8 }, holds: ['req-1/0'] }];
+  b.machines = [{ spec: machine, free: { cpus: 2, gpus: 0, memoryGb: 8 }, occupyingTasks: ['req-1/0'] }];
   await b.queue.run(100_000);
 }
 
@@ -647,7 +647,7 @@
   const machines = [{ type: 't', zone: 'fjord', spot: false, cpus: 64, gpus: 0, memoryGb: 64, count: 1 }];
   let answer: (result: { kind: 'refused' }) => void = () => undefined;
   const core = {
-    settings: { parts: [], zone: 'fjord', valueBytes: 1000 },
+    settings: { shards: [], zone: 'fjord', maxValueBytes: 1000 },
     freeCapacity: new Map([[1, { shard: 1, zone: 'fjord', expiresAt: 99_000, machines }]]),
     random: () => 0,
     clock: { now: () => 10_000 },
@@ -668,7 +668,7 @@
 });
 
 /** What arrives, and how each request ends, when a cut of this kind comes between two of them. */
-async function throughCut(mode: CutMode): Promise<{ arrived: number[]; outcomes: string[] }> {
+async function throughCut(mode: PartitionMode): Promise<{ arrived: number[]; outcomes: string[] }> {
   const queue = new EventQueue();
   const options = { sameZoneMs: 1, crossZoneMs: 1, jitter: 0, loss: 0 };
   const network = new Network(queue, options, new RandomStream(1));
@@ -684,7 +684,7 @@
   };
   const cut = { mode, blocks: (): boolean => true };
   ask();
-  queue.after(100, () => network.cut(cut));
+  queue.after(100, () => network.addPartition(cut));
   // On the connection that stands, then one for which a new connection is needed.
   queue.after(200, ask);
   queue.after(2000, ask);
@@ -732,7 +732,7 @@
     { kind: 'close_looks', at_s: 10, for_s: 10 },
   ];
   const trial = async (s: Scenario): Promise<number | null> => {
-    const result = await new Simulation(s, { seed: s.seed, defects, stopAt: ['ran_twice'] }).run();
+    const result = await new Simulation(s, { seed: s.seed, defects, stopOnRules: ['ran_twice'] }).run();
     return result.violations.find((v) => v.rule === 'ran_twice')?.atS ?? null;
   };
   const shrunk = await shrink(small({ faults }), trial);
--- a/test/standins/builds.ts
+++ b/test/standins/builds.ts
@@ -1,6 +1,7 @@
 /** The versions of the service that a world can run: the working sources, and the one in production. */
 import { Controller } from '../../src/controller.js';
-import { silentLog } from '../../src/log.js';
+import { silentLog } from '../../src/logging/log.js';
+import type { Resources } from '../../src/model/resources.js';
 import type { JobRecord } from '../../src/jobs/record.js';
 import type { RangeSet } from '../../src/model/ranges.js';
 import { parseSettings, parseTuning, type Team } from '../../src/settings/settings.js';
@@ -67,10 +68,24 @@
 
 /** `quota/shares.ts` of the version in production. */
 export interface ProductionQuotas {
-  evenShares(team: Team, shards: number): unknown;
-  encodeShares(team: Team, shares: unknown): unknown;
+  evenShares(team: ProductionTeam, shards: number): unknown;
+  encodeShares(team: ProductionTeam, shares: unknown): unknown;
 }
 
+/** A team's settings, by the names of the version in production. */
+export interface ProductionTeam {
+  readonly name: string;
+  readonly guarantee: Resources;
+  readonly limit: Resources;
+}
+
+/** A team of the working sources as the version in production holds it in memory. */
+export const toProductionTeam = (team: Team): ProductionTeam => ({
+  name: team.name,
+  guarantee: team.guaranteed,
+  limit: team.quota,
+});
+
 /** A record of the working sources as the version in production holds it in memory. */
 export function toProductionRecord(record: JobRecord): ProductionRecord {
   const { spec } = record;
--- a/test/standins/desk.ts
+++ b/test/standins/desk.ts
@@ -21,7 +21,7 @@
   return new QuotaTransferService({
     settings: {
       teams: new Map([[team.name, team]]),
-      parts: Array.from({ length: partCount }, (_, shard) => ({ part: shard })),
+      shards: Array.from({ length: partCount }, (_, shard) => ({ shard })),
     },
     storeCache: view,
     shards: new Map(parts.map((shard) => [shard.id, shard])),
--- a/test/standins/rounds.ts
+++ b/test/standins/rounds.ts
@@ -1,5 +1,5 @@
 /** Placement rounds of one part, with what they decided as text. */
-import type { MachineType } from '../../src/cloud/wire.js';
+import type { InstanceType } from '../../src/cloud/wire.js';
 import type { JobRecord } from '../../src/jobs/record.js';
 import type { JobSpec } from '../../src/jobs/spec.js';
 import { UNLIMITED, ZERO, type Resources } from '../../src/model/resources.js';
@@ -37,7 +37,7 @@
   elsewhere: Resources = ZERO;
   private now = 1_000_000;
   private readonly live = new Map<string, JobRecord>();
-  private readonly types: ReadonlyMap<InstanceTypeId, MachineType>;
+  private readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
   private readonly teams: ReadonlyMap<TeamId, Team>;
   private readonly share: Resources;
   private readonly guarantees: GuaranteedJobs;
@@ -45,7 +45,7 @@
   constructor(machines = 1, options: RoundsOptions = {}) {
     const { capacity = { cpus: 8, gpus: 0, memoryGb: 64 }, team = { cpus: 4, cpusMax: 100 } } = options;
     this.types = new Map([
-      ['t' as InstanceTypeId, { name: 't', ...capacity, fetchGbPerS: 0.1 } as unknown as MachineType],
+      ['t' as InstanceTypeId, { name: 't', ...capacity, fetchGbPerS: 0.1 } as unknown as InstanceType],
     ]);
     this.teams = new Map(['red', 'blue'].map((name) => [name as TeamId, plainTeam({ ...team, name })]));
     this.share = options.share ?? { ...UNLIMITED, cpus: 100 };
--- a/test/standins/spec.ts
+++ b/test/standins/spec.ts
@@ -10,8 +10,8 @@
 ): Team {
   return {
     name: (o.name ?? 'red') as TeamId,
-    guarantee: { ...ZERO, cpus: o.cpus ?? 0, gpus: o.gpus ?? 0 },
-    limit: { ...UNLIMITED, cpus: o.cpusMax ?? Infinity, gpus: o.gpusMax ?? Infinity },
+    guaranteed: { ...ZERO, cpus: o.cpus ?? 0, gpus: o.gpus ?? 0 },
+    quota: { ...UNLIMITED, cpus: o.cpusMax ?? Infinity, gpus: o.gpusMax ?? Infinity },
   };
 }
 
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -1,5 +1,5 @@
 /** Stand-in for the state service, from its published protocol: versions, leases, watches, outages. */
-import type { Call, Outcome } from '../../src/http/client.js';
+import type { Call, CallOutcome } from '../../src/http/client.js';
 import type { SimClock } from './clock.js';
 
 interface Row {
@@ -63,7 +63,7 @@
   }
 }
 
-const answer = (status: number, body: unknown): Outcome => ({
+const answer = (status: number, body: unknown): CallOutcome => ({
   kind: 'answer',
   status,
   body: JSON.parse(JSON.stringify(body)) as unknown,
@@ -155,14 +155,14 @@
     return this.history.filter((h) => h.put === key).length;
   }
 
-  async call(node: string, call: Call): Promise<Outcome> {
+  async call(node: string, call: Call): Promise<CallOutcome> {
     const outcome = await this.serve(node, call);
     const delay = this.answerDelay(node, call);
     if (delay > 0) await this.clock.sleep(Math.min(delay, call.timeout));
     return delay < call.timeout ? outcome : { kind: 'unknown' };
   }
 
-  private async serve(node: string, call: Call): Promise<Outcome> {
+  private async serve(node: string, call: Call): Promise<CallOutcome> {
     if (this.cut.has(node)) {
       await this.clock.sleep(call.timeout);
       return { kind: 'unknown' };
@@ -179,7 +179,7 @@
     return result;
   }
 
-  private async txn(node: string, call: Call): Promise<Outcome> {
+  private async txn(node: string, call: Call): Promise<CallOutcome> {
     const body = JSON.parse(JSON.stringify(call.body)) as TxnBody;
     this.measure(body);
     if (this.isTooLarge(body)) {
@@ -202,7 +202,7 @@
     return result;
   }
 
-  apply(body: TxnBody): Outcome {
+  apply(body: TxnBody): CallOutcome {
     this.expire();
     const failed = body.when
       .filter((c) => (this.rows.get(c.path)?.entry ?? 0) !== c.entry)
@@ -253,7 +253,7 @@
     this.notify();
   }
 
-  private other(call: Call): Outcome {
+  private other(call: Call): CallOutcome {
     this.expire();
     if (call.path === '/leases') {
       const id = this.nextLease++;
@@ -279,7 +279,7 @@
       : answer(404, { ledger: this.ledger });
   }
 
-  private list(url: URL): Outcome {
+  private list(url: URL): CallOutcome {
     const under = url.searchParams.get('under') ?? '';
     const after = url.searchParams.get('from') ?? '';
     const most = Number(url.searchParams.get('most') ?? 1000);
@@ -290,7 +290,7 @@
     return answer(200, { entries, hasNext: keys.length > most, ledger: this.ledger });
   }
 
-  private async follow(node: string, call: Call): Promise<Outcome> {
+  private async follow(node: string, call: Call): Promise<CallOutcome> {
     const url = new URL(call.path, 'http://state');
     const under = url.searchParams.get('under') ?? '';
     const from = Number(url.searchParams.get('from') ?? 0);
--- a/test/standins/user-job.ts
+++ b/test/standins/user-job.ts
@@ -1,5 +1,5 @@
 /** A job as the simulator's users submit it. */
-import type { UserJob } from '../../src/simulation/jobs.js';
+import type { UserJob } from '../../src/simulation/user-jobs.js';
 
 export const PLAIN_JOB: UserJob = {
   id: 'req-1',
@@ -19,7 +19,7 @@
   image: 'i',
   imageGb: 1,
   estimateS: 10,
-  checkpointS: 0,
-  saveS: 0,
+  checkpointIntervalS: 0,
+  checkpointDurationS: 0,
   runS: 10,
 };
--- a/test/standins/users.ts
+++ b/test/standins/users.ts
@@ -2,7 +2,7 @@
  * Users who ask several controllers at once, and a record of what they were told. An answer is judged against what the
  * same job's user knew when the question was sent: later answers to earlier questions may be older, no others.
  */
-import type { Answer } from '../../src/http/server.js';
+import type { HttpResponse } from '../../src/http/server.js';
 import type { JobOptions, World } from './world.js';
 
 type FinalState = 'done' | 'cancelled';
@@ -114,7 +114,7 @@
     return told;
   }
 
-  private toldBy(answer: Answer | null): Told {
+  private toldBy(answer: HttpResponse | null): Told {
     const said = (answer?.body ?? {}) as { status?: string };
     return { status: answer?.status ?? 0, state: said.status ?? '' };
   }
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -1,6 +1,6 @@
 /** Stand-in for a worker, from its published protocol: reports, orders, tokens, sessions, leases. */
-import type { Call, Outcome } from '../../src/http/client.js';
-import type { Answer } from '../../src/http/server.js';
+import type { Call, CallOutcome } from '../../src/http/client.js';
+import type { HttpResponse } from '../../src/http/server.js';
 import type { SimClock } from './clock.js';
 import type { GangSize, GangStandin } from './gangs.js';
 
@@ -36,7 +36,7 @@
   /** Whether its lease ends to the millisecond, and what reaches it while it hangs waits until it goes on. */
   readonly exact: boolean;
   /** The nodes' answers to a report; null: nothing answers. */
-  readonly report: (node: number, from: WorkerStandin, body: unknown) => Promise<Answer | null>;
+  readonly report: (node: number, from: WorkerStandin, body: unknown) => Promise<HttpResponse | null>;
   readonly nodes: readonly string[];
   readonly job: (leg: string) => JobFacts | null;
   readonly gangs: GangStandin;
@@ -184,7 +184,7 @@
     }
   }
 
-  private async answerTo(body: unknown): Promise<Answer | null> {
+  private async answerTo(body: unknown): Promise<HttpResponse | null> {
     const answer = await this.world.report(this.node, this, body);
     if (this.hanging) await this.untilItGoesOn();
     return answer;
@@ -205,7 +205,7 @@
   }
 
   /** A request straight to the worker; the caller decides when it arrives. */
-  arrive(call: Call): Outcome {
+  arrive(call: Call): CallOutcome {
     if (!this.alive) return { kind: 'unsent' };
     this.expire();
     if (call.path === '/status') return { kind: 'answer', status: 200, body: this.body() };
--- a/test/standins/world.ts
+++ b/test/standins/world.ts
@@ -1,14 +1,14 @@
 /** Three controllers in one simulated world, a record of what happens, and a judge of the rules. */
 import type { Controller, Ports } from '../../src/controller.js';
-import type { Call, Outcome } from '../../src/http/client.js';
-import type { Answer, Handler } from '../../src/http/server.js';
+import type { Call, CallOutcome } from '../../src/http/client.js';
+import type { HttpResponse, Handler } from '../../src/http/server.js';
 import type { Settings } from '../../src/settings/settings.js';
 import type { Incarnation } from '../../src/model/units.js';
 import { WORKING, type Build } from './builds.js';
 import { clockAt, SimClock, settle } from './clock.js';
 import { GangStandin } from './gangs.js';
 import { Judge, type TeamLimit } from './judge.js';
-import { frame } from '../../src/mesh/mesh.js';
+import { frame } from '../../src/peers/peer-transport.js';
 import { Meter, StateStandin, type Limits } from './state.js';
 import { WorkerStandin, type JobFacts, type Order, type WorkerWorld } from './worker.js';
 
@@ -259,8 +259,8 @@
   private ports(n: number, life: number, settings: Settings): Ports {
     const node = this.nodes[n] as Node;
     const alive = (): boolean => node.life === life;
-    const never = new Promise<Outcome>(() => undefined);
-    const guard = async (work: Promise<Outcome>): Promise<Outcome> => {
+    const never = new Promise<CallOutcome>(() => undefined);
+    const guard = async (work: Promise<CallOutcome>): Promise<CallOutcome> => {
       const outcome = await work;
       return alive() ? outcome : never;
     };
@@ -292,7 +292,7 @@
     };
   }
 
-  private async workerCall(n: number, address: string, call: Call): Promise<Outcome> {
+  private async workerCall(n: number, address: string, call: Call): Promise<CallOutcome> {
     const open = (this.calling.get(n) ?? 0) + 1;
     this.calling.set(n, open);
     this.seen.calls = Math.max(this.seen.calls, open);
@@ -301,7 +301,7 @@
     return outcome;
   }
 
-  private async callOnce(n: number, address: string, call: Call): Promise<Outcome> {
+  private async callOnce(n: number, address: string, call: Call): Promise<CallOutcome> {
     const worker = this.workers.get(this.byAddress.get(address) ?? '');
     const connecting = worker ? this.connectMs(n, worker.id) : 0;
     await this.clock.sleep(this.linkMs + connecting);
@@ -342,9 +342,9 @@
     this.keptOrders.delete(id);
   }
 
-  private async cloudCall(call: Call): Promise<Outcome> {
+  private async cloudCall(call: Call): Promise<CallOutcome> {
     await this.clock.sleep(100);
-    const answer = (status: number, body: unknown): Outcome => ({ kind: 'answer', status, body });
+    const answer = (status: number, body: unknown): CallOutcome => ({ kind: 'answer', status, body });
     this.cloudCalls.count(1);
     if (this.cloudOutage) return answer(503, { error: 'trouble' });
     if (call.path === '/catalog') {
@@ -385,7 +385,7 @@
     return answer(200, { berths, hasNext: all.length > most });
   }
 
-  private rent(call: Call, answer: (status: number, body: unknown) => Outcome): Outcome {
+  private rent(call: Call, answer: (status: number, body: unknown) => CallOutcome): CallOutcome {
     const r = call.body as { hull: string; harbor: string; driftboats: boolean; number: number };
     this.rentals.push(r);
     const count = Math.min(this.capacity, r.number);
@@ -448,7 +448,7 @@
     this.workers.delete(id);
   }
 
-  private async reportTo(n: number, from: WorkerStandin, body: unknown): Promise<Answer | null> {
+  private async reportTo(n: number, from: WorkerStandin, body: unknown): Promise<HttpResponse | null> {
     await this.clock.sleep(this.linkMs);
     const node = this.nodes[n] as Node;
     if (this.cut(`n${n}`, from.id) || this.mute.has(from.id)) return null;
@@ -462,7 +462,7 @@
     return this.cut(`n${n}`, from.id) || this.deaf.has(from.id) ? null : answer;
   }
 
-  async request(n: number, method: string, path: string, body?: unknown): Promise<Answer | null> {
+  async request(n: number, method: string, path: string, body?: unknown): Promise<HttpResponse | null> {
     const handler = this.nodes[n]?.handler;
     if (!handler) return null;
     const raw = Buffer.from(body === undefined ? '' : JSON.stringify(body));
@@ -505,7 +505,7 @@
     path: string,
     body?: unknown,
   ): Promise<{ status: number; body: Record<string, unknown> }> {
-    let answer: Answer | null | undefined;
+    let answer: HttpResponse | null | undefined;
     void this.request(n, method, path, body).then((a) => (answer = a));
     for (let i = 0; i < 600 && answer === undefined; i += 1) await this.step(10);
     const given = answer ?? { status: 0, body: {} };
--- a/test/takeover-meetings.test.ts
+++ b/test/takeover-meetings.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Call, Outcome } from '../src/http/client.js';
+import type { Call, CallOutcome } from '../src/http/client.js';
 import type { JobRecord } from '../src/jobs/record.js';
 import { requeueAccountedTasks } from '../src/shards/unaccounted-tasks.js';
 import { Shard, syncJob } from '../src/shards/model.js';
@@ -71,7 +71,7 @@
 
   private delayFollows(): void {
     const call = this.state.call.bind(this.state);
-    this.state.call = async (node: string, request: Call): Promise<Outcome> => {
+    this.state.call = async (node: string, request: Call): Promise<CallOutcome> => {
       const outcome = await call(node, request);
       if (request.path.startsWith('/follow')) await this.clock.sleep(this.followLag(node));
       return outcome;
@@ -485,7 +485,7 @@
   const call = w.state.call.bind(w.state);
   const tooOld = new Set(nodes);
   let firstPages = 0;
-  w.state.call = async (node: string, request: Call): Promise<Outcome> => {
+  w.state.call = async (node: string, request: Call): Promise<CallOutcome> => {
     const listing = request.path.startsWith('/kv?') && nodes.includes(node);
     if (listing && !request.path.includes('from=')) {
       const before = [...w.state.rows.keys()].filter((key) => key.startsWith('c/') && key < 'c/parts/');
@@ -518,7 +518,7 @@
 /** The state service refuses a controller's leases, and serves all else: its key ends, and it goes on. */
 function refuseLeases(w: MeetingWorld, node: string): void {
   const call = w.state.call.bind(w.state);
-  w.state.call = (from: string, request: Call): Promise<Outcome> => {
+  w.state.call = (from: string, request: Call): Promise<CallOutcome> => {
     const refused = from === node && request.path.startsWith('/leases');
     return refused ? Promise.resolve({ kind: 'answer', status: 503, body: {} }) : call(from, request);
   };
--- a/test/upgrade-rolls.test.ts
+++ b/test/upgrade-rolls.test.ts
@@ -55,7 +55,7 @@
       };
       const { status } = await w.submit(random.pick(this.alive), id, options);
       if (status === 200 || status === 201) this.jobs.set(id, kind);
-      await w.step(random.whole(0, 900));
+      await w.step(random.integer(0, 900));
     }
     for (const [id, kind] of this.jobs)
       if (kind.startsWith('cancelled') && id.endsWith(String(round)))
@@ -71,7 +71,7 @@
       this.version[n] = build;
       await w.startNode(n);
     }
-    await w.step(random.whole(500, 6000));
+    await w.step(random.integer(500, 6000));
   }
 
   /** A controller ends out of turn, and comes back with the version that it had. */
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -5,14 +5,15 @@
 import type { JobRecord } from '../src/jobs/record.js';
 import { storedSizeBytes, withFinishedTasks } from '../src/jobs/stored-size.js';
 import * as machines from '../src/shards/codec.js';
-import type * as Mesh from '../src/mesh/mesh.js';
-import * as mesh from '../src/mesh/mesh.js';
+import type * as Mesh from '../src/peers/peer-transport.js';
+import * as mesh from '../src/peers/peer-transport.js';
 import * as shares from '../src/quota/shard-quota.js';
 import { RangeSet } from '../src/model/ranges.js';
 import {
   productionBuild,
   productionModule,
   toProductionRecord,
+  toProductionTeam,
   WORKING,
   type Build,
   type ProductionRecords,
@@ -177,7 +178,7 @@
   const team = plainTeam({ cpus: 4, cpusMax: 10 });
   assert.deepEqual(
     shares.encodeQuotas(team, shares.evenQuotas(team, 3)),
-    oldShares.encodeShares(team, oldShares.evenShares(team, 3)),
+    oldShares.encodeShares(toProductionTeam(team), oldShares.evenShares(toProductionTeam(team), 3)),
   );
 });
 
--- a/test/user-meetings.test.ts
+++ b/test/user-meetings.test.ts
@@ -7,8 +7,8 @@
 import { test } from 'node:test';
 
 import { seededRandom, type Random } from '../src/overflow/peer-ranking.js';
-import { serve } from '../src/http/server.js';
-import { silentLog } from '../src/log.js';
+import { startHttpServer } from '../src/http/server.js';
+import { silentLog } from '../src/logging/log.js';
 import { StoreCache } from '../src/store/cache.js';
 import type { Address, Revision, StoreKey, SteadyMs } from '../src/model/units.js';
 import { millis } from '../src/model/units.js';
@@ -588,13 +588,13 @@
   const { world, users } = await startWorld('east', 'west', 'east');
   const options = {
     maxConnections: 100,
-    receive: millis(300),
-    idle: millis(300),
-    answer: millis(2000),
+    receiveTimeout: millis(300),
+    idleTimeout: millis(300),
+    responseTimeout: millis(2000),
   };
   const servers = await Promise.all(
     NODES.map((node) =>
-      serve(
+      startHttpServer(
         '127.0.0.1:0' as Address,
         (request) => {
           const handler = world.nodes[node]?.handler;
--- a/test/waiting.test.ts
+++ b/test/waiting.test.ts
@@ -1,7 +1,7 @@
 /** No job is left waiting while a machine that fits has room and its team is under its limit. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { MachineType } from '../src/cloud/wire.js';
+import type { InstanceType } from '../src/cloud/wire.js';
 import type { Core } from '../src/core.js';
 import { assignJob, type AssignmentContext } from '../src/overflow/assignment.js';
 import { freeCapacityOf } from '../src/overflow/announcement.js';
@@ -31,14 +31,14 @@
 /** What the task says: a job may be left waiting no longer than this, in milliseconds. */
 const LEFT_WAITING = 90_000;
 
-const typeIn = (name: string, ...zones: string[]): MachineType =>
-  ({ name, cpus: 8, gpus: 0, memoryGb: 64, zones }) as unknown as MachineType;
+const typeIn = (name: string, ...zones: string[]): InstanceType =>
+  ({ name, cpus: 8, gpus: 0, memoryGb: 64, zones }) as unknown as InstanceType;
 const TYPES = new Map([['large', typeIn('large', 'east', 'west')]]) as never;
 
 const offer = (shard: number, zone: string, cpus: number): FreeCapacity => {
   const machines =
     cpus > 0 ? [{ type: 'large', zone, spot: false, cpus, gpus: 0, memoryGb: 64, count: 1 }] : [];
-  return { shard: shard, zone, expiresAt: NOW + 9000, machines } as unknown as FreeCapacity;
+  return { shard, zone, expiresAt: NOW + 9000, machines } as unknown as FreeCapacity;
 };
 
 /** A part in the east with so many machines there, and one job whose tasks are entrusted as given. */
@@ -66,8 +66,8 @@
 
 const core = (offers: readonly FreeCapacity[]): Core =>
   ({
-    settings: { parts: [], zone: EAST, zones: [EAST, WEST], valueBytes: 4000 },
-    tuning: { announceExpiry: 10_000 },
+    settings: { shards: [], zone: EAST, zones: [EAST, WEST], maxValueBytes: 4000 },
+    tuning: { announcementExpiry: 10_000 },
     clock: { now: () => NOW },
     heartbeatIntervalMs: 1500,
     gangWaitMs: 30_000,
@@ -83,8 +83,8 @@
     homeShard: 0,
     homeZone: EAST,
     shards: [
-      { part: 0, zone: EAST },
-      { part: 1, zone: WEST },
+      { shard: 0, zone: EAST },
+      { shard: 1, zone: WEST },
     ],
     zones: [EAST, WEST],
     types,
--- a/test/work-counts.test.ts
+++ b/test/work-counts.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import type { Core } from '../src/core.js';
 import { freeCapacityOf } from '../src/overflow/announcement.js';
-import { silentLog } from '../src/log.js';
+import { silentLog } from '../src/logging/log.js';
 import type { Machine } from '../src/shards/model.js';
 import { reconcileHeartbeat, type ReconciliationContext } from '../src/workers/reconciliation.js';
 import { decodeHeartbeat } from '../src/workers/wire.js';
@@ -122,8 +122,8 @@
       clock: { now: () => 1_004_000 },
       heartbeatIntervalMs: 1500,
       types: shard.types,
-      tuning: { announceExpiry: 10_000 },
-      settings: { parts: [{ part: 0, zone: 'east' }], zone: 'east' },
+      tuning: { announcementExpiry: 10_000 },
+      settings: { shards: [{ shard: 0, zone: 'east' }], zone: 'east' },
     } as unknown as Core;
     for (const machine of shard.machines.values()) machine.lastHeardAt = 1_003_900 as never;
     const offer = freeCapacityOf(core, shard);
