--- a/test/limits.test.ts
+++ b/test/cluster/scale-limits.test.ts
@@ -1,27 +1,27 @@
 /** Limits that a large deployment or a long life reaches: attempts of one token, pages of a long list. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CloudClient } from '../src/cloud/client.js';
-import type { Call, CallOutcome } from '../src/http/client.js';
-import { Shard } from '../src/shards/model.js';
-import { parseSettings } from '../src/settings/settings.js';
-import type { FencingToken } from '../src/model/units.js';
-import { SimClock } from './standins/clock.js';
-import { settingsText } from './standins/world.js';
+import { CloudClient } from '../../src/cloud/client.js';
+import type { Call, CallOutcome } from '../../src/http/client.js';
+import { Shard } from '../../src/shards/model.js';
+import { parseSettings } from '../../src/settings/settings.js';
+import type { FencingToken } from '../../src/model/units.js';
+import { SimulatedClock } from '../support/simulated-clock.js';
+import { settingsText } from '../support/simulated-cluster.js';
 
-const ATTEMPTS_OF_A_TOKEN = 2 ** 20;
+const ATTEMPTS_PER_TOKEN = 2 ** 20;
 
-test('attempts of one token end before those of the next begin, and a new token is asked for in time', () => {
+test('attempt numbers of one fencing token end before those of the next begin, and a new token is requested in time', () => {
   const shard = new Shard(0 as never, 7 as never, 1 as never, 0 as never, new Map());
   let last = 0;
-  for (let i = 0; i < ATTEMPTS_OF_A_TOKEN * 0.7; i += 1) last = shard.nextAttempt();
+  for (let i = 0; i < ATTEMPTS_PER_TOKEN * 0.7; i += 1) last = shard.nextAttempt();
   assert.equal(shard.needsNewFencingToken, false);
-  for (let i = 0; i < ATTEMPTS_OF_A_TOKEN * 0.1; i += 1) last = shard.nextAttempt();
+  for (let i = 0; i < ATTEMPTS_PER_TOKEN * 0.1; i += 1) last = shard.nextAttempt();
   assert.equal(shard.needsNewFencingToken, true);
   assert.throws(() => {
     for (;;) last = shard.nextAttempt();
   }, /used all attempts/);
-  assert.ok(last < 8 * ATTEMPTS_OF_A_TOKEN, 'none belongs to another token');
+  assert.ok(last < 8 * ATTEMPTS_PER_TOKEN, 'none belongs to another token');
   shard.adoptFencingToken(9 as FencingToken);
   assert.equal(shard.needsNewFencingToken, false);
   const next = shard.nextAttempt();
@@ -42,7 +42,7 @@
   }));
 
 test('a list of 4,000 machines is read to its end, also when some of its pages are refused', async () => {
-  const clock = new SimClock();
+  const clock = new SimulatedClock();
   const settings = parseSettings(settingsText(0), 'n0.toml');
   let calls = 0;
   const http = {
--- a/test/http.test.ts
+++ b/test/http/http.test.ts
@@ -2,12 +2,12 @@
 import assert from 'node:assert/strict';
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import { test } from 'node:test';
-import { HttpClient, KeepAliveLimit } from '../src/http/client.js';
-import { HttpError, HttpParser } from '../src/http/parser.js';
-import { startHttpServer, type Handler } from '../src/http/server.js';
-import { silentLog } from '../src/logging/log.js';
-import type { Address } from '../src/model/units.js';
-import { millis } from '../src/model/units.js';
+import { HttpClient, KeepAliveLimit } from '../../src/http/client.js';
+import { HttpError, HttpParser } from '../../src/http/parser.js';
+import { startHttpServer, type Handler } from '../../src/http/server.js';
+import { silentLog } from '../../src/logging/log.js';
+import type { Address } from '../../src/model/units.js';
+import { millis } from '../../src/model/units.js';
 
 const LIMITS = { maxHeadBytes: 512, maxBodyBytes: 64 };
 const parse = (text: string): ReturnType<HttpParser['push']> =>
@@ -19,8 +19,8 @@
     return (
       messages.map((m) => `${m.startLine[0]} ${m.startLine[1]} ${m.body.toString()}`).join(' + ') || 'more'
     );
-  } catch (e) {
-    return e instanceof HttpError ? `${e.status} ${e.message}` : String(e);
+  } catch (error) {
+    return error instanceof HttpError ? `${error.status} ${error.message}` : String(error);
   }
 }
 
@@ -92,10 +92,10 @@
 async function withServer(work: (port: number) => Promise<void>): Promise<void> {
   const server = await startHttpServer(
     '127.0.0.1:0' as Address,
-    async (r) => {
-      if (r.path === '/throw') throw new Error('handler fails');
-      if (r.path === '/never') await new Promise(() => undefined);
-      return { status: 200, body: { path: r.path, bytes: r.body.length } };
+    async (request) => {
+      if (request.path === '/throw') throw new Error('handler fails');
+      if (request.path === '/never') await new Promise(() => undefined);
+      return { status: 200, body: { path: request.path, bytes: request.body.length } };
     },
     OPTIONS,
     silentLog(),
@@ -115,18 +115,18 @@
 };
 
 test('more clients than connections are all served: each closes after its answer while many are open', async () => {
-  const answer: Handler = (r) => ({ status: 200, body: { path: r.path } });
+  const answer: Handler = (request) => ({ status: 200, body: { path: request.path } });
   const server = await startHttpServer('127.0.0.1:0' as Address, answer, TURNS, silentLog());
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}` as Address;
   const count = (): Promise<number> =>
     new Promise((resolve) => server.getConnections((_, open) => resolve(open)));
   const clients = Array.from({ length: 30 }, () => new HttpClient(address, 1));
   const user = new HttpClient(address, 1);
-  const report = { method: 'POST', path: '/report', body: {}, timeout: millis(5000) } as const;
+  const call = { method: 'POST', path: '/report', body: {}, timeout: millis(5000) } as const;
   try {
     const answers: string[] = [];
     for (let turn = 0; turn < 2; turn += 1)
-      for (const client of clients) answers.push((await client.call(report)).kind);
+      for (const client of clients) answers.push((await client.call(call)).kind);
     assert.deepEqual(answers, Array(60).fill('answer'));
     assert.ok((await count()) <= 7, `${await count()} connections stay open`);
     // What may not be closed stays open, and has room for it.
@@ -214,7 +214,7 @@
   assert.equal(kept, 3);
 });
 
-test('what may not be sent any more is not: after the wait for a turn, and after the wait for a connection', async () => {
+test('a request whose permission has ended is not sent: after the wait for a turn, and after the wait for a connection', async () => {
   const received: string[] = [];
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
--- /dev/null
+++ b/test/jobs/cancellation-notice.test.ts
@@ -0,0 +1,54 @@
+/** A committed cancellation is told to the peers: one that the state service refuses stops its tasks all the same. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { SimulatedCluster } from '../support/simulated-cluster.js';
+
+test('a leader refused by the state service alone stops what is cancelled through a peer, and starts none of it', async () => {
+  for (const refusedFor of [50, 700, 1500]) {
+    const cluster = new SimulatedCluster();
+    cluster.addWorker('large', 'east');
+    await cluster.start();
+    // One task of 4 CPUs a job: two run, the others of the same part wait.
+    for (const job of [1, 2, 3, 4])
+      await cluster.submit(0, `req-${job}`, { cpus: 4, runMs: 60_000, zone: 'east' });
+    await cluster.step(1500);
+    const runs = (id: string): boolean =>
+      [...cluster.workers.values()].some((m) => m.runningTasks().some((t) => t.taskId.startsWith(`${id}/`)));
+    const [running, ...rest] = ['req-1', 'req-2', 'req-3', 'req-4'].filter(runs);
+    const waiting = ['req-1', 'req-2', 'req-3', 'req-4'].filter((id) => !runs(id));
+    assert.ok(running !== undefined && rest.length === 1 && waiting.length === 2);
+    const leader = (cluster.store.entries.get('c/parts/0')?.data as { owner: string }).owner;
+    cluster.store.refusedNodes.add(leader);
+    await cluster.step(refusedFor);
+    for (const id of [waiting[0] as string, running]) {
+      const answer = await cluster.sendUserRequest(1, 'POST', `/v2/runs/${id}/abort`);
+      assert.equal(answer.body['status'], 'cancelled');
+    }
+    await cluster.step(1500);
+    assert.ok(!runs(running), 'it is stopped without the state service');
+    await cluster.step(6000);
+    assert.deepEqual(cluster.invariantChecker.startsAfterCancellation, []);
+    assert.deepEqual(cluster.violations, []);
+  }
+});
+
+test('a notice that comes late or twice, or says what is known, changes nothing', async () => {
+  const cluster = new SimulatedCluster();
+  cluster.addWorker('large', 'east');
+  await cluster.start();
+  await cluster.submit(0, 'req-1', { runMs: 20_000, zone: 'east' });
+  await cluster.step(1000);
+  const notice = { kind: 'cancelled', job: 'req-1', version: 1 };
+  for (const node of cluster.nodes) node.receiveFromPeer?.(notice);
+  await cluster.step(1000);
+  const poll = await cluster.sendUserRequest(0, 'GET', '/v2/runs/req-1');
+  assert.equal(poll.body['status'], 'running', 'older than what the view shows');
+  await cluster.sendUserRequest(1, 'POST', '/v2/runs/req-1/abort');
+  for (const node of cluster.nodes) node.receiveFromPeer?.(notice);
+  await cluster.step(3000);
+  for (const node of cluster.nodes.keys()) {
+    const answer = await cluster.sendUserRequest(node, 'GET', '/v2/runs/req-1');
+    assert.equal(answer.body['status'], 'cancelled');
+  }
+  assert.deepEqual(cluster.violations, []);
+});
--- a/test/codecs.test.ts
+++ b/test/jobs/codecs.test.ts
@@ -4,8 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decodeCatalog, encodeCatalog } from '../src/autoscaling/codec.js';
-import { decodeClusterTime, encodeTime } from '../src/jobs/cluster-clock.js';
+import { decodeCatalog, encodeCatalog } from '../../src/autoscaling/codec.js';
+import { decodeClusterTime, encodeTime } from '../../src/jobs/cluster-clock.js';
 import {
   decodeFinalState,
   decodeRecord,
@@ -13,9 +13,9 @@
   encodeRecord,
   finalStateKey,
   activeJobKey,
-} from '../src/jobs/codec.js';
-import { decodePeerMessage, encodePeerMessage } from '../src/peers/codec.js';
-import { quotaKey } from '../src/quota/shard-quota.js';
+} from '../../src/jobs/codec.js';
+import { decodePeerMessage, encodePeerMessage } from '../../src/peers/codec.js';
+import { quotaKey } from '../../src/quota/shard-quota.js';
 import {
   aliveKey,
   CATALOG_KEY,
@@ -31,12 +31,16 @@
   shardKey,
   TIME_KEY,
   TOKEN_KEY,
-} from '../src/shards/codec.js';
-import { productionBuild, productionModule, type ProductionRecords } from './standins/builds.js';
-import { SMALL, World } from './standins/world.js';
+} from '../../src/shards/codec.js';
+import {
+  loadProductionBuild,
+  loadProductionModule,
+  type ProductionRecords,
+} from '../support/controller-builds.js';
+import { SMALL_CLUSTER, SimulatedCluster } from '../support/simulated-cluster.js';
 
-const production = await productionModule<ProductionRecords>('jobs/record.js');
-const productionNews = await productionModule<{ receive(core: unknown, message: unknown): unknown }>(
+const production = await loadProductionModule<ProductionRecords>('jobs/record.js');
+const productionNews = await loadProductionModule<{ receive(core: unknown, message: unknown): unknown }>(
   'flock/news.js',
 );
 
@@ -336,15 +340,15 @@
 });
 
 test('what controllers of the version in production say to each other is decoded and encoded without loss', async () => {
-  const build = await productionBuild();
-  const world = new World(SMALL);
+  const build = await loadProductionBuild();
+  const world = new SimulatedCluster(SMALL_CLUSTER);
   world.buildOf = () => build;
   for (let i = 0; i < 4; i += 1) world.addWorker('large', i % 2 ? 'east' : 'west');
   await world.start();
   const kinds = new Set<string>();
   for (const node of world.nodes) {
-    const receive = node.mesh;
-    node.mesh = (message) => {
+    const receive = node.receiveFromPeer;
+    node.receiveFromPeer = (message) => {
       const decoded = decodePeerMessage(message);
       assert.ok(decoded, JSON.stringify(message));
       const encoded = JSON.parse(JSON.stringify(encodePeerMessage(decoded))) as { kind: string };
@@ -361,8 +365,8 @@
       team: job % 2 ? 'red' : 'blue',
     });
   await world.step(1500);
-  await world.ask(1, 'POST', '/v2/runs/req-1/abort');
+  await world.sendUserRequest(1, 'POST', '/v2/runs/req-1/abort');
   await world.step(12_000);
   assert.ok(kinds.has('news') && kinds.has('cancelled'), [...kinds].join(', '));
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/test/records.test.ts
+++ b/test/jobs/job-records.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decodeRecord, encodeRecord } from '../src/jobs/codec.js';
-import { withFinishedTasks } from '../src/jobs/stored-size.js';
-import { reassign } from '../src/jobs/record.js';
-import type { JobSpec } from '../src/jobs/spec.js';
-import { RangeSet } from '../src/model/ranges.js';
-import type { ShardId } from '../src/model/units.js';
-import { checkTrace } from './standins/trace.js';
-import { World } from './standins/world.js';
+import { decodeRecord, encodeRecord } from '../../src/jobs/codec.js';
+import { withFinishedTasks } from '../../src/jobs/stored-size.js';
+import { reassign } from '../../src/jobs/record.js';
+import type { JobSpec } from '../../src/jobs/spec.js';
+import { RangeSet } from '../../src/model/ranges.js';
+import type { ShardId } from '../../src/model/units.js';
+import { assertTraceMatches } from '../support/recorded-trace.js';
+import { SimulatedCluster } from '../support/simulated-cluster.js';
 
 const spec = { id: 'req-1', tasks: 100, kind: 'array' } as JobSpec;
 const record = {
@@ -28,21 +28,21 @@
 });
 
 test('a record that cannot be read stops nobody: it may come from a newer version', async () => {
-  const w = new World();
-  w.addWorker('large', 'east');
-  w.addWorker('large', 'west');
-  await w.start();
-  await w.submit(0, 'req-1', { service: true });
-  await w.step(1000);
-  const row = w.state.rows.get('c/live/req-1');
+  const cluster = new SimulatedCluster();
+  cluster.addWorker('large', 'east');
+  cluster.addWorker('large', 'west');
+  await cluster.start();
+  await cluster.submit(0, 'req-1', { service: true });
+  await cluster.step(1000);
+  const row = cluster.store.entries.get('c/live/req-1');
   assert.ok(row);
-  w.state.apply({
+  cluster.store.applyTransaction({
     when: [],
     apply: [{ put: 'c/live/req-1', data: { ...(row.data as object), parts: 'new form' } }],
   });
-  await w.step(3000);
-  assert.equal([...w.workers.values()].flatMap((m) => m.active()).length, 1);
-  checkTrace(w, 'unreadable-record');
+  await cluster.step(3000);
+  assert.equal([...cluster.workers.values()].flatMap((m) => m.runningTasks()).length, 1);
+  assertTraceMatches(cluster, 'unreadable-record');
 });
 
 test('handing tasks over splits an assignment and joins neighbours again', () => {
--- a/test/ranges.test.ts
+++ b/test/model/ranges.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RangeSet } from '../src/model/ranges.js';
+import { RangeSet } from '../../src/model/ranges.js';
 
 test('a range set joins neighbours, splits on removal and counts', () => {
   const set = RangeSet.of([
--- a/test/consolidation.test.ts
+++ b/test/scheduling/consolidation.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { allocate, newMachine, Shard, syncJob, type Allocation } from '../src/shards/model.js';
-import { chooseRelocation } from '../src/scheduling/consolidation.js';
-import type { InstanceType } from '../src/cloud/wire.js';
-import { Priority } from '../src/jobs/spec.js';
-import { RangeSet } from '../src/model/ranges.js';
+import { allocate, newMachine, Shard, syncJob, type Allocation } from '../../src/shards/model.js';
+import { chooseRelocation } from '../../src/scheduling/consolidation.js';
+import type { InstanceType } from '../../src/cloud/wire.js';
+import { Priority } from '../../src/jobs/spec.js';
+import { RangeSet } from '../../src/model/ranges.js';
 import type {
   Attempt,
   ImageId,
@@ -13,9 +13,9 @@
   SteadyMs,
   TaskIndex,
   InstanceTypeId,
-} from '../src/model/units.js';
-import { taskId } from '../src/model/units.js';
-import { plainSpec } from './standins/spec.js';
+} from '../../src/model/units.js';
+import { taskId } from '../../src/model/units.js';
+import { buildJobSpec } from '../support/job-specs.js';
 
 const NOW = 1_000_000 as SteadyMs;
 const types = new Map([
@@ -33,17 +33,17 @@
 ]);
 
 /** Machines by name with how many replicas and batch tasks each has. */
-function partWith(load: Record<string, { replicas: number; batch?: number }>, since = NOW - 90_000): Shard {
+function shardWith(load: Record<string, { replicas: number; batch?: number }>, since = NOW - 90_000): Shard {
   const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 0 as SteadyMs, types);
   shard.reconciled = true;
-  const service = plainSpec({
+  const service = buildJobSpec({
     id: 'req-s',
     kind: 'service',
     priority: Priority.critical,
     cpus: 1,
     memoryGb: 1,
   });
-  const batch = plainSpec({ id: 'req-b', cpus: 1, memoryGb: 1 });
+  const batch = buildJobSpec({ id: 'req-b', cpus: 1, memoryGb: 1 });
   const next = { 'req-s': 0, 'req-b': 0 };
   for (const spec of [service, batch]) {
     const assignments = [{ from: 0, to: 50, shard: shard.id, zone: null }];
@@ -57,7 +57,7 @@
     syncJob(shard, record as never, 1 as never, 0 as SteadyMs, false);
   }
   for (const [name, { replicas, batch: others }] of Object.entries(load)) {
-    const m = newMachine(
+    const machine = newMachine(
       name as MachineId,
       'a:1' as never,
       'small' as InstanceTypeId,
@@ -66,18 +66,18 @@
       NOW,
       true,
     );
-    m.lastHeardAt = NOW;
-    shard.addMachine(m);
-    shard.recordImage(m, 'img' as ImageId, 1);
+    machine.lastHeardAt = NOW;
+    shard.addMachine(machine);
+    shard.recordImage(machine, 'img' as ImageId, 1);
     for (let i = 0; i < replicas + (others ?? 0); i += 1) {
       const spec = i < replicas ? service : batch;
       const index = next[spec.id as 'req-s' | 'req-b']++ as TaskIndex;
-      const binding: Allocation = {
+      const allocation: Allocation = {
         id: taskId(spec.id, index),
         job: spec.id,
         index,
         attempt: 1 as Attempt,
-        machine: m.id,
+        machine: machine.id,
         spec: { ...spec, image: 'img' as ImageId },
         phase: 'running',
         allocatedAt: since as SteadyMs,
@@ -89,30 +89,32 @@
         unacknowledged: null,
         answeredSequence: null,
       };
-      allocate(shard, m, binding);
+      allocate(shard, machine, allocation);
     }
   }
   return shard;
 }
 
-const ctx = { now: NOW, types, reportMs: 1500 };
-const said = (shard: Shard): string => {
-  const move = chooseRelocation(shard, ctx);
+const context = { now: NOW, types, reportMs: 1500 };
+const describeMoves = (shard: Shard): string => {
+  const move = chooseRelocation(shard, context);
   return move ? `${move.allocation.machine} -> ${move.target.id}` : 'stays';
 };
 
-test('replicas move together: from the emptiest machine to the fullest, and only where that frees one', () => {
-  const spare = { e1: { replicas: 2, batch: 1 }, e2: { replicas: 2, batch: 1 }, e3: { replicas: 3 } };
+test('consolidation moves replicas from the emptiest machine to the fullest, and only where that frees one', () => {
+  const load = { e1: { replicas: 2, batch: 1 }, e2: { replicas: 2, batch: 1 }, e3: { replicas: 3 } };
   const idle = { i1: { replicas: 0 }, i2: { replicas: 0 } };
   const cases: Record<string, string> = {
-    'one has one replica': said(partWith({ a: { replicas: 1 }, ...spare, ...idle })),
-    'while more than half of the room is in use': said(partWith({ a: { replicas: 1 }, ...spare })),
-    'with a batch task beside it': said(
-      partWith({ a: { replicas: 1, batch: 1 }, f: { replicas: 3 }, ...idle }),
+    'one has one replica': describeMoves(shardWith({ a: { replicas: 1 }, ...load, ...idle })),
+    'while more than half of the room is in use': describeMoves(shardWith({ a: { replicas: 1 }, ...load })),
+    'with a batch task beside it': describeMoves(
+      shardWith({ a: { replicas: 1, batch: 1 }, f: { replicas: 3 }, ...idle }),
     ),
-    'nobody else holds more': said(partWith({ a: { replicas: 1 }, b: { replicas: 1 } })),
-    'no room would be left for the next service': said(partWith({ a: { replicas: 1 }, f: { replicas: 3 } })),
-    'started just now': said(partWith({ a: { replicas: 1 }, ...spare, ...idle }, NOW - 20_000)),
+    'nobody else holds more': describeMoves(shardWith({ a: { replicas: 1 }, b: { replicas: 1 } })),
+    'no room would be left for the next service': describeMoves(
+      shardWith({ a: { replicas: 1 }, f: { replicas: 3 } }),
+    ),
+    'started just now': describeMoves(shardWith({ a: { replicas: 1 }, ...load, ...idle }, NOW - 20_000)),
   };
   assert.deepEqual(cases, {
     'one has one replica': 'a -> e1',
--- a/test/gang.test.ts
+++ b/test/scheduling/gang-decisions.test.ts
@@ -1,16 +1,22 @@
 /** The table of a gang: each line, and what a gang must not be taken for. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decideGang, newGangHistory, type GangFacts, type GangMember } from '../src/model/gang.js';
-import { millis, type Attempt, type SteadyMs } from '../src/model/units.js';
+import { decideGang, newGangHistory, type GangFacts, type GangMember } from '../../src/model/gang.js';
+import { millis, type Attempt, type SteadyMs } from '../../src/model/units.js';
 
 const NOW = 100_000 as SteadyMs;
-const OURS = 1000;
+const FIRST_OWN_ATTEMPT = 1000;
 
-const member = (o: Partial<Record<keyof GangMember, unknown>> = {}): GangMember =>
-  ({ attempt: OURS, phase: 'gathering', stop: null, gatheringSince: NOW - 1000, ...o }) as GangMember;
+const member = (changes: Partial<Record<keyof GangMember, unknown>> = {}): GangMember =>
+  ({
+    attempt: FIRST_OWN_ATTEMPT,
+    phase: 'gathering',
+    stop: null,
+    gatheringSince: NOW - 1000,
+    ...changes,
+  }) as GangMember;
 
-function decide(members: GangMember[], o: Partial<GangFacts> = {}): string {
+function decide(members: GangMember[], facts: Partial<GangFacts> = {}): string {
   const { state, action } = decideGang({
     now: NOW,
     missing: false,
@@ -18,9 +24,9 @@
     history: newGangHistory(),
     finished: false,
     unaccounted: false,
-    issued: (attempt) => attempt >= OURS,
+    issued: (attempt) => attempt >= FIRST_OWN_ATTEMPT,
     waitLimit: millis(20_000),
-    ...o,
+    ...facts,
   });
   if (action.kind === 'stop') return `${state}: stop (${action.grace} s) ${action.reason}`;
   if (action.kind === 'replace') return `${state}: replace under ${action.attempt}`;
@@ -38,7 +44,7 @@
   mayHaveStarted: o.mayHaveStarted ?? false,
 });
 
-test('a gang without a task on a machine starts whole, once all of it is accounted for', () => {
+test('a gang without a task on a machine starts whole, once all of its tasks are reconciled', () => {
   assert.equal(decide([], { missing: true }), 'waiting: start');
   assert.equal(decide([], { missing: true, unaccounted: true }), 'waiting: wait');
 });
@@ -77,7 +83,7 @@
     'attempts that disagree',
   );
   assert.equal(
-    decide([member()], { missing: true, history: history({ failed: OURS }) }),
+    decide([member()], { missing: true, history: history({ failed: FIRST_OWN_ATTEMPT }) }),
     'stopping: stop (0 s) a task gave up waiting',
   );
   assert.equal(
@@ -102,7 +108,7 @@
   assert.equal(decide([running], { missing: true }), 'stopping: stop (0 s) a task of it is gone');
   assert.equal(decide([running], { missing: true, unaccounted: true }), 'running: wait');
   assert.equal(
-    decide([member()], { missing: true, history: history({ started: OURS }) }),
+    decide([member()], { missing: true, history: history({ started: FIRST_OWN_ATTEMPT }) }),
     'stopping: stop (0 s) a task of it is gone',
     'another task has lost its peers: it had started',
   );
--- /dev/null
+++ b/test/scheduling/reservations.test.ts
@@ -0,0 +1,56 @@
+/** What is kept for a task that has waited too long, by whichever resource it needs most of. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { UNLIMITED } from '../../src/model/resources.js';
+import type { Reservation } from '../../src/shards/model.js';
+import { OVERDUE_AFTER_MS } from '../../src/scheduling/cycle.js';
+import { CycleRunner } from '../support/cycle-runner.js';
+
+const CAPACITY = { cpus: 32, gpus: 8, memoryGb: 64 };
+const CYCLE_MS = 2000;
+
+function runCyclesFor(runner: CycleRunner, ms: number): void {
+  for (let at = 0; at < ms; at += CYCLE_MS) assert.equal(runner.runCycle(), 'nothing');
+}
+
+const reservationOf = (runner: CycleRunner, job: string): Reservation | undefined =>
+  runner.shard.jobs.get(job as never)?.reservations.get(0);
+
+test('for a task that needs most of the GPUs the machine with most GPUs free is reserved', () => {
+  const runner = new CycleRunner(2, { capacity: CAPACITY });
+  runner.addRunningTask('req-a', 'm-0', { cpus: 1, gpus: 6 });
+  runner.addRunningTask('req-b', 'm-1', { cpus: 20, gpus: 4 });
+  runner.addJob('req-large', { cpus: 1, gpus: 8 });
+  runCyclesFor(runner, 58_000);
+  assert.equal(reservationOf(runner, 'req-large'), undefined);
+  runCyclesFor(runner, 10_000);
+  const { machine, withoutPreemption: reserved } = reservationOf(runner, 'req-large') as Reservation;
+  assert.deepEqual([machine, reserved], ['m-1', true]);
+});
+
+test('for a task that needs most of the memory a machine is reserved, and none for one that needs little', () => {
+  for (const [memoryGb, kept] of [
+    [40, true],
+    [20, false],
+  ] as const) {
+    const runner = new CycleRunner(1, { capacity: CAPACITY });
+    runner.addRunningTask('req-a', 'm-0', { memoryGb: 50 });
+    runner.addJob('req-large', { cpus: 1, memoryGb });
+    runCyclesFor(runner, 70_000);
+    assert.equal(reservationOf(runner, 'req-large')?.withoutPreemption ?? false, kept, `${memoryGb} GB`);
+  }
+});
+
+test('smaller tasks of the team do not take the GPUs of its limit that an overdue one waits for', () => {
+  const shardQuota = { ...UNLIMITED, gpus: 7 };
+  const fresh = new CycleRunner(2, { capacity: CAPACITY, shardQuota });
+  fresh.addJob('req-large', { gpus: 8 });
+  fresh.addJob('req-small', { gpus: 1, tasks: 10 });
+  assert.equal(fresh.runCycle().split('; ').length, 7);
+
+  const overdue = new CycleRunner(2, { capacity: CAPACITY, shardQuota });
+  overdue.addJob('req-large', { gpus: 8 });
+  runCyclesFor(overdue, OVERDUE_AFTER_MS + CYCLE_MS);
+  overdue.addJob('req-small', { gpus: 1, tasks: 10 });
+  assert.equal(overdue.runCycle(), 'nothing');
+});
--- a/test/settings.test.ts
+++ b/test/settings/settings.test.ts
@@ -5,15 +5,15 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { test } from 'node:test';
-import { parseLogLevel, parseSettings, parseTuning } from '../src/settings/settings.js';
-import { settingsText } from './standins/world.js';
+import { parseLogLevel, parseSettings, parseTuning } from '../../src/settings/settings.js';
+import { settingsText } from '../support/simulated-cluster.js';
 
 const said = (work: () => unknown): string => {
   try {
     work();
     return 'valid';
-  } catch (e) {
-    return (e as Error).message;
+  } catch (error) {
+    return (error as Error).message;
   }
 };
 
@@ -102,13 +102,13 @@
   );
 });
 
-const MAIN = fileURLToPath(new URL('../src/main.js', import.meta.url));
+const MAIN = fileURLToPath(new URL('../../src/main.js', import.meta.url));
 const run = (...args: string[]): { code: number | null; out: string; err: string } => {
-  const r = spawnSync(process.execPath, [MAIN, ...args], {
+  const result = spawnSync(process.execPath, [MAIN, ...args], {
     encoding: 'utf8',
     env: { ...process.env, LOG_LEVEL: 'info' },
   });
-  return { code: r.status, out: r.stdout, err: r.stderr };
+  return { code: result.status, out: result.stdout, err: result.stderr };
 };
 
 test('the command line: help, version, check, and exit code 2 with one line for what is wrong', () => {
--- a/test/schedules.test.ts
+++ b/test/simulation/schedules.test.ts
@@ -3,10 +3,10 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { parseScenario } from '../src/simulation/scenario.js';
-import { Simulation } from '../src/simulation/simulation.js';
+import { parseScenario } from '../../src/simulation/scenario.js';
+import { Simulation } from '../../src/simulation/simulation.js';
 
-const SCHEDULES = fileURLToPath(new URL('../../test/schedules/', import.meta.url));
+const SCHEDULES = fileURLToPath(new URL('../../../test/schedules/', import.meta.url));
 
 for (const file of readdirSync(SCHEDULES).filter((name) => name.endsWith('.toml')))
   test(`schedule ${file} breaks no rule`, async () => {
--- a/test/simulation.test.ts
+++ b/test/simulation/simulation.test.ts
@@ -3,23 +3,28 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import type { Core } from '../src/core.js';
-import { TaskTransferService } from '../src/overflow/task-transfer.js';
-import type { JobRecord } from '../src/jobs/record.js';
-import { silentLog } from '../src/logging/log.js';
-import { Shard, syncJob, type ShardJob } from '../src/shards/model.js';
-import { planCycle } from '../src/scheduling/plan.js';
-import type { SchedulingContext } from '../src/scheduling/cycle.js';
-import { RangeSet } from '../src/model/ranges.js';
-import { EventQueue, Host } from '../src/simulation/clock.js';
-import type { Defect } from '../src/simulation/defects.js';
-import { fuzzOne } from '../src/simulation/fuzz-run.js';
-import { randomScenario } from '../src/simulation/scenario-generator.js';
-import type { UserJob } from '../src/simulation/user-jobs.js';
-import { InvariantChecker, RULES, type MachineView, type Rule } from '../src/simulation/invariant-checker.js';
-import { Network, type PartitionMode } from '../src/simulation/network.js';
-import type { MachineSpec, UserResponse } from '../src/simulation/observer.js';
-import { RandomStream } from '../src/simulation/random.js';
+import type { Core } from '../../src/core.js';
+import { TaskTransferService } from '../../src/overflow/task-transfer.js';
+import type { JobRecord } from '../../src/jobs/record.js';
+import { silentLog } from '../../src/logging/log.js';
+import { Shard, syncJob, type ShardJob } from '../../src/shards/model.js';
+import { planCycle } from '../../src/scheduling/plan.js';
+import type { SchedulingContext } from '../../src/scheduling/cycle.js';
+import { RangeSet } from '../../src/model/ranges.js';
+import { EventQueue, Host } from '../../src/simulation/clock.js';
+import type { Defect } from '../../src/simulation/defects.js';
+import { fuzzOne } from '../../src/simulation/fuzz-run.js';
+import { randomScenario } from '../../src/simulation/scenario-generator.js';
+import type { UserJob } from '../../src/simulation/user-jobs.js';
+import {
+  InvariantChecker,
+  RULES,
+  type MachineView,
+  type Rule,
+} from '../../src/simulation/invariant-checker.js';
+import { Network, type PartitionMode } from '../../src/simulation/network.js';
+import type { MachineSpec, UserResponse } from '../../src/simulation/observer.js';
+import { RandomStream } from '../../src/simulation/random.js';
 import {
   checkScenario,
   formatScenario,
@@ -28,14 +33,14 @@
   type FaultInput,
   type Scenario,
   type ScenarioInput,
-} from '../src/simulation/scenario.js';
-import { shrink } from '../src/simulation/shrink.js';
-import { Simulation, type SimulationResult } from '../src/simulation/simulation.js';
-import type { ShardId, SteadyMs } from '../src/model/units.js';
-import { plainSpec } from './standins/spec.js';
-import { PLAIN_JOB } from './standins/user-job.js';
+} from '../../src/simulation/scenario.js';
+import { shrink } from '../../src/simulation/shrink.js';
+import { Simulation, type SimulationResult } from '../../src/simulation/simulation.js';
+import type { ShardId, SteadyMs } from '../../src/model/units.js';
+import { buildJobSpec } from '../support/job-specs.js';
+import { SAMPLE_USER_JOB } from '../support/user-job.js';
 
-const SCENARIOS = fileURLToPath(new URL('../../scenarios/', import.meta.url));
+const SCENARIOS = fileURLToPath(new URL('../../../scenarios/', import.meta.url));
 
 const smallInput = (changes: Partial<ScenarioInput> = {}): ScenarioInput => ({
   name: 'small',
@@ -62,17 +67,24 @@
   ...changes,
 });
 
-const small = (changes: Partial<ScenarioInput> = {}): Scenario => checkScenario(smallInput(changes), 'small');
+const smallScenario = (changes: Partial<ScenarioInput> = {}): Scenario =>
+  checkScenario(smallInput(changes), 'small');
 
-const run = (scenario: Scenario, defects: Defect[] = [], stopAt: Rule[] = []): Promise<SimulationResult> =>
+const runScenario = (
+  scenario: Scenario,
+  defects: Defect[] = [],
+  stopAt: Rule[] = [],
+): Promise<SimulationResult> =>
   new Simulation(scenario, { seed: scenario.seed, defects, stopOnRules: stopAt }).run();
 
-const brokenRules = (result: SimulationResult): Rule[] => [...new Set(result.violations.map((v) => v.rule))];
+const violatedRules = (result: SimulationResult): Rule[] => [
+  ...new Set(result.violations.map((v) => v.rule)),
+];
 
 test('the same scenario and seed give the same history, another seed another one', async () => {
   const scenario = randomScenario(11, null);
   const short = { ...scenario, duration_s: 60 };
-  const [first, second] = [await run(short), await run(short)];
+  const [first, second] = [await runScenario(short), await runScenario(short)];
   assert.ok(first.events > 1000);
   assert.equal(first.hash, second.hash);
   assert.equal(first.events, second.events);
@@ -80,12 +92,12 @@
   assert.notEqual(first.hash, other.hash);
 });
 
-test('every example scenario runs, with its faults and without a broken rule', async () => {
+test('every example scenario runs, with its faults and without a violated invariant', async () => {
   const files = readdirSync(SCENARIOS).filter((f) => f.endsWith('.toml'));
   assert.ok(files.length >= 5);
   for (const file of files) {
     const scenario = parseScenario(readFileSync(`${SCENARIOS}${file}`, 'utf8'), file);
-    const result = await run(scenario);
+    const result = await runScenario(scenario);
     assert.deepEqual(result.violations, [], file);
     assert.equal(result.figures['faultsBegun'], scenario.faults.length, file);
     assert.ok((result.figures['done'] ?? 0) > 10, `${file}: jobs end`);
@@ -93,7 +105,7 @@
 });
 
 test('a scenario that cannot be run is refused in one line that names the field', () => {
-  const text = (s: ScenarioInput): string => formatScenario(s as Scenario);
+  const text = (candidate: ScenarioInput): string => formatScenario(candidate as Scenario);
   const expectError = (file: string, pattern: RegExp): void =>
     assert.throws(
       () => parseScenario(file, 'a.toml'),
@@ -122,7 +134,7 @@
   const hasty = { ...smallInput().deployment, cancel_s: 5 };
   expectError(text(smallInput({ deployment: hasty })), /deployment\.cancel_s: expected more than lease_s/);
   const stranger = smallInput();
-  const load = stranger.load.map((l) => ({ ...l, team: 'nobody' }));
+  const load = stranger.load.map((load) => ({ ...load, team: 'nobody' }));
   expectError(text({ ...stranger, load }), /load\[0\]\.team: expected one of atlas, got "nobody"/);
 });
 
@@ -134,10 +146,10 @@
 });
 
 /** A judge of its own with a clock, and what a broken history is made of. */
-class Bench {
+class CheckerFixture {
   readonly queue = new EventQueue();
   machines: MachineView[] = [];
-  readonly judge = new InvariantChecker(this.queue, {
+  readonly checker = new InvariantChecker(this.queue, {
     teams: [{ name: 'atlas', cpusMax: 8, gpusMax: 0 }],
     cancelS: 30,
     machines: () => this.machines,
@@ -148,7 +160,7 @@
   }
 
   submit(changes: Partial<UserJob> = {}): void {
-    this.judge.jobSubmitted({ ...PLAIN_JOB, ...changes });
+    this.checker.jobSubmitted({ ...SAMPLE_USER_JOB, ...changes });
   }
 
   answer(
@@ -158,7 +170,7 @@
     more: Partial<UserResponse> = {},
   ): void {
     const { now } = this.queue;
-    this.judge.responseReceived({
+    this.checker.responseReceived({
       kind,
       job: 'req-1',
       sentAt: now,
@@ -170,363 +182,383 @@
     });
   }
 
-  rules(): Rule[] {
-    return this.judge.violations.map((v) => v.rule);
+  violatedRules(): Rule[] {
+    return this.checker.violations.map((v) => v.rule);
   }
 }
 
-type History = (b: Bench) => void | Promise<void>;
+type History = (fixture: CheckerFixture) => void | Promise<void>;
 
 /** For each rule histories that break it, and next to them one that does not. */
 const HISTORIES: readonly { rule: Rule; name: string; broken: History; sound: History }[] = [
   {
     rule: 'ran_twice',
     name: 'a task starts on a second machine',
-    broken: (b) => {
-      b.submit();
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
-      b.judge.taskStarted(b.machine('m-2'), 'req-1/0');
+    broken: (fixture) => {
+      fixture.submit();
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
+      fixture.checker.taskStarted(fixture.machine('m-2'), 'req-1/0');
     },
-    sound: (b) => {
-      b.submit();
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
-      b.judge.taskEnded(b.machine('m-1'), 'req-1/0', false);
-      b.judge.taskStarted(b.machine('m-2'), 'req-1/0');
+    sound: (fixture) => {
+      fixture.submit();
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
+      fixture.checker.taskEnded(fixture.machine('m-1'), 'req-1/0', false);
+      fixture.checker.taskStarted(fixture.machine('m-2'), 'req-1/0');
     },
   },
   {
     rule: 'quota',
     name: 'a team uses 10 CPUs of 8',
-    broken: (b) => {
-      b.submit({ cpus: 5 });
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
-      b.judge.taskStarted(b.machine('m-2'), 'req-1/1');
+    broken: (fixture) => {
+      fixture.submit({ cpus: 5 });
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
+      fixture.checker.taskStarted(fixture.machine('m-2'), 'req-1/1');
     },
-    sound: (b) => {
-      b.submit({ cpus: 4 });
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
-      b.judge.taskStarted(b.machine('m-2'), 'req-1/1');
+    sound: (fixture) => {
+      fixture.submit({ cpus: 4 });
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
+      fixture.checker.taskStarted(fixture.machine('m-2'), 'req-1/1');
     },
   },
   {
     rule: 'wrong_place',
     name: 'another type',
-    broken: (b) => {
-      b.submit({ types: ['spruce'] });
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
+    broken: (fixture) => {
+      fixture.submit({ types: ['spruce'] });
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
     },
-    sound: (b) => {
-      b.submit({ types: ['birch'] });
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
+    sound: (fixture) => {
+      fixture.submit({ types: ['birch'] });
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
     },
   },
   {
     rule: 'wrong_place',
     name: 'another zone',
-    broken: (b) => {
-      b.submit({ zone: 'ridge' });
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
+    broken: (fixture) => {
+      fixture.submit({ zone: 'ridge' });
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
     },
-    sound: (b) => {
-      b.submit({ zone: 'fjord' });
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
+    sound: (fixture) => {
+      fixture.submit({ zone: 'fjord' });
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
     },
   },
   {
     rule: 'wrong_place',
     name: 'a spot machine',
-    broken: (b) => {
-      b.submit();
-      b.judge.taskStarted(b.machine('m-1', { spot: true }), 'req-1/0');
+    broken: (fixture) => {
+      fixture.submit();
+      fixture.checker.taskStarted(fixture.machine('m-1', { spot: true }), 'req-1/0');
     },
-    sound: (b) => {
-      b.submit({ spot: true });
-      b.judge.taskStarted(b.machine('m-1', { spot: true }), 'req-1/0');
+    sound: (fixture) => {
+      fixture.submit({ spot: true });
+      fixture.checker.taskStarted(fixture.machine('m-1', { spot: true }), 'req-1/0');
     },
   },
   {
     rule: 'wrong_place',
     name: 'two zones for a job of one',
-    broken: (b) => {
-      b.submit({ sameZone: true });
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
-      b.judge.taskStarted(b.machine('m-2', { zone: 'ridge' }), 'req-1/1');
+    broken: (fixture) => {
+      fixture.submit({ sameZone: true });
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
+      fixture.checker.taskStarted(fixture.machine('m-2', { zone: 'ridge' }), 'req-1/1');
     },
-    sound: (b) => {
-      b.submit({ sameZone: true });
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
-      b.judge.taskEnded(b.machine('m-1'), 'req-1/0', true);
-      b.judge.taskStarted(b.machine('m-2', { zone: 'ridge' }), 'req-1/1');
+    sound: (fixture) => {
+      fixture.submit({ sameZone: true });
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
+      fixture.checker.taskEnded(fixture.machine('m-1'), 'req-1/0', true);
+      fixture.checker.taskStarted(fixture.machine('m-2', { zone: 'ridge' }), 'req-1/1');
     },
   },
   {
     rule: 'wrong_place',
     name: 'more than half of a spread job in one zone',
-    broken: (b) => {
-      b.submit({ spread: true });
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
-      b.judge.taskStarted(b.machine('m-2'), 'req-1/1');
+    broken: (fixture) => {
+      fixture.submit({ spread: true });
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
+      fixture.checker.taskStarted(fixture.machine('m-2'), 'req-1/1');
     },
-    sound: (b) => {
-      b.submit({ spread: true });
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
-      b.judge.taskStarted(b.machine('m-2', { zone: 'ridge' }), 'req-1/1');
+    sound: (fixture) => {
+      fixture.submit({ spread: true });
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
+      fixture.checker.taskStarted(fixture.machine('m-2', { zone: 'ridge' }), 'req-1/1');
     },
   },
   {
     rule: 'ran_cancelled',
     name: 'a task stays after its job was cancelled',
-    broken: async (b) => {
-      b.submit();
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
-      b.judge.cancelRequested('req-1');
-      b.answer('cancel', 200, 'cancelled');
-      await b.queue.run(31_000);
-    },
-    sound: async (b) => {
-      b.submit();
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
-      b.judge.cancelRequested('req-1');
-      b.answer('cancel', 200, 'cancelled');
-      await b.queue.run(29_000);
-      b.judge.taskEnded(b.machine('m-1'), 'req-1/0', false);
-      await b.queue.run(31_000);
+    broken: async (fixture) => {
+      fixture.submit();
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
+      fixture.checker.cancelRequested('req-1');
+      fixture.answer('cancel', 200, 'cancelled');
+      await fixture.queue.run(31_000);
+    },
+    sound: async (fixture) => {
+      fixture.submit();
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
+      fixture.checker.cancelRequested('req-1');
+      fixture.answer('cancel', 200, 'cancelled');
+      await fixture.queue.run(29_000);
+      fixture.checker.taskEnded(fixture.machine('m-1'), 'req-1/0', false);
+      await fixture.queue.run(31_000);
     },
   },
   {
     rule: 'ran_cancelled',
     name: 'a task starts long after its job was cancelled',
-    broken: async (b) => {
-      b.submit();
-      b.judge.cancelRequested('req-1');
-      b.answer('cancel', 200, 'cancelled');
-      await b.queue.run(31_000);
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
+    broken: async (fixture) => {
+      fixture.submit();
+      fixture.checker.cancelRequested('req-1');
+      fixture.answer('cancel', 200, 'cancelled');
+      await fixture.queue.run(31_000);
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
     },
-    sound: (b) => {
-      b.submit();
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
+    sound: (fixture) => {
+      fixture.submit();
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
     },
   },
   {
     rule: 'forgotten',
     name: 'an accepted job gets 404',
-    broken: (b) => {
-      b.submit();
-      b.answer('submit', 201, 'pending');
-      b.answer('ask', 404, null);
+    broken: (fixture) => {
+      fixture.submit();
+      fixture.answer('submit', 201, 'pending');
+      fixture.answer('ask', 404, null);
     },
-    sound: (b) => {
-      b.submit();
-      b.answer('ask', 404, null);
-      b.answer('submit', 201, 'pending');
+    sound: (fixture) => {
+      fixture.submit();
+      fixture.answer('ask', 404, null);
+      fixture.answer('submit', 201, 'pending');
     },
   },
   {
     rule: 'forgotten',
     name: 'an accepted job is refused when it is submitted again',
-    broken: (b) => {
-      b.submit();
-      b.answer('submit', 201, 'pending');
-      b.answer('submit', 422, null);
+    broken: (fixture) => {
+      fixture.submit();
+      fixture.answer('submit', 201, 'pending');
+      fixture.answer('submit', 422, null);
     },
-    sound: (b) => {
-      b.submit();
-      b.answer('submit', 422, null);
+    sound: (fixture) => {
+      fixture.submit();
+      fixture.answer('submit', 422, null);
     },
   },
   {
     rule: 'forgotten',
     name: 'every question about a job fails for 90 s while others are answered',
-    broken: (b) => pollsOfTwoJobs(b, () => null),
-    sound: (b) => pollsOfTwoJobs(b, (at) => (at === 60_000 ? 200 : null)),
+    broken: (fixture) => pollsOfTwoJobs(fixture, () => null),
+    sound: (fixture) => pollsOfTwoJobs(fixture, (at) => (at === 60_000 ? 200 : null)),
   },
   {
     rule: 'forgotten',
     name: 'no question is answered for 75 s after all faults',
-    broken: (b) => pollsInQuiet(b, 80_000),
-    sound: (b) => pollsInQuiet(b, 70_000),
+    broken: (fixture) => pollsInQuiet(fixture, 80_000),
+    sound: (fixture) => pollsInQuiet(fixture, 70_000),
   },
   {
     rule: 'invented',
     name: 'a job that nobody submitted gets 200',
-    broken: (b) => b.answer('ask', 200, 'running'),
-    sound: (b) => b.answer('ask', 404, null),
+    broken: (fixture) => fixture.answer('ask', 200, 'running'),
+    sound: (fixture) => fixture.answer('ask', 404, null),
   },
   {
     rule: 'not_done',
     name: 'a job is called done before its last task',
-    broken: (b) => {
-      b.submit();
-      complete(b, 1);
-      b.answer('ask', 200, 'done');
+    broken: (fixture) => {
+      fixture.submit();
+      complete(fixture, 1);
+      fixture.answer('ask', 200, 'done');
     },
-    sound: (b) => {
-      b.submit();
-      complete(b, 2);
-      b.answer('ask', 200, 'done');
+    sound: (fixture) => {
+      fixture.submit();
+      complete(fixture, 2);
+      fixture.answer('ask', 200, 'done');
     },
   },
   {
     rule: 'went_back',
     name: 'a job called done is later called running',
-    broken: async (b) => {
-      b.submit();
-      complete(b, 2);
-      b.answer('ask', 200, 'done');
-      await b.queue.run(10);
-      b.answer('ask', 200, 'running');
-    },
-    sound: async (b) => {
-      b.submit();
-      complete(b, 2);
-      await b.queue.run(10);
-      b.answer('ask', 200, 'done');
+    broken: async (fixture) => {
+      fixture.submit();
+      complete(fixture, 2);
+      fixture.answer('ask', 200, 'done');
+      await fixture.queue.run(10);
+      fixture.answer('ask', 200, 'running');
+    },
+    sound: async (fixture) => {
+      fixture.submit();
+      complete(fixture, 2);
+      await fixture.queue.run(10);
+      fixture.answer('ask', 200, 'done');
       // Asked before the other answer came: it may say what was so then.
-      b.answer('ask', 200, 'running', { sentAt: 5 });
+      fixture.answer('ask', 200, 'running', { sentAt: 5 });
     },
   },
   {
     rule: 'went_back',
     name: 'a job that nobody cancelled is called cancelled',
-    broken: (b) => {
-      b.submit();
-      b.answer('ask', 200, 'cancelled');
+    broken: (fixture) => {
+      fixture.submit();
+      fixture.answer('ask', 200, 'cancelled');
     },
-    sound: (b) => {
-      b.submit();
-      b.judge.cancelRequested('req-1');
-      b.answer('ask', 200, 'cancelled');
+    sound: (fixture) => {
+      fixture.submit();
+      fixture.checker.cancelRequested('req-1');
+      fixture.answer('ask', 200, 'cancelled');
     },
   },
   {
     rule: 'nothing_ran',
     name: 'no task is started at all',
-    broken: (b) => {
-      b.submit();
-      b.answer('submit', 201, 'pending');
-      b.judge.finish();
+    broken: (fixture) => {
+      fixture.submit();
+      fixture.answer('submit', 201, 'pending');
+      fixture.checker.finish();
     },
-    sound: (b) => {
-      b.submit();
-      b.answer('submit', 201, 'pending');
-      b.judge.taskStarted(b.machine('m-1'), 'req-1/0');
-      b.judge.finish();
+    sound: (fixture) => {
+      fixture.submit();
+      fixture.answer('submit', 201, 'pending');
+      fixture.checker.taskStarted(fixture.machine('m-1'), 'req-1/0');
+      fixture.checker.finish();
     },
   },
   {
     rule: 'left_waiting',
     name: 'a job waits while there is room',
-    broken: (b) => waitsBesideRoom(b, 2),
-    sound: (b) => waitsBesideRoom(b, 1),
+    broken: (fixture) => waitsBesideFreeCapacity(fixture, 2),
+    sound: (fixture) => waitsBesideFreeCapacity(fixture, 1),
   },
   {
     rule: 'left_waiting',
     name: 'a gang waits while there is room for all of it',
-    broken: (b) => waitsBesideRoom(b, 4, { shape: 'gang', tasks: 2 }),
-    sound: (b) => waitsBesideRoom(b, 3, { shape: 'gang', tasks: 2 }),
+    broken: (fixture) => waitsBesideFreeCapacity(fixture, 4, { shape: 'gang', tasks: 2 }),
+    sound: (fixture) => waitsBesideFreeCapacity(fixture, 3, { shape: 'gang', tasks: 2 }),
   },
   {
     rule: 'left_waiting',
     name: 'a gang gathers and never runs though there is room for all of it',
-    broken: (b) => gathersForLong(b, false),
-    sound: (b) => gathersForLong(b, true),
+    broken: (fixture) => gangJoinsSlowly(fixture, false),
+    sound: (fixture) => gangJoinsSlowly(fixture, true),
   },
   {
     rule: 'gang_rejoined',
     name: 'a task joins an attempt of its gang that had started',
-    broken: (b) => {
-      b.submit({ shape: 'gang' });
-      b.judge.gangStarted('req-1');
-      b.judge.gangRejoined('req-1', 'req-1/0');
+    broken: (fixture) => {
+      fixture.submit({ shape: 'gang' });
+      fixture.checker.gangStarted('req-1');
+      fixture.checker.gangRejoined('req-1', 'req-1/0');
     },
-    sound: (b) => {
-      b.submit({ shape: 'gang' });
-      b.judge.gangStarted('req-1');
+    sound: (fixture) => {
+      fixture.submit({ shape: 'gang' });
+      fixture.checker.gangStarted('req-1');
     },
   },
 ];
 
-function complete(b: Bench, tasks: number): void {
+function complete(fixture: CheckerFixture, tasks: number): void {
   for (let i = 0; i < tasks; i += 1) {
-    b.judge.taskStarted(b.machine('m-1'), `req-1/${i}`);
-    b.judge.taskEnded(b.machine('m-1'), `req-1/${i}`, true);
+    fixture.checker.taskStarted(fixture.machine('m-1'), `req-1/${i}`);
+    fixture.checker.taskEnded(fixture.machine('m-1'), `req-1/${i}`, true);
   }
 }
 
-async function pollsOfTwoJobs(b: Bench, status: (at: number) => number | null): Promise<void> {
-  b.submit();
-  b.submit({ id: 'req-2' });
-  b.answer('submit', 201, 'pending');
+async function pollsOfTwoJobs(fixture: CheckerFixture, status: (at: number) => number | null): Promise<void> {
+  fixture.submit();
+  fixture.submit({ id: 'req-2' });
+  fixture.answer('submit', 201, 'pending');
   for (let at = 5000; at <= 110_000; at += 5000) {
-    await b.queue.run(at);
-    b.answer('ask', status(at), status(at) === null ? null : 'pending');
-    b.answer('ask', 200, 'pending', { job: 'req-2' });
-    b.answer('ask', 200, 'pending', { job: 'req-2' });
+    await fixture.queue.run(at);
+    fixture.answer('ask', status(at), status(at) === null ? null : 'pending');
+    fixture.answer('ask', 200, 'pending', { job: 'req-2' });
+    fixture.answer('ask', 200, 'pending', { job: 'req-2' });
   }
 }
 
-async function pollsInQuiet(b: Bench, until: number): Promise<void> {
-  b.submit();
-  b.answer('submit', 201, 'pending');
-  b.judge.setFaultsOver(true);
-  b.answer('ask', null, null);
-  await b.queue.run(until);
+async function pollsInQuiet(fixture: CheckerFixture, until: number): Promise<void> {
+  fixture.submit();
+  fixture.answer('submit', 201, 'pending');
+  fixture.checker.setFaultsOver(true);
+  fixture.answer('ask', null, null);
+  await fixture.queue.run(until);
 }
 
 /** The machine next to it has room for that many CPUs; the job's tasks take two. */
-async function waitsBesideRoom(b: Bench, cpus: number, job: Partial<UserJob> = {}): Promise<void> {
-  b.submit(job);
-  b.answer('submit', 201, 'pending');
-  b.judge.setFaultsOver(true);
-  b.machines = [{ spec: b.machine('m-1'), free: { cpus, gpus: 0, memoryGb: 8 }, occupyingTasks: [] }];
-  await b.queue.run(100_000);
+async function waitsBesideFreeCapacity(
+  fixture: CheckerFixture,
+  cpus: number,
+  job: Partial<UserJob> = {},
+): Promise<void> {
+  fixture.submit(job);
+  fixture.answer('submit', 201, 'pending');
+  fixture.checker.setFaultsOver(true);
+  fixture.machines = [
+    { spec: fixture.machine('m-1'), free: { cpus, gpus: 0, memoryGb: 8 }, occupyingTasks: [] },
+  ];
+  await fixture.queue.run(100_000);
 }
 
 /** One of two tasks is on a machine, which has room for the other. */
-async function gathersForLong(b: Bench, runs: boolean): Promise<void> {
-  b.submit({ shape: 'gang' });
-  b.answer('submit', 201, 'pending');
-  b.judge.setFaultsOver(true);
-  const machine = b.machine('m-1');
-  b.judge.taskStarted(machine, 'req-1/0');
-  if (runs) b.judge.gangStarted('req-1');
-  b.machines = [{ spec: machine, free: { cpus: 2, gpus: 0, memoryGb: 8 }, occupyingTasks: ['req-1/0'] }];
-  await b.queue.run(100_000);
+async function gangJoinsSlowly(fixture: CheckerFixture, runs: boolean): Promise<void> {
+  fixture.submit({ shape: 'gang' });
+  fixture.answer('submit', 201, 'pending');
+  fixture.checker.setFaultsOver(true);
+  const machine = fixture.machine('m-1');
+  fixture.checker.taskStarted(machine, 'req-1/0');
+  if (runs) fixture.checker.gangStarted('req-1');
+  fixture.machines = [
+    { spec: machine, free: { cpus: 2, gpus: 0, memoryGb: 8 }, occupyingTasks: ['req-1/0'] },
+  ];
+  await fixture.queue.run(100_000);
 }
 
-test('the judge finds each broken rule in a history that breaks it, and nothing in its neighbour', async () => {
+test('the invariant checker finds each violation in a history that has it, and nothing in its neighbour', async () => {
   for (const { rule, name, broken, sound } of HISTORIES) {
-    const bad = new Bench();
+    const bad = new CheckerFixture();
     await broken(bad);
-    assert.deepEqual(bad.rules(), [rule], name);
-    const good = new Bench();
+    assert.deepEqual(bad.violatedRules(), [rule], name);
+    const good = new CheckerFixture();
     await sound(good);
-    assert.deepEqual(good.rules(), [], `next to: ${name}`);
+    assert.deepEqual(good.violatedRules(), [], `next to: ${name}`);
   }
   assert.deepEqual(new Set(HISTORIES.map((h) => h.rule)), new Set(RULES), 'every rule has a history');
 });
 
-const LATE: FaultInput = { kind: 'late_commands', at_s: 8, for_s: 30, share: 0.8 };
-const shortLease = { ...smallInput().deployment, lease_s: 6 };
-const cancelled = smallInput().load.map((l) => ({
-  ...l,
+const LATE_COMMANDS: FaultInput = { kind: 'late_commands', at_s: 8, for_s: 30, share: 0.8 };
+const SHORT_LEASE = { ...smallInput().deployment, lease_s: 6 };
+const CANCELLED_LOAD = smallInput().load.map((load) => ({
+  ...load,
   cancel_share: 0.5,
   cancel_after_s: [2, 5] as [number, number],
 }));
 
-const long = cancelled.map((l) => ({ ...l, run_s: [80, 90] as [number, number], per_minute: 30 }));
+const LONG_CANCELLED_LOAD = CANCELLED_LOAD.map((load) => ({
+  ...load,
+  run_s: [80, 90] as [number, number],
+  per_minute: 30,
+}));
 
 /** Faults of the model that the controllers cannot answer for, and the rule that breaks with them. */
 const DEFECTS: readonly { defect: Defect; rule: Rule; scenario: Scenario }[] = [
-  { defect: 'state-ignores-conditions', rule: 'forgotten', scenario: small({ load: cancelled }) },
-  { defect: 'state-watch-loses-deletions', rule: 'went_back', scenario: small({ load: cancelled }) },
+  {
+    defect: 'state-ignores-conditions',
+    rule: 'forgotten',
+    scenario: smallScenario({ load: CANCELLED_LOAD }),
+  },
+  {
+    defect: 'state-watch-loses-deletions',
+    rule: 'went_back',
+    scenario: smallScenario({ load: CANCELLED_LOAD }),
+  },
   {
     defect: 'worker-ignores-tokens',
     rule: 'ran_twice',
-    scenario: small({
+    scenario: smallScenario({
       faults: [
-        LATE,
+        LATE_COMMANDS,
         { kind: 'all_controllers_end', at_s: 14, restart_s: 0.3 },
         { kind: 'all_controllers_end', at_s: 22, restart_s: 0.3 },
       ],
@@ -535,10 +567,10 @@
   {
     defect: 'worker-ignores-sessions',
     rule: 'ran_twice',
-    scenario: small({
-      deployment: shortLease,
+    scenario: smallScenario({
+      deployment: SHORT_LEASE,
       faults: [
-        { ...LATE, share: 0.9 },
+        { ...LATE_COMMANDS, share: 0.9 },
         { kind: 'machine_mute', at_s: 9, for_s: 25, share: 0.6 },
       ],
     }),
@@ -546,20 +578,24 @@
   {
     defect: 'worker-ignores-its-lease',
     rule: 'ran_twice',
-    scenario: small({
-      deployment: shortLease,
+    scenario: smallScenario({
+      deployment: SHORT_LEASE,
       faults: [{ kind: 'machine_cut', at_s: 12, for_s: 30, share: 0.5, mode: 'drop' }],
     }),
   },
-  { defect: 'worker-ignores-stops', rule: 'ran_cancelled', scenario: small({ load: long }) },
-  { defect: 'worker-reports-nothing', rule: 'ran_twice', scenario: small() },
-  { defect: 'worker-claims-done', rule: 'not_done', scenario: small() },
+  {
+    defect: 'worker-ignores-stops',
+    rule: 'ran_cancelled',
+    scenario: smallScenario({ load: LONG_CANCELLED_LOAD }),
+  },
+  { defect: 'worker-reports-nothing', rule: 'ran_twice', scenario: smallScenario() },
+  { defect: 'worker-claims-done', rule: 'not_done', scenario: smallScenario() },
 ];
 
-test('with a defect in the model the judge finds the rule that breaks; without it nothing is broken', async () => {
+test('with a defect in the model the invariant checker finds the violated rule; without it nothing is violated', async () => {
   for (const { defect, rule, scenario } of DEFECTS) {
-    assert.deepEqual(brokenRules(await run(scenario)), [], `without ${defect}`);
-    const found = brokenRules(await run(scenario, [defect], [rule]));
+    assert.deepEqual(violatedRules(await runScenario(scenario)), [], `without ${defect}`);
+    const found = violatedRules(await runScenario(scenario, [defect], [rule]));
     assert.ok(found.includes(rule), `${defect}: ${rule} expected, found ${found.join(', ') || 'nothing'}`);
   }
 });
@@ -576,12 +612,12 @@
       spread: true,
     },
   ];
-  const result = await run(small({ load, duration_s: 40 }));
+  const result = await runScenario(smallScenario({ load, duration_s: 40 }));
   assert.ok((result.figures['starts'] ?? 0) > 0);
   assert.deepEqual(result.violations, []);
 });
 
-test('room is not kept for tasks that must be in another zone, or in none: a peer may use it', async () => {
+test('capacity is not reserved for tasks that must be in another zone, or in none: a peer may use it', async () => {
   // In one zone the third task of a spread job must stay away; what its controller has room for is another's.
   const deployment: ScenarioInput['deployment'] = {
     ...smallInput().deployment,
@@ -604,7 +640,7 @@
   ];
   const faults: FaultInput[] = [{ kind: 'machine_end', at_s: 20, count: 1 }];
   for (const seed of [1, 5, 12, 26]) {
-    const result = await run(small({ seed, duration_s: 130, deployment, load, faults }));
+    const result = await runScenario(smallScenario({ seed, duration_s: 130, deployment, load, faults }));
     assert.deepEqual(result.violations, [], `seed ${seed}`);
   }
 });
@@ -631,15 +667,15 @@
     { ...all, class: 'lone', run_s: [300, 300], at_start: 5 },
   ];
   for (const seed of [1, 11, 16, 27]) {
-    const result = await run(small({ seed, duration_s: 130, deployment, load }));
+    const result = await runScenario(smallScenario({ seed, duration_s: 130, deployment, load }));
     assert.deepEqual(result.violations, [], `seed ${seed}`);
   }
 });
 
-test('tasks whose hand-over is refused are placed again, also when a round came while they were moving', async () => {
+test('tasks whose hand-over is refused are placed again, also when a scheduling cycle ran while they were moving', async () => {
   const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, new Map());
   shard.reconciled = true;
-  const spec = plainSpec({ id: 'req-1', tasks: 2 });
+  const spec = buildJobSpec({ id: 'req-1', tasks: 2 });
   const assignments = [{ from: 0, to: 2, shard: shard.id, zone: null }];
   const record = { spec, homeShard: 0, assignments, done: RangeSet.empty() } as unknown as JobRecord;
   syncJob(shard, record, 1 as never, 0 as SteadyMs, false);
@@ -668,7 +704,7 @@
 });
 
 /** What arrives, and how each request ends, when a cut of this kind comes between two of them. */
-async function throughCut(mode: PartitionMode): Promise<{ arrived: number[]; outcomes: string[] }> {
+async function exchangeThroughCut(mode: PartitionMode): Promise<{ arrived: number[]; outcomes: string[] }> {
   const queue = new EventQueue();
   const options = { sameZoneMs: 1, crossZoneMs: 1, jitter: 0, loss: 0 };
   const network = new Network(queue, options, new RandomStream(1));
@@ -694,11 +730,11 @@
 }
 
 test('a cut drops, holds or refuses: what was sent may arrive late, an attempt to connect never does', async () => {
-  const held = await throughCut('hold');
+  const held = await exchangeThroughCut('hold');
   assert.deepEqual(held, { arrived: [3, 5001], outcomes: ['answer', 'unknown', 'unsent'] });
-  const dropped = await throughCut('drop');
+  const dropped = await exchangeThroughCut('drop');
   assert.deepEqual(dropped, { arrived: [3], outcomes: ['answer', 'unknown', 'unsent'] });
-  const refused = await throughCut('refuse');
+  const refused = await exchangeThroughCut('refuse');
   assert.deepEqual(refused, { arrived: [3], outcomes: ['answer', 'unknown', 'unsent'] });
 });
 
@@ -709,10 +745,10 @@
     { kind: 'machine_end', at_s: 12, count: 1 },
     { kind: 'odd_requests', at_s: 13, for_s: 20 },
   ];
-  const needs = (s: Scenario, kind: string): boolean => s.faults.some((f) => f.kind === kind);
-  const trial = (s: Scenario): Promise<number | null> =>
-    Promise.resolve(needs(s, 'machine_end') && needs(s, 'state_outage') ? 30 : null);
-  const result = await shrink(small({ faults }), trial);
+  const needs = (candidate: Scenario, kind: string): boolean => candidate.faults.some((f) => f.kind === kind);
+  const trial = (candidate: Scenario): Promise<number | null> =>
+    Promise.resolve(needs(candidate, 'machine_end') && needs(candidate, 'state_outage') ? 30 : null);
+  const result = await shrink(smallScenario({ faults }), trial);
   assert.deepEqual(
     result.faults.map((f) => f.kind),
     ['state_outage', 'machine_end'],
@@ -725,21 +761,25 @@
 test('a break in a real run is shrunk to a file that replays exactly', async () => {
   const defects: Defect[] = ['worker-ignores-tokens'];
   const faults: FaultInput[] = [
-    LATE,
+    LATE_COMMANDS,
     { kind: 'cloud_outage', at_s: 9, for_s: 10 },
     { kind: 'all_controllers_end', at_s: 14, restart_s: 0.3 },
     { kind: 'all_controllers_end', at_s: 22, restart_s: 0.3 },
     { kind: 'close_looks', at_s: 10, for_s: 10 },
   ];
-  const trial = async (s: Scenario): Promise<number | null> => {
-    const result = await new Simulation(s, { seed: s.seed, defects, stopOnRules: ['ran_twice'] }).run();
+  const trial = async (candidate: Scenario): Promise<number | null> => {
+    const result = await new Simulation(candidate, {
+      seed: candidate.seed,
+      defects,
+      stopOnRules: ['ran_twice'],
+    }).run();
     return result.violations.find((v) => v.rule === 'ran_twice')?.atS ?? null;
   };
-  const shrunk = await shrink(small({ faults }), trial);
+  const shrunk = await shrink(smallScenario({ faults }), trial);
   assert.deepEqual([...new Set(shrunk.faults.map((f) => f.kind))], ['late_commands', 'all_controllers_end']);
   const replayed = parseScenario(formatScenario(shrunk), 'finding');
-  const [first, second] = [await run(shrunk, defects), await run(replayed, defects)];
-  assert.deepEqual(brokenRules(first), ['ran_twice']);
+  const [first, second] = [await runScenario(shrunk, defects), await runScenario(replayed, defects)];
+  assert.deepEqual(violatedRules(first), ['ran_twice']);
   assert.equal(first.hash, second.hash);
 });
 
--- /dev/null
+++ b/test/store/stale-reads.test.ts
@@ -0,0 +1,84 @@
+/** Reads of the state service that are answered late: what they say has been overtaken by what the feed showed since. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { StoreCache } from '../../src/store/cache.js';
+import type { Revision, StoreKey } from '../../src/model/units.js';
+import { steady } from '../../src/model/units.js';
+import { parseSettings } from '../../src/settings/settings.js';
+import { KeyValueClient } from '../../src/store/client.js';
+import { SimulatedClock } from '../support/simulated-clock.js';
+import { settingsText, SimulatedCluster } from '../support/simulated-cluster.js';
+
+const KEY = 'c/live/req-1' as StoreKey;
+const at = (node: number): Revision => node as Revision;
+
+test('a read that is older than the watch brings no deleted key back', () => {
+  const seen: unknown[] = [];
+  const storeCache = new StoreCache((_, value) => seen.push(value));
+  storeCache.loadSnapshot([{ key: KEY, value: 'first', version: at(5) }], at(5), steady(0));
+  storeCache.applyEvents([{ key: KEY, value: undefined, version: at(7) }], at(7), steady(1));
+  storeCache.apply(KEY, 'first', at(5));
+  assert.equal(storeCache.get(KEY), undefined);
+  storeCache.apply(KEY, 'second', at(8));
+  assert.equal(storeCache.get(KEY)?.value, 'second');
+  assert.deepEqual(seen, ['first', undefined, 'second']);
+});
+
+test('a list read page by page is as old as its first page: what changes meanwhile is followed from there', async () => {
+  const pages = [
+    { entries: [{ path: 'c/live/req-1', data: 1, entry: 3 }], hasNext: true, ledger: 10 },
+    { entries: [{ path: 'c/live/req-2', data: 2, entry: 11 }], hasNext: false, ledger: 12 },
+  ];
+  const store = {
+    call: () => Promise.resolve({ kind: 'answer', status: 200, body: pages.shift() } as const),
+  };
+  const settings = parseSettings(settingsText(0), 'n0.toml');
+  const client = new KeyValueClient(store, store, new SimulatedClock(), settings, () => 0.5);
+  const listed = await client.list('c/');
+  assert.equal(listed?.revision, 10);
+  assert.equal(listed.entries.length, 2);
+  // req-1 was dropped at 12, while the second page was read.
+  const storeCache = new StoreCache(() => undefined);
+  storeCache.loadSnapshot(listed.entries, listed.revision, steady(0));
+  storeCache.applyEvents([{ key: KEY, value: undefined, version: at(12) }], at(12), steady(1));
+  assert.equal(storeCache.get(KEY), undefined);
+});
+
+/** A job is cancelled through n0, which must look at it again while it ends; the look is answered late. */
+async function cancelAtItsEnd(from: number): Promise<SimulatedCluster> {
+  const cluster = new SimulatedCluster();
+  for (const zone of ['east', 'west', 'east']) cluster.addWorker('large', zone);
+  await cluster.start();
+  await cluster.submit(0, 'req-1', { tasks: 1, runMs: 3000, zone: 'east' });
+  await cluster.step(from);
+  // Its first try has no answer, and is not carried out while it could be.
+  cluster.store.transactionFate = (_, body) =>
+    body.apply?.some((a) => isCancelled(a.data)) ? { holdMs: 60_000 } : 'normal';
+  cluster.store.readDelayMs = (node, path) => (node === 'n0' && path.startsWith('/kv/c/live/') ? 400 : 0);
+  void cluster
+    .request(0, 'POST', '/v2/runs/req-1/abort')
+    .then((a) => cluster.trace(`cancelled: ${JSON.stringify(a?.body)}`));
+  await cluster.step(1400);
+  cluster.store.transactionFate = () => 'normal';
+  for (let i = 0; i < 60; i += 1) {
+    for (const node of [0, 1, 2]) void cluster.request(node, 'GET', '/v2/runs/req-1');
+    await cluster.step(50);
+  }
+  cluster.store.readDelayMs = () => 0;
+  await cluster.step(1000);
+  for (const node of [0, 1, 2]) await cluster.sendUserRequest(node, 'GET', '/v2/runs/req-1');
+  return cluster;
+}
+
+const isCancelled = (data: unknown): boolean => JSON.stringify(data ?? null).includes('cancelled');
+
+test('a cancellation concurrent with the end of the last task, and a read of the job that is answered late', async () => {
+  for (let from = 800; from <= 2200; from += 100) {
+    const cluster = await cancelAtItsEnd(from);
+    assert.deepEqual(
+      cluster.violations,
+      [],
+      `cancelled ${from} ms after submission\n${cluster.traceLines.join('\n')}`,
+    );
+  }
+});
--- a/test/standins/builds.ts
+++ b/test/support/controller-builds.ts
@@ -7,24 +7,24 @@
 import { parseSettings, parseTuning, type Team } from '../../src/settings/settings.js';
 
 /** What a world needs of a version to start a controller of it. */
-export interface Build {
+export interface ControllerBuild {
   readonly Controller: typeof Controller;
   readonly parseSettings: typeof parseSettings;
   readonly parseTuning: typeof parseTuning;
   readonly silentLog: typeof silentLog;
 }
 
-export const WORKING: Build = { Controller, parseSettings, parseTuning, silentLog };
+export const WORKING_BUILD: ControllerBuild = { Controller, parseSettings, parseTuning, silentLog };
 
 /** Made by `scripts/build-production.mjs` before the tests run; from the folder of this file once built. */
-const PRODUCTION = new URL('../../production/src/', import.meta.url);
+const PRODUCTION_URL = new URL('../../production/src/', import.meta.url);
 
 /** The version in production. Both speak through the same ports, so the working sources' types fit it. */
-export async function productionBuild(): Promise<Build> {
-  const load = async <T>(file: string): Promise<T> => (await import(new URL(file, PRODUCTION).href)) as T;
-  const controller = await load<Pick<Build, 'Controller'>>('controller.js');
-  const settings = await load<Pick<Build, 'parseSettings' | 'parseTuning'>>('settings/settings.js');
-  const log = await load<Pick<Build, 'silentLog'>>('log.js');
+export async function loadProductionBuild(): Promise<ControllerBuild> {
+  const load = async <T>(file: string): Promise<T> => (await import(new URL(file, PRODUCTION_URL).href)) as T;
+  const controller = await load<Pick<ControllerBuild, 'Controller'>>('controller.js');
+  const settings = await load<Pick<ControllerBuild, 'parseSettings' | 'parseTuning'>>('settings/settings.js');
+  const log = await load<Pick<ControllerBuild, 'silentLog'>>('log.js');
   return {
     Controller: controller.Controller,
     parseSettings: settings.parseSettings,
@@ -34,8 +34,8 @@
 }
 
 /** A module of the version in production, as the working sources' module of that name is typed. */
-export const productionModule = async <T>(file: string): Promise<T> =>
-  (await import(new URL(file, PRODUCTION).href)) as T;
+export const loadProductionModule = async <T>(file: string): Promise<T> =>
+  (await import(new URL(file, PRODUCTION_URL).href)) as T;
 
 /** A job's record in memory, by the names of the version in production. */
 export interface ProductionRecord {
--- /dev/null
+++ b/test/support/cycle-runner.ts
@@ -0,0 +1,167 @@
+/** Placement rounds of one part, with what they decided as text. */
+import type { InstanceType } from '../../src/cloud/wire.js';
+import type { JobRecord } from '../../src/jobs/record.js';
+import type { JobSpec } from '../../src/jobs/spec.js';
+import { UNLIMITED, ZERO, type Resources } from '../../src/model/resources.js';
+import {
+  allocate,
+  newMachine,
+  Shard,
+  syncJob,
+  release,
+  type Allocation,
+  type Machine,
+} from '../../src/shards/model.js';
+import { planCycle } from '../../src/scheduling/plan.js';
+import type { SchedulingContext } from '../../src/scheduling/cycle.js';
+import { GuaranteedJobs } from '../../src/quota/guaranteed-jobs.js';
+import { RangeSet } from '../../src/model/ranges.js';
+import type { Team } from '../../src/settings/settings.js';
+import type { TeamId, InstanceTypeId } from '../../src/model/units.js';
+import { buildJobSpec, buildTeam } from './job-specs.js';
+
+export interface CycleRunnerOptions {
+  /** Of every machine. */
+  readonly capacity?: Resources;
+  /** Of the teams red and blue. */
+  readonly team?: Parameters<typeof buildTeam>[0];
+  /** The part's share of either team's limit. */
+  readonly shardQuota?: Resources;
+  /** When the machines came; the first round is at 1,002,000 ms. */
+  readonly machinesSince?: number;
+}
+
+export class CycleRunner {
+  readonly shard: Shard;
+  /** What either team uses on other parts. */
+  usedElsewhere: Resources = ZERO;
+  private now = 1_000_000;
+  private readonly activeJobs = new Map<string, JobRecord>();
+  private readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
+  private readonly teams: ReadonlyMap<TeamId, Team>;
+  private readonly shardQuota: Resources;
+  private readonly guaranteedJobs: GuaranteedJobs;
+
+  constructor(machines = 1, options: CycleRunnerOptions = {}) {
+    const { capacity = { cpus: 8, gpus: 0, memoryGb: 64 }, team = { cpus: 4, cpusMax: 100 } } = options;
+    this.types = new Map([
+      ['t' as InstanceTypeId, { name: 't', ...capacity, fetchGbPerS: 0.1 } as unknown as InstanceType],
+    ]);
+    this.teams = new Map(['red', 'blue'].map((name) => [name as TeamId, buildTeam({ ...team, name })]));
+    this.shardQuota = options.shardQuota ?? { ...UNLIMITED, cpus: 100 };
+    this.guaranteedJobs = new GuaranteedJobs(this.teams);
+    this.shard = new Shard(0 as never, 7 as never, 1 as never, 0 as never, this.types);
+    this.shard.reconciled = true;
+    for (let i = 0; i < machines; i += 1) {
+      const machine = newMachine(
+        `m-${i}` as never,
+        '10.0.0.1:1' as never,
+        't' as never,
+        'east' as never,
+        false,
+        (options.machinesSince ?? 0) as never,
+        true,
+      );
+      this.shard.addMachine(machine);
+    }
+  }
+
+  addJob(id: string, changes: Partial<Record<keyof JobSpec, unknown>>): void {
+    const spec = buildJobSpec({ id, ...changes });
+    const record = {
+      spec,
+      homeShard: 0,
+      acceptedRevision: this.activeJobs.size,
+      done: RangeSet.empty(),
+      assignments: [{ from: 0, to: spec.tasks, shard: 0, zone: null }],
+    } as unknown as JobRecord;
+    this.activeJobs.set(id, record);
+    this.guaranteedJobs.update(id as never, record);
+    syncJob(this.shard, record, (this.activeJobs.size + 1) as never, this.now as never, false);
+  }
+
+  /** A running task of red's on that machine. */
+  addRunningTask(id: string, machineId: string, changes: Partial<Record<keyof JobSpec, unknown>>): void {
+    this.addJob(id, changes);
+    const machine = this.shard.machines.get(machineId as never);
+    const spec = this.activeJobs.get(id)?.spec;
+    if (!machine || !spec) throw new Error(`no machine ${machineId}`);
+    allocate(this.shard, machine, this.runningAllocation(spec, 0, machine));
+  }
+
+  private runningAllocation(spec: JobSpec, index: number, machine: Machine): Allocation {
+    return {
+      id: `${spec.id}/${index}`,
+      job: spec.id,
+      index,
+      attempt: this.shard.nextAttempt(),
+      machine: machine.id,
+      spec,
+      phase: 'running',
+      allocatedAt: this.now,
+      runningSince: this.now,
+      stop: null,
+      launchInFlight: false,
+      launchPending: false,
+      unacknowledged: null,
+      answeredSequence: null,
+    } as unknown as Allocation;
+  }
+
+  cacheImage(machineId: string, image: string): void {
+    const machine = this.shard.machines.get(machineId as never);
+    if (machine) this.shard.recordImage(machine, image as never, 1);
+  }
+
+  /** Tasks that have run this long are done. */
+  finishTasksRunningFor(afterMs: number): void {
+    for (const allocation of [...this.shard.allocations.values()]) {
+      const machine = this.shard.machines.get(allocation.machine);
+      if (this.now - allocation.allocatedAt < afterMs || !machine) continue;
+      this.shard.jobs.get(allocation.job)?.finished.add(allocation.index);
+      release(this.shard, machine, allocation);
+    }
+  }
+
+  currentTime(): number {
+    return this.now;
+  }
+
+  /** One round, all of it carried out at once, two seconds later than the one before. */
+  runCycle(): string {
+    this.now += 2000;
+    for (const machine of this.shard.machines.values()) machine.lastHeardAt = this.now as never;
+    const context = {
+      now: this.now,
+      types: this.types,
+      teams: this.teams,
+      shardQuota: () => this.shardQuota,
+      usageOnOtherShards: () => this.usedElsewhere,
+      guaranteed: (j: string) => this.guaranteedJobs.has(j as never),
+      maxLatenessFactor: () => 1,
+      peerHasCapacity: () => false,
+      runtimeCorrection: () => 1,
+      reportMs: 1500,
+      gangWaitMs: 30_000,
+    } as unknown as SchedulingContext;
+    const plan = planCycle(this.shard, context);
+    const decisions: string[] = [];
+    for (const start of plan.starts) {
+      decisions.push(`start ${start.job.id}/${start.index} on ${start.machine.id}`);
+      allocate(this.shard, start.machine, this.runningAllocation(start.job.spec, start.index, start.machine));
+    }
+    for (const { allocation } of plan.stops) {
+      decisions.push(`stop ${allocation.id}`);
+      const machine = this.shard.machines.get(allocation.machine);
+      if (machine) release(this.shard, machine, allocation);
+    }
+    for (const reservation of plan.reservations)
+      reservation.job.reservations.set(reservation.index, {
+        machine: reservation.machine,
+        reservedUntil: (this.now + 6000) as never,
+        withoutPreemption: reservation.reserved,
+      });
+    for (const unplaced of plan.unplaced) unplaced.job.waitingSince ??= this.now as never;
+    return decisions.join('; ') || 'nothing';
+  }
+}
--- a/test/standins/spec.ts
+++ b/test/support/job-specs.ts
@@ -5,17 +5,17 @@
 import type { TeamId } from '../../src/model/units.js';
 
 /** The team red as its settings say it: a guarantee or limit that is left out is none. */
-export function plainTeam(
-  o: { name?: string; cpus?: number; cpusMax?: number; gpus?: number; gpusMax?: number } = {},
+export function buildTeam(
+  options: { name?: string; cpus?: number; cpusMax?: number; gpus?: number; gpusMax?: number } = {},
 ): Team {
   return {
-    name: (o.name ?? 'red') as TeamId,
-    guaranteed: { ...ZERO, cpus: o.cpus ?? 0, gpus: o.gpus ?? 0 },
-    quota: { ...UNLIMITED, cpus: o.cpusMax ?? Infinity, gpus: o.gpusMax ?? Infinity },
+    name: (options.name ?? 'red') as TeamId,
+    guaranteed: { ...ZERO, cpus: options.cpus ?? 0, gpus: options.gpus ?? 0 },
+    quota: { ...UNLIMITED, cpus: options.cpusMax ?? Infinity, gpus: options.gpusMax ?? Infinity },
   };
 }
 
-export const plainSpec = (o: Partial<Record<keyof JobSpec, unknown>> = {}): JobSpec =>
+export const buildJobSpec = (changes: Partial<Record<keyof JobSpec, unknown>> = {}): JobSpec =>
   ({
     id: 'req-1',
     jobClass: 'l',
@@ -37,5 +37,5 @@
     checkpointIntervalS: 0,
     checkpointDurationS: 0,
     deadlineS: null,
-    ...o,
+    ...changes,
   }) as unknown as JobSpec;
--- a/test/standins/desk.ts
+++ b/test/support/quota-transfer-service.ts
@@ -7,30 +7,30 @@
 import type { Team } from '../../src/settings/settings.js';
 import { StoreCache } from '../../src/store/cache.js';
 
-export function deskOf(
+export function createQuotaTransferService(
   team: Team,
-  parts: readonly Shard[],
-  partCount: number,
+  shards: readonly Shard[],
+  shardCount: number,
   now: () => number,
   /** Left out: even shares. */
-  shares?: readonly Resources[],
+  shardQuotas?: readonly Resources[],
 ): QuotaTransferService {
-  const view = new StoreCache(() => undefined);
+  const storeCache = new StoreCache(() => undefined);
   const key = quotaKey(team.name);
-  if (shares) view.apply(key, encodeQuotas(team, shares), 1 as never);
+  if (shardQuotas) storeCache.apply(key, encodeQuotas(team, shardQuotas), 1 as never);
   return new QuotaTransferService({
     settings: {
       teams: new Map([[team.name, team]]),
-      shards: Array.from({ length: partCount }, (_, shard) => ({ shard })),
+      shards: Array.from({ length: shardCount }, (_, shard) => ({ shard })),
     },
-    storeCache: view,
-    shards: new Map(parts.map((shard) => [shard.id, shard])),
+    storeCache,
+    shards: new Map(shards.map((shard) => [shard.id, shard])),
     shardAnnouncements: new Map(),
     clock: { now },
     shardRecord: () => null,
     leaderCondition: () => ({}),
     compareAndSwapUntilCertain: () =>
-      Promise.resolve({ kind: 'done', revision: (view.version(key) + 1) as never }),
+      Promise.resolve({ kind: 'done', revision: (storeCache.version(key) + 1) as never }),
     exclusive: (work: () => unknown) => Promise.resolve(work()),
     log: { debug: () => undefined },
     requestCycle: () => undefined,
--- a/test/standins/clock.ts
+++ b/test/support/simulated-clock.ts
@@ -1,25 +1,30 @@
 /** A simulated steady clock: events in time order, everything else settled in between. */
 import type { Clock, Millis, SteadyMs } from '../../src/model/units.js';
 
-interface Event {
-  readonly at: number;
-  readonly order: number;
+interface TimerEvent {
+  readonly dueAt: number;
+  readonly sequence: number;
   readonly run: () => void;
   cancelled: boolean;
 }
 
-export class SimClock implements Clock {
-  private time = 1_000_000;
-  private order = 0;
-  private readonly events: Event[] = [];
+export class SimulatedClock implements Clock {
+  private currentTime = 1_000_000;
+  private lastSequence = 0;
+  private readonly events: TimerEvent[] = [];
 
   now(): SteadyMs {
-    return this.time as SteadyMs;
+    return this.currentTime as SteadyMs;
   }
 
   after(delay: Millis | number, run: () => void): { cancel(): void } {
-    this.order += 1;
-    const event: Event = { at: this.time + Math.max(0, delay), order: this.order, run, cancelled: false };
+    this.lastSequence += 1;
+    const event: TimerEvent = {
+      dueAt: this.currentTime + Math.max(0, delay),
+      sequence: this.lastSequence,
+      run,
+      cancelled: false,
+    };
     this.insert(event);
     return { cancel: () => (event.cancelled = true) };
   }
@@ -29,24 +34,24 @@
   }
 
   /** Seconds since the start, as traces show them. */
-  stamp(): string {
-    return ((this.time - 1_000_000) / 1000).toFixed(1).padStart(6);
+  formatElapsed(): string {
+    return ((this.currentTime - 1_000_000) / 1000).toFixed(1).padStart(6);
   }
 
   async advance(ms: number): Promise<void> {
-    const end = this.time + ms;
+    const end = this.currentTime + ms;
     for (;;) {
-      await settle();
-      const next = this.pop(end);
+      await flushPromises();
+      const next = this.popDueEvent(end);
       if (!next) break;
-      this.time = Math.max(this.time, next.at);
+      this.currentTime = Math.max(this.currentTime, next.dueAt);
       next.run();
     }
-    this.time = end;
+    this.currentTime = end;
   }
 
-  private pop(end: number): Event | null {
-    for (let first = this.events[0]; first && first.at <= end; first = this.events[0]) {
+  private popDueEvent(end: number): TimerEvent | null {
+    for (let first = this.events[0]; first && first.dueAt <= end; first = this.events[0]) {
       this.removeFirst();
       if (!first.cancelled) return first;
     }
@@ -54,13 +59,13 @@
   }
 
   /** A binary heap: hundreds of machines have thousands of timers. */
-  private insert(event: Event): void {
+  private insert(event: TimerEvent): void {
     const { events } = this;
     let at = events.push(event) - 1;
     while (at > 0) {
       const above = (at - 1) >> 1;
-      if (!before(event, events[above] as Event)) break;
-      events[at] = events[above] as Event;
+      if (!isEarlier(event, events[above] as TimerEvent)) break;
+      events[at] = events[above] as TimerEvent;
       at = above;
     }
     events[at] = event;
@@ -74,9 +79,9 @@
     for (;;) {
       let below = 2 * at + 1;
       const right = events[below + 1];
-      if (right && before(right, events[below] as Event)) below += 1;
+      if (right && isEarlier(right, events[below] as TimerEvent)) below += 1;
       const next = events[below];
-      if (!next || !before(next, last)) break;
+      if (!next || !isEarlier(next, last)) break;
       events[at] = next;
       at = below;
     }
@@ -84,16 +89,17 @@
   }
 }
 
-const before = (a: Event, b: Event): boolean => a.at < b.at || (a.at === b.at && a.order < b.order);
+const isEarlier = (first: TimerEvent, second: TimerEvent): boolean =>
+  first.dueAt < second.dueAt || (first.dueAt === second.dueAt && first.sequence < second.sequence);
 
 /** The steady clock of one machine, which runs at `rate` times the speed of `clock`; its timers too. */
-export function clockAt(clock: SimClock, rate: number): SimClock {
+export function clockRunningAt(clock: SimulatedClock, rate: number): SimulatedClock {
   const from = clock.now();
-  const own = Object.create(clock) as SimClock;
+  const own = Object.create(clock) as SimulatedClock;
   own.now = () => (from + (clock.now() - from) * rate) as SteadyMs;
   own.after = (delay, run) => clock.after(delay / rate, run);
   return own;
 }
 
 /** Lets every promise that can go on do so. */
-export const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+export const flushPromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
--- a/test/standins/user-job.ts
+++ b/test/support/user-job.ts
@@ -1,7 +1,7 @@
 /** A job as the simulator's users submit it. */
 import type { UserJob } from '../../src/simulation/user-jobs.js';
 
-export const PLAIN_JOB: UserJob = {
+export const SAMPLE_USER_JOB: UserJob = {
   id: 'req-1',
   class: 'batch',
   team: 'atlas',
--- a/test/gang-reports.test.ts
+++ b/test/workers/gang-heartbeats.test.ts
@@ -1,11 +1,11 @@
 /** Reports about gangs that make no sense: nothing that may still run is freed, and nothing ends. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { silentLog } from '../src/logging/log.js';
-import type { Machine, Shard } from '../src/shards/model.js';
-import { reconcileHeartbeat, type ReconciliationContext } from '../src/workers/reconciliation.js';
-import { decodeHeartbeat } from '../src/workers/wire.js';
-import { Rounds } from './standins/rounds.js';
+import { silentLog } from '../../src/logging/log.js';
+import type { Machine, Shard } from '../../src/shards/model.js';
+import { reconcileHeartbeat, type ReconciliationContext } from '../../src/workers/reconciliation.js';
+import { decodeHeartbeat } from '../../src/workers/wire.js';
+import { CycleRunner } from '../support/cycle-runner.js';
 
 interface Leg {
   readonly leg: string;
@@ -25,12 +25,12 @@
 let sequence = 0;
 
 /** Its reports below belong to the session in which the tasks were started. */
-function inSession(shard: Shard): Shard {
+function withAgentEpoch(shard: Shard): Shard {
   for (const machine of shard.machines.values()) machine.agentEpoch = 1 as never;
   return shard;
 }
 
-function report(shard: Shard, machine: string, legs: readonly Leg[]): Machine {
+function receiveHeartbeat(shard: Shard, machine: string, taskStatuses: readonly Leg[]): Machine {
   sequence += 1;
   const decoded = decodeHeartbeat({
     berth: machine,
@@ -41,7 +41,7 @@
     watch: 1,
     logNo: sequence,
     helm: 7,
-    legs,
+    legs: taskStatuses,
   });
   assert.ok(decoded);
   const known = shard.machines.get(machine as never) as Machine;
@@ -50,11 +50,11 @@
 }
 
 /** A gang of two on two machines of two CPUs each. */
-function gang(): { part: Shard; attempt: number } {
-  const rounds = new Rounds(2, { capacity: { cpus: 2, gpus: 0, memoryGb: 8 } });
-  rounds.job('req-g', { kind: 'gang', tasks: 2, cpus: 2 });
-  assert.equal(rounds.round().split('start').length - 1, 2);
-  const shard = inSession(rounds.part);
+function shardWithGang(): { part: Shard; attempt: number } {
+  const runner = new CycleRunner(2, { capacity: { cpus: 2, gpus: 0, memoryGb: 8 } });
+  runner.addJob('req-g', { kind: 'gang', tasks: 2, cpus: 2 });
+  assert.equal(runner.runCycle().split('start').length - 1, 2);
+  const shard = withAgentEpoch(runner.shard);
   return { part: shard, attempt: [...shard.allocations.values()][0]?.attempt ?? 0 };
 }
 
@@ -62,33 +62,35 @@
 const finished = (shard: Shard): number => shard.jobs.get('req-g' as never)?.finished.size ?? -1;
 
 test('a task that belongs to no gang and is said to wait for its gang stays where it is', () => {
-  const rounds = new Rounds(1);
-  rounds.job('req-a', { tasks: 1, cpus: 2 });
-  rounds.round();
-  const shard = inSession(rounds.part);
+  const runner = new CycleRunner(1);
+  runner.addJob('req-a', { tasks: 1, cpus: 2 });
+  runner.runCycle();
+  const shard = withAgentEpoch(runner.shard);
   const attempt = [...shard.allocations.values()][0]?.attempt ?? 0;
-  const machine = report(shard, 'm-0', [{ leg: 'req-a/0', sailing: attempt, status: 'gathering' }]);
+  const machine = receiveHeartbeat(shard, 'm-0', [{ leg: 'req-a/0', sailing: attempt, status: 'gathering' }]);
   assert.equal(machine.used.cpus, 2);
   assert.equal(shard.jobs.get('req-a' as never)?.waiting.size, 0);
 });
 
-test('an unknown state holds its room; an unknown cause ends the task, and does not complete it', () => {
-  const { part: shard, attempt } = gang();
+test('an unknown state keeps its allocation; an unknown cause ends the task, and does not complete it', () => {
+  const { part: shard, attempt } = shardWithGang();
   const first = [...shard.allocations.values()].find((b) => b.index === 0);
-  const machine = report(shard, first?.machine ?? '', [
+  const machine = receiveHeartbeat(shard, first?.machine ?? '', [
     { leg: 'req-g/0', sailing: attempt, status: 'dancing' },
   ]);
   assert.equal(machine.used.cpus, 2);
   assert.equal(waiting(shard), 0);
-  report(shard, machine.id, [{ leg: 'req-g/0', sailing: attempt, status: 'exited', cause: 'whim' }]);
+  receiveHeartbeat(shard, machine.id, [
+    { leg: 'req-g/0', sailing: attempt, status: 'exited', cause: 'whim' },
+  ]);
   assert.equal(finished(shard), 0);
   assert.equal(waiting(shard), 1);
 });
 
-test('an attempt that disagrees, or is larger than any that was issued, keeps its room and is stopped', () => {
-  const { part: shard, attempt } = gang();
+test('an attempt that disagrees, or is larger than any that was issued, keeps its allocation and is stopped', () => {
+  const { part: shard, attempt } = shardWithGang();
   const first = [...shard.allocations.values()].find((b) => b.index === 0);
-  const machine = report(shard, first?.machine ?? '', [
+  const machine = receiveHeartbeat(shard, first?.machine ?? '', [
     { leg: 'req-g/0', sailing: attempt + 1_000_000, status: 'running' },
   ]);
   assert.equal(machine.used.cpus, 2);
@@ -97,9 +99,9 @@
 });
 
 test('one task that is done completes the gang; the others are neither waiting nor lost', () => {
-  const { part: shard, attempt } = gang();
+  const { part: shard, attempt } = shardWithGang();
   const first = [...shard.allocations.values()].find((b) => b.index === 0);
-  report(shard, first?.machine ?? '', [
+  receiveHeartbeat(shard, first?.machine ?? '', [
     { leg: 'req-g/0', sailing: attempt, status: 'exited', cause: 'done' },
   ]);
   assert.equal(finished(shard), 2);
--- /dev/null
+++ b/test/workers/registration.test.ts
@@ -0,0 +1,24 @@
+/** Many machines at once, and few changes a second: all are registered, and none is returned because it has to wait. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { SMALL_CLUSTER, SimulatedCluster, type ClusterConfig } from '../support/simulated-cluster.js';
+
+const MACHINES = 240;
+/** Registration takes longer than a machine may take to boot before it is returned. */
+const SLOW_STORE_CLUSTER: ClusterConfig = {
+  ...SMALL_CLUSTER,
+  storeLimits: { ...SMALL_CLUSTER.storeLimits, writeRps: 5, enforced: true },
+  tuning: 'fleet.idle.return.ms = 3600000',
+  recordHeartbeats: false,
+};
+
+test('machines that wait for their turn to be registered are not taken for unused ones', async () => {
+  const cluster = new SimulatedCluster(SLOW_STORE_CLUSTER);
+  for (let i = 0; i < MACHINES; i += 1) cluster.addWorker('small', i % 3 === 2 ? 'west' : 'east');
+  await cluster.start();
+  await cluster.step(120_000);
+  const registered = [...cluster.store.entries.keys()].filter((key) => key.startsWith('c/machines/')).length;
+  assert.equal(cluster.observed.deletions, 0);
+  assert.equal(registered, MACHINES);
+  assert.deepEqual(cluster.violations, []);
+});
