--- a/scripts/build-production.mjs
+++ b/scripts/build-production.mjs
@@ -1,6 +1,6 @@
 /**
  * Builds the version that is in production from the repository's history into `target/production/`, for the tests that
- * run it beside the working sources. The commit stands in `deploy/service.toml`. Fails when it is not to be had.
+ * run it beside the working sources. `deploy/service.toml` names the commit. Fails when the history does not contain it.
  */
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, rmSync, symlinkSync, writeFileSync } from 'node:fs';
--- a/scripts/gang-attempts.mjs
+++ b/scripts/gang-attempts.mjs
@@ -1,6 +1,6 @@
 /**
- * Counts what became of gangs, from the controllers' own logs at level debug on standard input, each line ending in one
- * JSON object, after the simulated time in seconds where a bench prints it. Prints one line a figure.
+ * Counts the attempts of gangs and how they ended. Reads the controllers' logs at level debug from standard input: each
+ * line ends in one JSON object and may begin with the simulated time in seconds. Prints one line for each statistic.
  *
  *     node scripts/gang-attempts.mjs < logs.txt
  */
@@ -14,7 +14,7 @@
   return { tasks, acceptedAt, running: new Map(), begunAt: null };
 }
 
-/** What one attempt of a gang came to. */
+/** By job and attempt: whether a task of it exited as its gang was not complete in time, or as another task was lost. */
 const attempts = new Map();
 const gangs = new Map();
 
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,6 +1,6 @@
 /**
- * Runs the tests and passes over just the failures that KNOWN-RED.txt lists, which it prints at the end. Any other
- * failure fails the run, and so does a listed test that passes or is gone: the list must say what is true.
+ * Runs all built tests. Failures that KNOWN-RED.txt lists do not fail the run and are printed at the end. Any other
+ * failure fails it, and so does a listed test that passes or no longer exists: the list must say what is true.
  * A line of the list: name of the test | cause | issue.
  */
 import { spawn } from 'node:child_process';
@@ -21,7 +21,7 @@
   return new Map(lines.map((line) => [line.split('|')[0].trim(), line]));
 }
 
-/** Results of single tests; files appear in the output around them and are no tests. */
+/** Records the result that a line of TAP output tells of one test; other lines are ignored. */
 function readResult(line, results) {
   const [, not, name] = /^(not )?ok \d+ - (.*?)(?: # .*)?$/.exec(line) ?? [];
   if (name !== undefined) results.set(name, not === undefined);
