--- a/test/docs/architecture.test.ts
+++ b/test/docs/architecture.test.ts
@@ -25,6 +25,7 @@
   'docs/design.md',
   'docs/operations.md',
   'docs/simulation.md',
+  'docs/questions.md',
 ] as const;
 
 const FINAL_STATES_PREFIX = finalStateKey('' as JobId) as string;
