--- a/dependency-cruiser.config.js
+++ b/dependency-cruiser.config.js
@@ -24,7 +24,6 @@
 const KNOWN_UPWARD = {
   'src/core.ts': ['src/overflow/peer-ranking.ts'],
   'src/shards/statistics.ts': ['src/scheduling/cycle.ts'],
-  'src/leadership/leadership.ts': ['src/core.ts'],
 };
 
 /** Imports that are part of a circle and still to be mended. */
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -1,389 +1,248 @@
-/** Who owns which part: being alive, claiming, taking over, giving up, raising the token. */
-import type { Core } from '../core.js';
-import { RequestPriority } from '../store/rate-limiter.js';
-import type {
-  Incarnation,
-  LeaseId,
-  ControllerId,
-  ShardId,
-  Revision,
-  SteadyMs,
-  FencingToken,
-} from '../model/units.js';
-import { millis, shardId, plus, steady } from '../model/units.js';
+/**
+ * Leadership of shards: acquires and releases it, raises the fencing token, and opens a shard once the store says that
+ * this process leads it. Relies on the store for safety: leadership and fencing token change together, in one
+ * compare-and-swap on the revisions that the decision was based on, so that no two controllers lead a shard under the
+ * same token and a late copy of an earlier request fails its conditions.
+ */
+import type { Settings, Tuning } from '../settings/settings.js';
 import {
-  decodeMachineRecord,
-  decodeShardRecord,
   decodeFencingToken,
-  encodeMembership,
-  encodeShardRecord,
+  decodeShardRecord,
   encodeFencingToken,
-  aliveKey,
-  MACHINES_PREFIX,
-  SHARDS_PREFIX,
+  encodeShardRecord,
   shardKey,
+  SHARDS_PREFIX,
   TOKEN_KEY,
 } from '../shards/codec.js';
-import { newMachine, Shard, syncJob, type Machine } from '../shards/model.js';
-
-/** What a decision on one part looks at. */
-export interface FailoverFacts {
-  readonly now: SteadyMs;
-  readonly self: ControllerId;
-  readonly incarnation: Incarnation;
-  readonly homeController: ControllerId;
-  /** undefined: nobody ever owned it. */
-  readonly leader: ControllerId | null | undefined;
-  readonly leaderIncarnation: Incarnation | null;
-  readonly leaderAlive: boolean;
-  readonly homeControllerAlive: boolean;
-  /** This process has owned its home part before: it lost or released it. */
-  readonly ledHomeShardBefore: boolean;
-  /** Our view is current and our alive key stands since then. */
-  readonly membershipStableSince: SteadyMs | null;
-  /** Machines of the part that came to us lately because their owner does not answer them. */
-  readonly redirectedHeartbeats: number;
-  readonly releasedBySelf: boolean;
-  /** Workers of the part answered when asked lately. */
-  readonly workersReachable: boolean;
-  /** How long the present situation has lasted. */
-  readonly situationAgeMs: number;
-}
-
-export type FailoverDecision = 'claim' | 'probe' | 'wait';
-
-const STABLE_MEMBERSHIP_MS = 3000;
-const NEVER_LED_DELAY_MS = 6000;
-const RESTART_GRACE_MS = 4000;
-const HOME_CONTROLLER_HEAD_START_MS = 600;
-
-/** The paper's replacement manager: a part whose owner is gone is claimed, and its home gets it back. */
-export function decideFailover(facts: FailoverFacts): FailoverDecision {
-  if (facts.leader === facts.self && facts.leaderIncarnation === facts.incarnation) return 'wait';
-  if (facts.membershipStableSince === null) return 'wait';
-  if (facts.homeController === facts.self) {
-    if (!facts.ledHomeShardBefore || (facts.leader === null && !facts.releasedBySelf)) return 'claim';
-    if (facts.now - facts.membershipStableSince < STABLE_MEMBERSHIP_MS) return 'wait';
-    return facts.workersReachable ? 'claim' : 'probe';
-  }
-  if (facts.leader === undefined)
-    return facts.homeControllerAlive || facts.situationAgeMs < NEVER_LED_DELAY_MS ? 'wait' : 'claim';
-  if (facts.leader === null) {
-    // Its home goes first: it would claim it back right after us.
-    const mayTake =
-      facts.redirectedHeartbeats > 0
-        ? facts.situationAgeMs >= (facts.homeControllerAlive ? HOME_CONTROLLER_HEAD_START_MS : 0)
-        : facts.situationAgeMs > STABLE_MEMBERSHIP_MS;
-    return mayTake && !facts.releasedBySelf ? 'claim' : 'wait';
-  }
-  if (facts.leaderAlive) return 'wait';
-  // The owner came back as a new process: it claims for itself, unless it does not get so far.
-  if (facts.homeControllerAlive && facts.homeController === facts.leader)
-    return facts.situationAgeMs > RESTART_GRACE_MS ? 'claim' : 'wait';
-  return 'claim';
-}
-
-interface ObservedSituation {
-  situation: string;
-  observedSince: SteadyMs;
-  delayMs: number;
+import type { Shard } from '../shards/model.js';
+import type { StoreCache } from '../store/cache.js';
+import type { CompareAndSwapResult } from '../store/client.js';
+import { RequestPriority } from '../store/rate-limiter.js';
+import type { Change, Condition } from '../store/wire.js';
+import type { ControllerId, FencingToken, Incarnation, Revision, ShardId, SteadyMs } from '../model/units.js';
+import { fencingToken, millis, shardId } from '../model/units.js';
+import { decideFailover, type FailoverFacts } from './failover.js';
+import { Membership, type MembershipContext } from './membership.js';
+import { ObservedSituations } from './observed-situations.js';
+import { openShard, type OpenShardContext } from './open-shard.js';
+import { RedirectedHeartbeats } from './redirected-heartbeats.js';
+import {
+  findUnreachableMachines,
+  type MachineSilence,
+  type ReachabilityContext,
+} from './worker-reachability.js';
+
+/** What the leadership uses of the controller. */
+export interface LeadershipContext extends MembershipContext, OpenShardContext, ReachabilityContext {
+  readonly settings: Pick<Settings, 'node' | 'shard' | 'shards' | 'zone' | 'peers'>;
+  readonly tuning: Pick<Tuning, 'membershipTtl' | 'watchTimeout'>;
+  readonly storeCache: Pick<StoreCache, 'loaded' | 'confirmedAt' | 'get' | 'version' | 'entriesUnder'>;
+  /** The controller's membership key exists, for the incarnation if one is given. */
+  isAlive(node: ControllerId, incarnation: Incarnation | null): boolean;
+  /** Holds as long as the shard's record is the one that this leader knows. */
+  leaderCondition(shard: Shard): Condition;
+  compareAndSwapUntilCertain(
+    conditions: Condition[],
+    changes: Change[],
+    priority: RequestPriority,
+  ): Promise<Exclude<CompareAndSwapResult, { kind: 'unknown' }>>;
 }
 
+/** How much longer than a watch may block the store cache may go unconfirmed and still count as current. */
+const WATCH_ANSWER_ALLOWANCE_MS = 1500;
+/** How long a probe that workers answered remains valid, and how long to wait after one that they did not. */
+const PROBE_VALIDITY_MS = 2000;
+const PROBE_RETRY_DELAY_MS = 2000;
+/** After a failed attempt to acquire: long enough for the store cache to learn who was faster. */
+const ACQUIRE_RETRY_DELAY_MS = 100;
+const ACQUIRE_RETRY_JITTER_MS = 150;
+/** How long a new leader keeps a shard whatever it hears: workers need this to find it. */
+const MIN_LEADERSHIP_MS = 8000;
+
+/** Leadership of this process over its home shard, and over those of failed peers. */
 export class ShardLeadership {
-  private aliveLease: LeaseId | null = null;
-  private leaseHeldSince: SteadyMs | null = null;
-  /** Our alive key stands until then for certain. */
-  private aliveKeyValidUntil = steady(-1e12);
-  private aliveKeyWritten = false;
-  private readonly situations = new Map<ShardId, ObservedSituation>();
+  private readonly membership: Membership;
+  private readonly redirectedHeartbeats: RedirectedHeartbeats;
+  private readonly situations: ObservedSituations;
+  /** Released by this process, and led by nobody since. */
   private readonly releasedShards = new Set<ShardId>();
+  /** Shards for which a store request or a probe is under way: one at a time each. */
   private readonly shardsInTransition = new Set<ShardId>();
   private ledHomeShardBefore = false;
-  private workersAnsweredAt = steady(-1e12);
-  /** Recent visits of machines whose owner is another controller, by part. */
-  readonly redirectedHeartbeats = new Map<ShardId, Map<string, SteadyMs>>();
+  private workersAnsweredAt: SteadyMs | null = null;
 
   constructor(
-    private readonly core: Core,
-    private readonly probeWorkers: (p: ShardId) => Promise<boolean>,
-  ) {}
+    private readonly context: LeadershipContext,
+    /** Whether workers of the shard answer this controller. */
+    private readonly probeWorkers: (shard: ShardId) => Promise<boolean>,
+  ) {
+    this.membership = new Membership(context);
+    this.redirectedHeartbeats = new RedirectedHeartbeats(context.clock);
+    this.situations = new ObservedSituations(context);
+  }
 
-  async runKeepAlive(): Promise<never> {
-    const ttl = this.core.tuning.membershipTtl;
-    for (;;) {
-      const requestedAt = this.core.clock.now();
-      const renewed = await this.keepAlive();
-      if (renewed) {
-        this.leaseHeldSince ??= requestedAt;
-        this.aliveKeyValidUntil = plus(requestedAt, ttl);
-      } else if (!this.aliveLease) this.leaseHeldSince = null;
-      await this.core.sleep(millis(renewed ? ttl / 3 : 300 + this.core.random(200)));
-    }
+  /** Keeps the membership lease and key for as long as the process runs. */
+  runKeepAlive(): Promise<never> {
+    return this.membership.run();
   }
 
-  private async keepAlive(): Promise<boolean> {
-    const { store, tuning, settings, incarnation } = this.core;
-    if (this.aliveLease === null) {
-      this.aliveLease = await store.grantLease(tuning.membershipTtl);
-      this.aliveKeyWritten = false;
-      if (this.aliveLease === null) return false;
-    } else {
-      const renewed = await store.renewLease(this.aliveLease);
-      if (renewed === 'gone') {
-        this.aliveLease = null;
-        this.leaseHeldSince = null;
-        return false;
-      }
-      if (renewed === 'failed') return false;
-    }
-    if (this.aliveKeyWritten) return true;
-    const change = {
-      op: 'put',
-      key: aliveKey(settings.node),
-      value: encodeMembership(incarnation),
-      lease: this.aliveLease,
-    } as const;
-    const result = await store.compareAndSwap([], [change], RequestPriority.leadership);
-    this.aliveKeyWritten = result.kind === 'done';
-    if (result.kind === 'refused') this.aliveLease = null;
-    return this.aliveKeyWritten;
+  /** Machines by shard that came here recently although another controller leads their shard. */
+  redirectedHeartbeatCounts(): Map<ShardId, number> {
+    return this.redirectedHeartbeats.counts();
   }
 
-  /** Looks at every part; called a few times a second. */
+  /** A machine of a shard that another controller leads has sent a heartbeat here. */
+  recordRedirectedHeartbeat(shard: ShardId, machine: string): void {
+    this.redirectedHeartbeats.record(shard, machine);
+  }
+
+  /** Decides on every shard whether to acquire or release it; called a few times a second. */
   tick(): void {
-    const now = this.core.clock.now();
-    if (!this.core.storeCache.loaded) return;
-    for (const { shard, node } of this.core.settings.shards) {
+    const now = this.context.clock.now();
+    if (!this.context.storeCache.loaded) return;
+    for (const { shard, node } of this.context.settings.shards) {
       if (this.shardsInTransition.has(shard)) continue;
-      const facts = this.failoverFacts(shard, node, now);
-      const decision = decideFailover(facts);
-      if (decision === 'wait') continue;
-      this.shardsInTransition.add(shard);
-      const transition = decision === 'claim' ? this.acquire(shard) : this.probeShard(shard);
-      void transition.finally(() => this.shardsInTransition.delete(shard));
+      const decision = decideFailover(this.failoverFacts(shard, node, now));
+      if (decision === 'claim') void this.transition(shard, () => this.acquire(shard));
+      if (decision === 'probe') void this.transition(shard, () => this.probeShard(shard));
     }
     this.releaseUnreachableShards(now);
   }
 
+  /**
+   * Acquires a higher fencing token for a shard that this process leads. Workers that have seen it refuse every command
+   * under the lower one, so that unacknowledged launches cannot start anything any more.
+   */
+  async raiseFencingToken(shard: Shard): Promise<void> {
+    if (this.shardsInTransition.has(shard.id)) return;
+    await this.transition(shard.id, () => this.acquire(shard.id));
+  }
+
+  /** Follows a shard's record in the store cache: this process leads a shard once the store says so, not before. */
+  onShardRecord(key: string, value: unknown, version: Revision): void {
+    const { context } = this;
+    const id = shardId(Number(key.slice(SHARDS_PREFIX.length)));
+    const record = value === undefined ? null : decodeShardRecord(value);
+    if (record?.incarnation !== context.incarnation) {
+      this.closeShard(id, record?.leader ?? null);
+      return;
+    }
+    if (id === context.settings.shard) this.ledHomeShardBefore = true;
+    this.releasedShards.delete(id);
+    const shard = context.shards.get(id);
+    if (shard) adoptRecord(shard, record.fencingToken, version);
+    else openShard(context, id, record.fencingToken, version);
+  }
+
+  /** Runs one request or probe. The ticks do not wait for it: what it changes is seen in the store cache. */
+  private transition(shard: ShardId, run: () => Promise<void>): Promise<void> {
+    this.shardsInTransition.add(shard);
+    return run().finally(() => this.shardsInTransition.delete(shard));
+  }
+
   private failoverFacts(shard: ShardId, homeController: ControllerId, now: SteadyMs): FailoverFacts {
-    const { core } = this;
-    const entry = core.storeCache.get(shardKey(shard));
+    const { context } = this;
+    const entry = context.storeCache.get(shardKey(shard));
     const record = entry ? decodeShardRecord(entry.value) : null;
     const leader = entry ? (record?.leader ?? null) : undefined;
     const leaderIncarnation = record?.incarnation ?? null;
-    const leaderAlive = typeof leader === 'string' && core.isAlive(leader, leaderIncarnation);
-    const homeControllerAlive = core.isAlive(homeController, null);
-    const cacheCurrent = now - core.storeCache.confirmedAt < core.tuning.watchTimeout + 1500;
+    const leaderAlive = typeof leader === 'string' && context.isAlive(leader, leaderIncarnation);
+    const homeControllerAlive = context.isAlive(homeController, null);
+    const situation = `${leader}/${leaderIncarnation}/${leaderAlive}/${homeControllerAlive}`;
+    const cacheCurrent = this.cacheAgeMs(now) < this.cacheAgeLimitMs;
     return {
       now,
-      self: core.settings.node,
-      incarnation: core.incarnation,
+      self: context.settings.node,
+      incarnation: context.incarnation,
       homeController,
       leader,
       leaderIncarnation,
       leaderAlive,
       homeControllerAlive,
       ledHomeShardBefore: this.ledHomeShardBefore,
-      // After a cut the view is current a moment before we know that our key is gone: what we claimed then would be
-      // taken from us at once, as from one who is dead.
-      membershipStableSince: cacheCurrent && now < this.aliveKeyValidUntil ? this.leaseHeldSince : null,
-      redirectedHeartbeats: this.countRedirectedHeartbeats(shard, now),
+      membershipStableSince: cacheCurrent ? this.membership.stableSince(now) : null,
+      redirectedHeartbeats: this.redirectedHeartbeats.count(shard, now),
       releasedBySelf: this.releasedShards.has(shard),
-      workersReachable: now - this.workersAnsweredAt < 2000,
-      situationAgeMs: this.situationAgeMs(
-        shard,
-        `${leader}/${leaderIncarnation}/${leaderAlive}/${homeControllerAlive}`,
-        now,
-        homeController,
-      ),
+      workersReachable: this.workersAnsweredAt !== null && now - this.workersAnsweredAt < PROBE_VALIDITY_MS,
+      situationAgeMs: this.situations.observe(shard, situation, now, homeController),
     };
   }
 
-  /** Time in the same situation, less a delay that differs between controllers: nearest zone first. */
-  private situationAgeMs(
-    shard: ShardId,
-    situation: string,
-    now: SteadyMs,
-    homeController: ControllerId,
-  ): number {
-    let observed = this.situations.get(shard);
-    if (!observed || observed.situation !== situation) {
-      const inSameZone =
-        this.core.settings.shards.find((p) => p.node === homeController)?.zone === this.core.settings.zone;
-      observed = { situation, observedSince: now, delayMs: (inSameZone ? 0 : 250) + this.core.random(150) };
-      this.situations.set(shard, observed);
-    }
-    return now - observed.observedSince - observed.delayMs;
+  private cacheAgeMs(now: SteadyMs): number {
+    return now - this.context.storeCache.confirmedAt;
   }
 
-  private countRedirectedHeartbeats(shard: ShardId, now: SteadyMs): number {
-    const receivedAtByMachine = this.redirectedHeartbeats.get(shard);
-    if (!receivedAtByMachine) return 0;
-    for (const [machineId, receivedAt] of receivedAtByMachine)
-      if (now - receivedAt > 6000) receivedAtByMachine.delete(machineId);
-    return receivedAtByMachine.size;
-  }
-
-  redirectedHeartbeatCounts(): Map<ShardId, number> {
-    const now = this.core.clock.now();
-    const counts = new Map<ShardId, number>();
-    for (const shard of this.redirectedHeartbeats.keys()) {
-      const count = this.countRedirectedHeartbeats(shard, now);
-      if (count > 0) counts.set(shard, count);
-    }
-    return counts;
-  }
-
-  recordRedirectedHeartbeat(shard: ShardId, machine: string): void {
-    const receivedAtByMachine = this.redirectedHeartbeats.get(shard) ?? new Map<string, SteadyMs>();
-    receivedAtByMachine.set(machine, this.core.clock.now());
-    this.redirectedHeartbeats.set(shard, receivedAtByMachine);
+  private get cacheAgeLimitMs(): number {
+    return this.context.tuning.watchTimeout + WATCH_ANSWER_ALLOWANCE_MS;
   }
 
+  /** One attempt to become leader of the shard, or to lead it on, under the next fencing token. */
   private async acquire(shard: ShardId): Promise<void> {
-    const { core } = this;
-    const observed = this.situations.get(shard);
-    if (
-      observed &&
-      core.settings.shard !== shard &&
-      core.clock.now() - observed.observedSince < observed.delayMs
-    )
-      return;
-    const fencingToken = (decodeFencingToken(core.storeCache.get(TOKEN_KEY)?.value) + 1) as FencingToken;
-    const value = encodeShardRecord({
-      leader: core.settings.node,
-      incarnation: core.incarnation,
-      fencingToken,
-    });
-    const result = await core.compareAndSwapUntilCertain(
+    const { context } = this;
+    const { settings, storeCache } = context;
+    if (settings.shard !== shard && this.situations.isDelayed(shard, context.clock.now())) return;
+    const token = fencingToken(decodeFencingToken(storeCache.get(TOKEN_KEY)?.value) + 1);
+    const record = { leader: settings.node, incarnation: context.incarnation, fencingToken: token };
+    const result = await context.compareAndSwapUntilCertain(
       [
-        { key: TOKEN_KEY, version: core.storeCache.version(TOKEN_KEY) },
-        { key: shardKey(shard), version: core.storeCache.version(shardKey(shard)) },
+        { key: TOKEN_KEY, version: storeCache.version(TOKEN_KEY) },
+        { key: shardKey(shard), version: storeCache.version(shardKey(shard)) },
       ],
       [
-        { op: 'put', key: TOKEN_KEY, value: encodeFencingToken(fencingToken) },
-        { op: 'put', key: shardKey(shard), value },
+        { op: 'put', key: TOKEN_KEY, value: encodeFencingToken(token) },
+        { op: 'put', key: shardKey(shard), value: encodeShardRecord(record) },
       ],
       RequestPriority.leadership,
     );
-    core.log.info({ part: shard, token: fencingToken, result: result.kind }, 'claim');
-    if (result.kind !== 'done') await core.sleep(millis(100 + core.random(150)));
-  }
-
-  /** A higher token for a part we own: makes every unresolved direct order of ours void. */
-  async raiseFencingToken(shard: Shard): Promise<void> {
-    if (this.shardsInTransition.has(shard.id)) return;
-    this.shardsInTransition.add(shard.id);
-    try {
-      await this.acquire(shard.id);
-    } finally {
-      this.shardsInTransition.delete(shard.id);
-    }
+    context.log.info({ shard, fencingToken: token, result: result.kind }, 'acquire leadership');
+    if (result.kind !== 'done')
+      await context.sleep(millis(ACQUIRE_RETRY_DELAY_MS + context.random(ACQUIRE_RETRY_JITTER_MS)));
   }
 
   private async probeShard(shard: ShardId): Promise<void> {
-    if (await this.probeWorkers(shard)) this.workersAnsweredAt = this.core.clock.now();
-    else await this.core.sleep(millis(2000));
+    if (await this.probeWorkers(shard)) this.workersAnsweredAt = this.context.clock.now();
+    else await this.context.sleep(millis(PROBE_RETRY_DELAY_MS));
   }
 
-  /** Most of our machines are silent: whoever hears them should command them. */
+  /** Gives up shards whose machines this controller mostly does not hear, if somebody else may reach them. */
   private releaseUnreachableShards(now: SteadyMs): void {
-    // Without a current view we cannot release anything, and may not own anything any more.
-    if (now - this.core.storeCache.confirmedAt > this.core.tuning.watchTimeout + 1500) return;
-    for (const shard of this.core.shards.values()) {
-      if (this.shardsInTransition.has(shard.id) || now - shard.acquiredAt < 8000) continue;
-      const silenceLimitMs = Math.max(3.2 * this.core.heartbeatIntervalMs, 4500);
-      const machines = [...shard.machines.values()].filter(
-        (machine) => !machine.scalingIn && now - machine.addedAt > silenceLimitMs,
-      );
-      // What we refuse because it does not hear us does reach us: a new owner would have to wait for it all over again.
-      const heardAt = (machine: Machine): number =>
-        Math.max(machine.lastHeartbeatAt ?? -Infinity, machine.refusedUnreachableAt ?? -Infinity);
-      const silent = machines.filter((machine) => now - heardAt(machine) > silenceLimitMs);
-      if (machines.length < 2 || silent.length * 3 < machines.length * 2) continue;
-      if (!this.peersReachMoreMachines(shard.id)) continue;
-      this.shardsInTransition.add(shard.id);
-      void this.release(shard, silent.length, machines.length).finally(() =>
-        this.shardsInTransition.delete(shard.id),
-      );
+    // A release on an old store cache would fail its condition, and the shard may have another leader by now.
+    if (this.cacheAgeMs(now) > this.cacheAgeLimitMs) return;
+    for (const shard of this.context.shards.values()) {
+      if (this.shardsInTransition.has(shard.id) || now - shard.acquiredAt < MIN_LEADERSHIP_MS) continue;
+      const silence = findUnreachableMachines(this.context, shard, now);
+      if (silence) void this.transition(shard.id, () => this.release(shard, silence));
     }
   }
 
-  /** Peers hear the part's machines, or we hear no peer: it is we who are cut off. */
-  private peersReachMoreMachines(shard: ShardId): boolean {
-    const { settings, peers } = this.core;
-    if (settings.peers.length === 0) return false;
-    const heard = settings.peers.filter((p) => this.core.heardWithin(p.node, millis(3000)));
-    if (heard.length === 0) return true;
-    return heard.some((p) => (peers.get(p.node)?.redirectedHeartbeats.get(shard) ?? 0) > 0);
-  }
-
-  private async release(shard: Shard, silent: number, machines: number): Promise<void> {
-    const { core } = this;
-    core.log.info({ part: shard.id, silent, machines }, 'releasing a part whose workers do not reach us');
+  private async release(shard: Shard, { silent, expected }: MachineSilence): Promise<void> {
+    const { context } = this;
+    context.log.info(
+      { shard: shard.id, silent, machines: expected },
+      'releasing a shard whose workers do not reach this controller',
+    );
     this.releasedShards.add(shard.id);
     const value = encodeShardRecord({ leader: null, incarnation: null, fencingToken: shard.fencingToken });
-    const result = await core.compareAndSwapUntilCertain(
-      [core.leaderCondition(shard)],
+    const result = await context.compareAndSwapUntilCertain(
+      [context.leaderCondition(shard)],
       [{ op: 'put', key: shardKey(shard.id), value }],
       RequestPriority.leadership,
     );
     if (result.kind !== 'done') this.releasedShards.delete(shard.id);
   }
 
-  /** The view shows a change of a part: owned means the store says that it is ours. */
-  onShardRecord(key: string, value: unknown, version: Revision): void {
-    const { core } = this;
-    const id = shardId(Number(key.slice(SHARDS_PREFIX.length)));
-    const record = value === undefined ? null : decodeShardRecord(value);
-    const ledBySelf = record !== null && record.incarnation === core.incarnation;
-    const shard = core.shards.get(id);
-    if (!ledBySelf) {
-      if (shard) core.log.info({ part: id, owner: record?.leader ?? null }, 'part lost');
-      core.shards.delete(id);
-      if (record?.leader) this.releasedShards.delete(id);
-      return;
-    }
-    if (id === core.settings.shard) this.ledHomeShardBefore = true;
-    this.releasedShards.delete(id);
-    if (shard) {
-      shard.adoptFencingToken(record.fencingToken);
-      for (const machine of shard.machines.values()) shard.machinesWithPendingCommands.add(machine);
-      shard.version = version;
-      return;
-    }
-    this.openShard(id, record.fencingToken, version);
+  /** The store says that this process does not lead the shard, or does so no more. */
+  private closeShard(id: ShardId, leader: ControllerId | null): void {
+    const { shards, log } = this.context;
+    if (shards.has(id)) log.info({ shard: id, leader }, 'leadership lost');
+    shards.delete(id);
+    if (leader) this.releasedShards.delete(id);
   }
+}
 
-  private openShard(id: ShardId, fencingToken: FencingToken, version: Revision): void {
-    const { core } = this;
-    const now = core.clock.now();
-    const shard = new Shard(id, fencingToken, version, now, core.types);
-    for (const entry of core.storeCache.entriesUnder(MACHINES_PREFIX)) {
-      const machineRecord = decodeMachineRecord(entry.value);
-      if (!machineRecord || machineRecord.shard !== id) continue;
-      const machineId = entry.key.slice(MACHINES_PREFIX.length) as never;
-      const machine = newMachine(
-        machineId,
-        machineRecord.address,
-        machineRecord.type,
-        machineRecord.zone,
-        machineRecord.spot,
-        now,
-        false,
-      );
-      shard.addMachine(machine);
-      for (const [image, sizeGb] of core.imageHints.get(machine.id) ?? [])
-        shard.recordImage(machine, image, sizeGb);
-    }
-    core.shards.set(id, shard);
-    for (const record of core.activeJobs.values()) {
-      const age = core.clusterClock.age(record.acceptedAt, now);
-      syncJob(shard, record, core.storeCache.version(`c/live/${record.spec.id}` as never), now, true, age);
-    }
-    core.log.info(
-      { part: id, token: fencingToken, machines: shard.machines.size, jobs: shard.jobs.size },
-      'part owned',
-    );
-  }
+/** The shard's record has changed while this process leads it; all machines are to be told a new fencing token. */
+function adoptRecord(shard: Shard, token: FencingToken, version: Revision): void {
+  shard.adoptFencingToken(token);
+  for (const machine of shard.machines.values()) shard.machinesWithPendingCommands.add(machine);
+  shard.version = version;
 }
--- /dev/null
+++ b/src/leadership/open-shard.ts
@@ -0,0 +1,79 @@
+/**
+ * Builds what a new leader holds of its shard in memory: the registered machines, all of them unreconciled, and the
+ * tasks of active jobs that are assigned to the shard. Relies on the store cache; what the cache learns of later is added by those who follow its changes.
+ */
+import type { InstanceType } from '../cloud/wire.js';
+import { activeJobKey } from '../jobs/codec.js';
+import type { JobRecord } from '../jobs/record.js';
+import type { Log } from '../logging/log.js';
+import { decodeMachineRecord, MACHINES_PREFIX, type MachineRecord } from '../shards/codec.js';
+import { newMachine, Shard, syncJob, type Machine } from '../shards/model.js';
+import type { StoreCache } from '../store/cache.js';
+import type {
+  Clock,
+  ClusterMs,
+  FencingToken,
+  ImageId,
+  InstanceTypeId,
+  JobId,
+  MachineId,
+  Millis,
+  Revision,
+  ShardId,
+  SteadyMs,
+} from '../model/units.js';
+
+/** What opening a shard uses of the controller. */
+export interface OpenShardContext {
+  readonly clock: Clock;
+  readonly log: Pick<Log, 'info'>;
+  readonly storeCache: Pick<StoreCache, 'entriesUnder' | 'version'>;
+  /** The shards that this process leads; only the leadership adds and removes them. */
+  readonly shards: Map<ShardId, Shard>;
+  readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
+  readonly activeJobs: ReadonlyMap<JobId, JobRecord>;
+  /** Images that peers announced for machines of their shards, with sizes in GB. */
+  readonly imageHints: ReadonlyMap<MachineId, readonly (readonly [ImageId, number])[]>;
+  readonly clusterClock: { age(acceptedAt: ClusterMs | null, now: SteadyMs): Millis };
+}
+
+/** Adds the shard to those that this process leads. `version` is the revision of the acquisition. */
+export function openShard(
+  context: OpenShardContext,
+  id: ShardId,
+  fencingToken: FencingToken,
+  version: Revision,
+): void {
+  const now = context.clock.now();
+  const shard = new Shard(id, fencingToken, version, now, context.types);
+  addRegisteredMachines(context, shard, now);
+  context.shards.set(id, shard);
+  addActiveJobs(context, shard, now);
+  context.log.info(
+    { shard: id, fencingToken, machines: shard.machines.size, jobs: shard.jobs.size },
+    'leadership acquired',
+  );
+}
+
+function addRegisteredMachines(context: OpenShardContext, shard: Shard, now: SteadyMs): void {
+  for (const entry of context.storeCache.entriesUnder(MACHINES_PREFIX)) {
+    const record = decodeMachineRecord(entry.value);
+    if (record?.shard !== shard.id) continue;
+    const id = entry.key.slice(MACHINES_PREFIX.length) as MachineId;
+    const machine = newUnreconciledMachine(id, record, now);
+    shard.addMachine(machine);
+    for (const [image, sizeGb] of context.imageHints.get(id) ?? []) shard.recordImage(machine, image, sizeGb);
+  }
+}
+
+/** An earlier leader may have started tasks on it: nothing is known of it before its first heartbeat. */
+function newUnreconciledMachine(id: MachineId, record: MachineRecord, now: SteadyMs): Machine {
+  return newMachine(id, record.address, record.type, record.zone, record.spot, now, false);
+}
+
+function addActiveJobs(context: OpenShardContext, shard: Shard, now: SteadyMs): void {
+  for (const record of context.activeJobs.values()) {
+    const age = context.clusterClock.age(record.acceptedAt, now);
+    syncJob(shard, record, context.storeCache.version(activeJobKey(record.spec.id)), now, true, age);
+  }
+}
