--- /dev/null
+++ b/test/leadership/membership.test.ts
@@ -0,0 +1,134 @@
+/** The loop that keeps the membership lease and key, against a store that answers as each test says. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { Membership, type MembershipContext } from '../../src/leadership/membership.js';
+import type { CompareAndSwapResult } from '../../src/store/client.js';
+import type { Change } from '../../src/store/wire.js';
+import {
+  millis,
+  revision,
+  type ControllerId,
+  type Incarnation,
+  type LeaseId,
+  type Millis,
+} from '../../src/model/units.js';
+import { SimulatedClock } from '../support/simulated-clock.js';
+
+const TTL = millis(3000);
+
+/** A store with one lease after the other; every request takes 10 ms. */
+class ScriptedStore {
+  readonly requests: string[] = [];
+  readonly writes: Change[] = [];
+  grants = true;
+  renewal: 'renewed' | 'gone' | 'failed' = 'renewed';
+  write: CompareAndSwapResult = { kind: 'done', revision: revision(1) };
+  private lastLease = 0;
+
+  constructor(private readonly clock: SimulatedClock) {}
+
+  async grantLease(): Promise<LeaseId | null> {
+    this.requests.push('grant');
+    await this.clock.sleep(10);
+    if (!this.grants) return null;
+    this.lastLease += 1;
+    return this.lastLease as LeaseId;
+  }
+
+  async renewLease(lease: LeaseId): Promise<'renewed' | 'gone' | 'failed'> {
+    this.requests.push(`renew ${lease}`);
+    await this.clock.sleep(10);
+    return this.renewal;
+  }
+
+  async compareAndSwap(_conditions: unknown, changes: readonly Change[]): Promise<CompareAndSwapResult> {
+    this.requests.push('write');
+    this.writes.push(...changes);
+    await this.clock.sleep(10);
+    return this.write;
+  }
+}
+
+function startMembership(prepare: (store: ScriptedStore) => void = () => undefined): {
+  clock: SimulatedClock;
+  store: ScriptedStore;
+  membership: Membership;
+} {
+  const clock = new SimulatedClock();
+  const store = new ScriptedStore(clock);
+  prepare(store);
+  const context: MembershipContext = {
+    clock,
+    store,
+    settings: { node: 'n0' as ControllerId },
+    tuning: { membershipTtl: TTL },
+    incarnation: 'n0-1' as Incarnation,
+    random: () => 0,
+    sleep: (delay: Millis) => clock.sleep(delay),
+  };
+  const membership = new Membership(context);
+  void membership.run();
+  return { clock, store, membership };
+}
+
+test('the membership key is written once, on the lease, and the lease is renewed after each third of its time to live', async () => {
+  const { clock, store, membership } = startMembership();
+  const startedAt = clock.now();
+  assert.equal(membership.stableSince(clock.now()), null, 'nothing is confirmed yet');
+  await clock.advance(2500);
+  assert.deepEqual(store.requests, ['grant', 'write', 'renew 1', 'renew 1']);
+  assert.deepEqual(store.writes, [
+    { op: 'put', key: 'c/alive/n0', value: { incarnation: 'n0-1' }, lease: 1 },
+  ]);
+  assert.equal(membership.stableSince(clock.now()), startedAt, 'since the first request was sent');
+});
+
+test('without an answer the membership counts as stable until one time to live after the last renewal was sent', async () => {
+  const { clock, store, membership } = startMembership();
+  const startedAt = clock.now();
+  await clock.advance(500);
+  store.renewal = 'failed';
+  await clock.advance(TTL - 501);
+  assert.equal(membership.stableSince(clock.now()), startedAt, 'the store cannot have deleted the key yet');
+  await clock.advance(1);
+  assert.equal(membership.stableSince(clock.now()), null, 'the key may be gone');
+  store.renewal = 'renewed';
+  await clock.advance(1000);
+  assert.equal(membership.stableSince(clock.now()), startedAt, 'the lease has been held all the time');
+});
+
+test('after the lease has expired a new one is granted, the key is written anew, and stability begins anew', async () => {
+  const { clock, store, membership } = startMembership();
+  const startedAt = clock.now();
+  await clock.advance(500);
+  store.renewal = 'gone';
+  await clock.advance(600);
+  assert.equal(membership.stableSince(clock.now()), null);
+  await clock.advance(400);
+  assert.deepEqual(store.requests, ['grant', 'write', 'renew 1', 'grant', 'write']);
+  assert.equal(store.writes.at(-1)?.op, 'put');
+  const since = membership.stableSince(clock.now());
+  assert.ok(since !== null && since > startedAt + 1000, `stable since ${since}`);
+});
+
+test('a refused membership key asks for another lease; an uncertain one is written again on the same lease', async () => {
+  for (const [kind, requests] of [
+    ['refused', ['grant', 'write', 'grant', 'write']],
+    ['unknown', ['grant', 'write', 'renew 1', 'write']],
+  ] as const) {
+    const { clock, store, membership } = startMembership((store) => (store.write = { kind }));
+    await clock.advance(100);
+    assert.equal(membership.stableSince(clock.now()), null, kind);
+    store.write = { kind: 'done', revision: revision(2) };
+    await clock.advance(500);
+    assert.deepEqual(store.requests, requests, kind);
+    assert.notEqual(membership.stableSince(clock.now()), null, kind);
+  }
+});
+
+test('without a lease a controller is no member, and tries again within half a second', async () => {
+  const { clock, store, membership } = startMembership((store) => (store.grants = false));
+  await clock.advance(1000);
+  assert.equal(membership.stableSince(clock.now()), null);
+  assert.deepEqual(store.requests, ['grant', 'grant', 'grant', 'grant']);
+});
