--- /dev/null
+++ b/test/leadership/failover-with-cancellations.test.ts
@@ -0,0 +1,189 @@
+/**
+ * Jobs are cancelled around a failover, on machines that hang or are cut off, by teams at their quota.
+ * Each case is brought about by events (a commit, a start, a command on its way), over several phases, and
+ * checked against the rules of the protocol.
+ */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import {
+  NODES,
+  type FaultInjectionCluster,
+  startCluster,
+  machinesOfShard,
+  injectFault,
+  recover,
+  whenFailoverArrives,
+} from '../support/fault-injection-cluster.js';
+
+/** Both teams at their quota of 24 CPUs; as much again waits, with capacity for all of it on idle machines. */
+async function clusterWithTeamsAtQuota(): Promise<FaultInjectionCluster> {
+  const cluster = await startCluster(8, 4);
+  for (const team of ['red', 'blue'])
+    await cluster.submit(0, `req-${team}`, { team, tasks: 12, runMs: 600_000 });
+  await cluster.until(
+    'both are at their quota',
+    () => cluster.countRunningTasks('req-red') + cluster.countRunningTasks('req-blue') === 24,
+  );
+  for (const team of ['red', 'blue'])
+    await cluster.submit(1, `req-next-${team}`, { team, tasks: 12, runMs: 600_000, image: 'another' });
+  await cluster.step(1000);
+  assert.equal(cluster.countRunningTasks('req-next-red'), 0);
+  return cluster;
+}
+
+/** Ends the leader of shard 0; returns how many tasks of both teams' first jobs ran at the commit of the failover. */
+async function stopLeader(
+  cluster: FaultInjectionCluster,
+  afterFailover: () => void = () => undefined,
+): Promise<number> {
+  cluster.killNode(0);
+  let running = 0;
+  cluster.onFailover(0, () => {
+    running = cluster.countRunningTasks('req-red') + cluster.countRunningTasks('req-blue');
+    afterFailover();
+  });
+  await cluster.until('the shard has a new leader', () => cluster.leaderOf(0) !== 0);
+  return running;
+}
+
+const bothCancelled = (cluster: FaultInjectionCluster): boolean =>
+  ['req-red', 'req-blue'].every((job) => cluster.invariantChecker.finalState(job) === 'cancelled');
+
+const nextRunning = (cluster: FaultInjectionCluster): number =>
+  cluster.countRunningTasks('req-next-red') + cluster.countRunningTasks('req-next-blue');
+
+for (const fault of ['hang', 'cut'] as const) {
+  test(`teams at their quota, cancelled tasks on machines with a ${fault}, the leader ends`, async () => {
+    for (const [phase, backAfter] of [
+      [0, 6000],
+      [700, 8000],
+      [1400, 14_000],
+      [2500, 30_000],
+    ] as const) {
+      const cluster = await clusterWithTeamsAtQuota();
+      const lost = cluster.machinesRunning('req-red').concat(cluster.machinesRunning('req-blue'));
+      injectFault(cluster, fault, lost);
+      cluster.clock.after(backAfter, () => recover(cluster, lost));
+      await cluster.step(phase);
+      for (const team of ['red', 'blue']) cluster.cancel(`req-${team}`, 1);
+      await cluster.until('both are cancelled', () => bothCancelled(cluster));
+      const running = await stopLeader(cluster);
+      assert.equal(running, 24, 'the tasks of the cancelled jobs were there at the failover');
+      await cluster.step(60_000);
+      cluster.assertNoViolations(`${fault} ${phase} ms before the cancellation, over after ${backAfter} ms`);
+      assert.equal(nextRunning(cluster), 24, `the quotas are used again:\n${cluster.traceLines.join('\n')}`);
+    }
+  });
+}
+
+for (const fault of ['hang', 'cut'] as const) {
+  test(`a team at its quota, the leader ends, machines with a ${fault}, then a cancellation`, async () => {
+    for (const [delay, backAfter] of [
+      [0, 5000],
+      [10, 9000],
+      [400, 14_000],
+      [3000, 30_000],
+    ] as const) {
+      const cluster = await clusterWithTeamsAtQuota();
+      const lost = ['req-red', 'req-blue'].flatMap((job) => machinesOfShard(cluster, 0, job));
+      injectFault(cluster, fault, lost);
+      cluster.clock.after(backAfter, () => recover(cluster, lost));
+      const cancelAll = (): void => ['req-red', 'req-blue'].forEach((job) => cluster.cancel(job, 1));
+      const running = await stopLeader(cluster, () => cluster.clock.after(delay, cancelAll));
+      assert.equal(running, 24, 'nothing had ended at the failover');
+      await cluster.step(60_000);
+      assert.ok(bothCancelled(cluster));
+      cluster.assertNoViolations(
+        `cancelled ${delay} ms after the failover, ${fault} over after ${backAfter} ms`,
+      );
+      assert.equal(nextRunning(cluster), 24, `the quotas are used again:\n${cluster.traceLines.join('\n')}`);
+    }
+  });
+}
+
+test('all leaders end, a new one hears of tasks of cancelled jobs, and their machines hang', async () => {
+  for (const hangFor of [3000, 9000, 25_000]) {
+    const cluster = await clusterWithTeamsAtQuota();
+    const holders = cluster.machinesRunning('req-red').concat(cluster.machinesRunning('req-blue'));
+    injectFault(cluster, 'cut', holders);
+    for (const team of ['red', 'blue']) cluster.cancel(`req-${team}`, 1);
+    await cluster.until('both are cancelled', () => bothCancelled(cluster));
+    for (const node of NODES) cluster.killNode(node);
+    let hanging = 0;
+    for (const machine of holders) {
+      cluster.unheardMachines.add(machine);
+      hangWhenCalled(cluster, machine, () => {
+        hanging += 1;
+        cluster.clock.after(hangFor, () => recover(cluster, [machine]));
+        cluster.clock.after(hangFor, () => cluster.unheardMachines.delete(machine));
+      });
+    }
+    cluster.heal(holders);
+    await cluster.start();
+    await cluster.until('all have been asked and hang', () => hanging === holders.length);
+    assert.equal(cluster.countRunningTasks('req-red') + cluster.countRunningTasks('req-blue'), 24);
+    await cluster.step(60_000);
+    cluster.assertNoViolations(`hanging for ${hangFor} ms`);
+    assert.equal(nextRunning(cluster), 24, `the quotas are used again:\n${cluster.traceLines.join('\n')}`);
+  }
+});
+
+/** The machine answers the first command of a new leader, which shows what it runs, and then hangs. */
+function hangWhenCalled(cluster: FaultInjectionCluster, machine: string, act: () => void): void {
+  const worker = cluster.worker(machine);
+  const arrive = worker.receive.bind(worker);
+  worker.receive = (call) => {
+    const outcome = arrive(call);
+    if (call.path !== '/orders') return outcome;
+    worker.receive = arrive;
+    injectFault(cluster, 'hang', [machine]);
+    act();
+    return outcome;
+  };
+}
+
+test('a cancellation at every moment around the failover, with launches of the old leader in flight', async () => {
+  // When the cancellation is requested, and how long the failover takes until it is committed (ms).
+  for (const [asked, applied] of [
+    [0, 0],
+    [0, 4],
+    [0, 8],
+    [0, 60],
+    [40, 0],
+    [400, 0],
+    [2500, 0],
+  ] as const) {
+    for (const late of [1500, 4000, 9000]) await cancelAroundFailover(asked, applied, late);
+  }
+});
+
+async function cancelAroundFailover(asked: number, applied: number, late: number): Promise<void> {
+  const cluster = await startCluster(4, 2);
+  let delayedCommands = 0;
+  cluster.commandDelayMs = (node) => {
+    if (node !== 0) return null;
+    delayedCommands += 1;
+    return late;
+  };
+  await cluster.submit(0, 'req-kept', { tasks: 4, zone: 'east', runMs: 60_000 });
+  await cluster.submit(0, 'req-over', { tasks: 4, zone: 'east', runMs: 60_000 });
+  await cluster.until('launches of n0 are on their way', () => delayedCommands > 0);
+  let failedOver = false;
+  whenFailoverArrives(cluster, applied, () => {
+    failedOver = true;
+    cluster.clock.after(asked, () => cluster.cancel('req-over', 1));
+  });
+  cluster.killNode(0);
+  await cluster.until('the failover is under way', () => failedOver);
+  await cluster.step(45_000);
+  cluster.assertNoViolations(
+    `cancelled at ${asked} ms, failover committed after ${applied} ms, launches ${late} ms late`,
+  );
+  assert.equal(cluster.invariantChecker.finalState('req-over'), 'cancelled');
+  assert.equal(cluster.countRunningTasks('req-over'), 0);
+  assert.equal(
+    cluster.countRunningTasks('req-kept'),
+    4,
+    `what was not cancelled runs:\n${cluster.traceLines.join('\n')}`,
+  );
+}
--- /dev/null
+++ b/test/support/fault-injection-cluster.ts
@@ -0,0 +1,212 @@
+/**
+ * A simulated cluster with three controllers for tests of failover: calls the test back at commits, starts and direct
+ * commands, delays watches and transactions, and cuts machines off or makes them hang.
+ */
+import assert from 'node:assert/strict';
+import type { Call, CallOutcome } from '../../src/http/client.js';
+import type { FakeStore } from './fake-store.js';
+import type { FakeWorker } from './fake-worker.js';
+import { SMALL_CLUSTER, SimulatedCluster } from './simulated-cluster.js';
+
+type Transaction = Parameters<FakeStore['applyTransaction']>[0];
+
+export const NODES = [0, 1, 2];
+/** CPUs: more than all machines have. */
+export const UNLIMITED_CPUS = 300;
+
+interface FailoverWrite {
+  readonly shard: string;
+  readonly node: number;
+}
+
+/** The acquisition of leadership that a transaction contains, or null. */
+export function failoverIn(body: Transaction): FailoverWrite | null {
+  for (const change of body.apply ?? []) {
+    const leader = (change.data as { owner?: string | null } | undefined)?.owner;
+    if (change.put?.startsWith('c/parts/') && leader) {
+      return { shard: change.put.slice('c/parts/'.length), node: Number(leader.slice(1)) };
+    }
+  }
+  return null;
+}
+
+/** A simulated cluster that calls a test back at the moment when something happens. */
+export class FaultInjectionCluster extends SimulatedCluster {
+  /** A transaction has just been applied. */
+  onCommit: (body: Transaction) => void = () => undefined;
+  /** A task has just started. */
+  onStart: (machine: string, task: string) => void = () => undefined;
+  /** A controller has just sent a direct command to a worker. */
+  onDirectCall: (node: number, machine: string) => void = () => undefined;
+  /** How late (ms) answers to the watches of a controller arrive. */
+  watchDelayMs: (node: string) => number = () => 0;
+
+  private readonly confirmedCancellations = new Set<string>();
+
+  constructor(cpusMax: number) {
+    const teams = SMALL_CLUSTER.teams.map((team) => ({ ...team, cpusMax }));
+    super({ ...SMALL_CLUSTER, teams, tuning: 'fleet.idle.return.ms = 300000' });
+    this.reportCommits();
+    this.delayWatches();
+    this.commandDelayMs = (node, machine) => {
+      this.onDirectCall(node, machine);
+      return null;
+    };
+  }
+
+  private reportCommits(): void {
+    const apply = this.store.applyTransaction.bind(this.store);
+    this.store.applyTransaction = (body) => {
+      const outcome = apply(body);
+      if (outcome.kind === 'answer' && outcome.status === 200) this.onCommit(body);
+      return outcome;
+    };
+  }
+
+  private delayWatches(): void {
+    const call = this.store.call.bind(this.store);
+    this.store.call = async (node: string, request: Call): Promise<CallOutcome> => {
+      const outcome = await call(node, request);
+      if (request.path.startsWith('/follow')) await this.clock.sleep(this.watchDelayMs(node));
+      return outcome;
+    };
+  }
+
+  override trace(line: string): void {
+    super.trace(line);
+    const started = /^(\S+) runs (\S+)$/.exec(line);
+    if (!started) return;
+    this.invariantChecker.checkOverdue();
+    this.onStart(started[1] ?? '', started[2] ?? '');
+  }
+
+  worker(id: string): FakeWorker {
+    const worker = this.workers.get(id);
+    assert.ok(worker, `${id} is there`);
+    return worker;
+  }
+
+  /** Machines on which a task of the job is now. */
+  machinesRunning(job: string): string[] {
+    const condition = (cluster: FakeWorker): boolean =>
+      cluster.runningTasks().some((t) => t.taskId.startsWith(`${job}/`));
+    return [...this.workers.values()].filter(condition).map((cluster) => cluster.id);
+  }
+
+  countRunningTasks(job: string): number {
+    let count = 0;
+    for (const cluster of this.workers.values())
+      count += cluster.runningTasks().filter((t) => t.taskId.startsWith(`${job}/`)).length;
+    return count;
+  }
+
+  /** The number of the controller that leads a shard by the record in the store; -1: nobody. */
+  leaderOf(shard: number): number {
+    const leader = (this.store.entries.get(`c/parts/${shard}`)?.data as { owner: string | null }).owner;
+    return Number(leader?.slice(1) ?? -1);
+  }
+
+  /** Cuts machines off from controllers, both ways. */
+  cutOff(machines: readonly string[], nodes: readonly number[] = NODES): void {
+    for (const node of nodes) for (const machine of machines) this.networkCuts.add(`n${node}|${machine}`);
+  }
+
+  heal(machines: readonly string[]): void {
+    for (const node of NODES) for (const machine of machines) this.networkCuts.delete(`n${node}|${machine}`);
+  }
+
+  /** A user cancels, and asks again every 300 ms, at the other controllers too, until it is confirmed. */
+  cancel(job: string, at: number): void {
+    void this.request(at, 'POST', `/v2/runs/${job}/abort`).then((answer) => {
+      const state = (answer?.body as { status?: string } | undefined)?.status;
+      if (answer?.status === 200 && state === 'cancelled') return this.isCancellationConfirmed(job, at);
+      this.clock.after(300, () => this.cancel(job, (at + 1) % NODES.length));
+    });
+  }
+
+  private isCancellationConfirmed(job: string, at: number): void {
+    if (this.confirmedCancellations.has(job)) return;
+    this.confirmedCancellations.add(job);
+    this.trace(`user is told at n${at} that ${job} is cancelled`);
+  }
+
+  /** Runs `act` once, when a controller other than the home controller first acquires the shard. */
+  onFailover(shard: number, act: (successor: number) => void): void {
+    this.onLeaderWrite(shard, (node) => node !== shard, act);
+  }
+
+  /** Runs `act` once, when a controller that matches first acquires the shard. */
+  onLeaderWrite(shard: number, matches: (node: number) => boolean, act: (node: number) => void): void {
+    const before = this.onCommit;
+    let over = false;
+    this.onCommit = (body) => {
+      before(body);
+      const failover = failoverIn(body);
+      if (over || failover?.shard !== String(shard) || !matches(failover.node)) return;
+      over = true;
+      this.trace(`n${failover.node} leads shard ${shard}`);
+      act(failover.node);
+    };
+  }
+
+  /** Lets time pass until it holds; fails after `limitMs`. */
+  async until(description: string, condition: () => boolean, limitMs = 20_000): Promise<void> {
+    for (let left = limitMs; left > 0 && !condition(); left -= 50) await this.step(50);
+    assert.ok(condition(), `${description}, within ${limitMs} ms:\n${this.traceLines.join('\n')}`);
+  }
+
+  /** Fails if a rule of the protocol has been violated. */
+  assertNoViolations(phase: string): void {
+    this.invariantChecker.checkOverdue();
+    assert.deepEqual(this.violations, [], `${phase}:\n${this.traceLines.join('\n')}`);
+  }
+}
+
+/** Machines of 8 CPUs, registered in turns in shards 0 and 2 (east) and in shard 1 (west); all controllers run. */
+export async function startCluster(east: number, west: number, cpusMax = 24): Promise<FaultInjectionCluster> {
+  const cluster = new FaultInjectionCluster(cpusMax);
+  for (let i = 0; i < east; i += 1) cluster.addWorker('large', 'east');
+  for (let i = 0; i < west; i += 1) cluster.addWorker('large', 'west');
+  await cluster.start();
+  await cluster.until('all machines are registered', () => countRegisteredMachines(cluster) === east + west);
+  await cluster.step(1500);
+  return cluster;
+}
+
+const countRegisteredMachines = (cluster: SimulatedCluster): number =>
+  [...cluster.store.entries.keys()].filter((key) => key.startsWith('c/machines/')).length;
+
+export const shardOfMachine = (cluster: SimulatedCluster, machine: string): number =>
+  (cluster.store.entries.get(`c/machines/${machine}`)?.data as { part: number } | undefined)?.part ?? -1;
+
+export const machinesOfShard = (cluster: FaultInjectionCluster, shard: number, job: string): string[] =>
+  cluster.machinesRunning(job).filter((machine) => shardOfMachine(cluster, machine) === shard);
+
+export type MachineFault = 'hang' | 'cut';
+
+export function injectFault(
+  cluster: FaultInjectionCluster,
+  fault: MachineFault,
+  machines: readonly string[],
+): void {
+  cluster.trace(`${machines.join(' ')}: ${fault}`);
+  if (fault === 'cut') cluster.cutOff(machines);
+  else for (const machine of machines) cluster.worker(machine).hanging = true;
+}
+
+export function recover(cluster: FaultInjectionCluster, machines: readonly string[]): void {
+  cluster.trace(`${machines.join(' ')} are back`);
+  cluster.heal(machines);
+  for (const machine of machines) if (cluster.workers.has(machine)) cluster.worker(machine).hanging = false;
+}
+
+/** Acts when the first failover of shard 0 reaches the store, which commits such transactions so many ms later. */
+export function whenFailoverArrives(cluster: FaultInjectionCluster, delayMs: number, act: () => void): void {
+  let arrived = false;
+  cluster.store.transactionDelayMs = (body) => {
+    if (failoverIn(body)?.shard !== '0') return 0;
+    if (!arrived) act();
+    arrived = true;
+    return delayMs;
+  };
+}
