--- a/src/leadership/failover.ts
+++ b/src/leadership/failover.ts
@@ -38,7 +38,7 @@
 /** `claim`: acquire leadership; `probe`: ask the shard's workers first whether they answer; `wait`: do nothing now. */
 export type FailoverDecision = 'claim' | 'probe' | 'wait';
 
-/** How long a membership, or a released shard that no worker reports for, stays as it is before it is acted on. */
+/** How long a membership, or a released shard whose workers are not heard, stays as it is before it is acted on. */
 const STABLE_MS = 3000;
 /** How long the home controller of a shard that was never led may take to start. */
 const NEVER_LED_DELAY_MS = 6000;
@@ -98,7 +98,7 @@
   // This controller released the shard because it does not reach the workers. Prevents: it acquires the shard again,
   // releases it again, and no peer that reaches the workers gets its turn.
   { applies: (facts) => isReleased(facts) && facts.releasedBySelf, decision: 'wait' },
-  // Released, and workers report here. The head start prevents: the home controller, which also hears workers, acquires
+  // Released, and heartbeats of its workers arrive here. The head start prevents: the home controller, which also hears workers, acquires
   // the shard right after this one, and all machines are reconciled twice.
   {
     applies: (facts) =>
@@ -107,7 +107,7 @@
       facts.situationAgeMs >= (facts.homeControllerAlive ? HOME_CONTROLLER_HEAD_START_MS : 0),
     decision: 'claim',
   },
-  // Released for a while, and no worker reports here. Prevents: a shard that nobody hears stays without a leader, and
+  // Released for a while, and its workers are not heard here. Prevents: a shard that nobody hears stays without a leader, and
   // its jobs wait for ever.
   {
     applies: (facts) =>
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -2,7 +2,7 @@
  * Leadership of shards: acquires and releases it, raises the fencing token, and opens a shard once the store says that
  * this process leads it. Relies on the store for safety: leadership and fencing token change together, in one
  * compare-and-swap on the revisions that the decision was based on, so that no two controllers lead a shard under the
- * same token and a late copy of an earlier request fails its conditions.
+ * same fencing token and a late copy of an earlier request fails its conditions.
  */
 import type { Settings, Tuning } from '../settings/settings.js';
 import {
@@ -181,20 +181,20 @@
     const { context } = this;
     const { settings, storeCache } = context;
     if (settings.shard !== shard && this.situations.isDelayed(shard, context.clock.now())) return;
-    const token = fencingToken(decodeFencingToken(storeCache.get(TOKEN_KEY)?.value) + 1);
-    const record = { leader: settings.node, incarnation: context.incarnation, fencingToken: token };
+    const nextToken = fencingToken(decodeFencingToken(storeCache.get(TOKEN_KEY)?.value) + 1);
+    const record = { leader: settings.node, incarnation: context.incarnation, fencingToken: nextToken };
     const result = await context.compareAndSwapUntilCertain(
       [
         { key: TOKEN_KEY, version: storeCache.version(TOKEN_KEY) },
         { key: shardKey(shard), version: storeCache.version(shardKey(shard)) },
       ],
       [
-        { op: 'put', key: TOKEN_KEY, value: encodeFencingToken(token) },
+        { op: 'put', key: TOKEN_KEY, value: encodeFencingToken(nextToken) },
         { op: 'put', key: shardKey(shard), value: encodeShardRecord(record) },
       ],
       RequestPriority.leadership,
     );
-    context.log.info({ shard, fencingToken: token, result: result.kind }, 'acquire leadership');
+    context.log.info({ shard, fencingToken: nextToken, result: result.kind }, 'acquire leadership');
     if (result.kind !== 'done')
       await context.sleep(millis(ACQUIRE_RETRY_DELAY_MS + context.random(ACQUIRE_RETRY_JITTER_MS)));
   }
@@ -241,8 +241,8 @@
 }
 
 /** The shard's record has changed while this process leads it; all machines are to be told a new fencing token. */
-function adoptRecord(shard: Shard, token: FencingToken, version: Revision): void {
-  shard.adoptFencingToken(token);
+function adoptRecord(shard: Shard, acquiredToken: FencingToken, version: Revision): void {
+  shard.adoptFencingToken(acquiredToken);
   for (const machine of shard.machines.values()) shard.machinesWithPendingCommands.add(machine);
   shard.version = version;
 }
--- a/test/leadership/failover-decision.test.ts
+++ b/test/leadership/failover-decision.test.ts
@@ -2,24 +2,25 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decideFailover, type FailoverFacts } from '../../src/leadership/failover.js';
+import { steady, type ControllerId, type Incarnation } from '../../src/model/units.js';
 
 test('which controller takes over a shard, and when', () => {
-  const base = {
-    now: 100_000,
-    self: 'n1',
-    incarnation: 'n1-1',
-    homeController: 'n0',
-    leader: 'n0',
-    leaderIncarnation: 'n0-1',
+  const base: FailoverFacts = {
+    now: steady(100_000),
+    self: 'n1' as ControllerId,
+    incarnation: 'n1-1' as Incarnation,
+    homeController: 'n0' as ControllerId,
+    leader: 'n0' as ControllerId,
+    leaderIncarnation: 'n0-1' as Incarnation,
     leaderAlive: true,
     homeControllerAlive: true,
     ledHomeShardBefore: true,
-    membershipStableSince: 10_000,
+    membershipStableSince: steady(10_000),
     redirectedHeartbeats: 0,
     releasedBySelf: false,
     workersReachable: false,
     situationAgeMs: 0,
-  } as unknown as FailoverFacts;
+  };
   const decide = (facts: Partial<Record<keyof FailoverFacts, unknown>>): string =>
     decideFailover({ ...base, ...facts } as FailoverFacts);
   assert.equal(decide({}), 'wait', 'its owner is alive');
--- /dev/null
+++ b/test/leadership/leadership.test.ts
@@ -0,0 +1,181 @@
+/** Requests for leadership, and what follows from the records in the store cache. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { ShardLeadership, type LeadershipContext } from '../../src/leadership/leadership.js';
+import { silentLog } from '../../src/logging/log.js';
+import {
+  aliveKey,
+  encodeFencingToken,
+  encodeMembership,
+  encodeShardRecord,
+  shardKey,
+  TOKEN_KEY,
+} from '../../src/shards/codec.js';
+import type { Shard } from '../../src/shards/model.js';
+import { StoreCache } from '../../src/store/cache.js';
+import type { CompareAndSwapResult } from '../../src/store/client.js';
+import type { Change, Condition } from '../../src/store/wire.js';
+import {
+  fencingToken,
+  millis,
+  revision,
+  shardId,
+  type ControllerId,
+  type FencingToken,
+  type Incarnation,
+  type LeaseId,
+  type Revision,
+  type ShardId,
+  type StoreKey,
+  type ZoneId,
+} from '../../src/model/units.js';
+import { SimulatedClock, flushPromises } from '../support/simulated-clock.js';
+
+type CertainResult = Exclude<CompareAndSwapResult, { kind: 'unknown' }>;
+
+const SELF = 'n0' as ControllerId;
+const PEER = 'n1' as ControllerId;
+const INCARNATION = 'n0-1' as Incarnation;
+const EAST = 'east' as ZoneId;
+const HOME_SHARD = shardId(0);
+const PEER_SHARD = shardId(1);
+
+/** A controller with a membership lease and one peer; its requests for leadership wait until the test answers them. */
+class LeadershipFixture {
+  readonly clock = new SimulatedClock();
+  readonly shards = new Map<ShardId, Shard>();
+  readonly requests: {
+    conditions: Condition[];
+    changes: Change[];
+    answer: (result: CertainResult) => void;
+  }[] = [];
+  readonly leadership: ShardLeadership;
+  readonly storeCache = new StoreCache((key, value, version) => {
+    if (key.startsWith('c/parts/')) this.leadership.onShardRecord(key, value, version);
+  });
+  private lastRevision = 0;
+
+  constructor() {
+    this.leadership = new ShardLeadership(this.context(), () => Promise.resolve(true));
+    void this.leadership.runKeepAlive();
+    this.storeCache.loadSnapshot([], revision(0), this.clock.now());
+  }
+
+  /** The store holds this now, and the cache has learnt of it. */
+  put(key: StoreKey, value: unknown): Revision {
+    this.lastRevision += 1;
+    const version = revision(this.lastRevision);
+    this.storeCache.applyEvents([{ key, value, version }], version, this.clock.now());
+    return version;
+  }
+
+  putLeader(shard: ShardId, leader: ControllerId, incarnation: Incarnation, token: FencingToken): Revision {
+    this.put(TOKEN_KEY, encodeFencingToken(token));
+    return this.put(shardKey(shard), encodeShardRecord({ leader, incarnation, fencingToken: token }));
+  }
+
+  private context(): LeadershipContext {
+    const { clock, storeCache, shards } = this;
+    return {
+      clock,
+      storeCache,
+      shards,
+      settings: {
+        node: SELF,
+        shard: HOME_SHARD,
+        zone: EAST,
+        peers: [],
+        shards: [
+          { shard: HOME_SHARD, node: SELF, zone: EAST },
+          { shard: PEER_SHARD, node: PEER, zone: EAST },
+        ],
+      },
+      tuning: { membershipTtl: millis(60_000), watchTimeout: millis(60_000) },
+      incarnation: INCARNATION,
+      log: silentLog(),
+      heartbeatIntervalMs: 2500,
+      store: {
+        grantLease: () => Promise.resolve(1 as LeaseId),
+        renewLease: () => Promise.resolve('renewed'),
+        compareAndSwap: () => Promise.resolve({ kind: 'done', revision: revision(1) }),
+      },
+      types: new Map(),
+      activeJobs: new Map(),
+      imageHints: new Map(),
+      peers: new Map(),
+      clusterClock: { age: () => millis(0) },
+      random: () => 0,
+      sleep: (delay) => clock.sleep(delay),
+      isAlive: (node) => storeCache.get(aliveKey(node)) !== undefined,
+      heardWithin: () => false,
+      leaderCondition: (shard) => ({ key: shardKey(shard.id), version: shard.version }),
+      compareAndSwapUntilCertain: (conditions, changes) =>
+        new Promise((answer) => this.requests.push({ conditions, changes, answer })),
+    };
+  }
+}
+
+test('a controller acquires its home shard under the next fencing token, and leads it only once the store says so', async () => {
+  const fixture = new LeadershipFixture();
+  fixture.put(aliveKey(PEER), encodeMembership('n1-1' as Incarnation));
+  const tokenVersion = fixture.put(TOKEN_KEY, encodeFencingToken(fencingToken(6)));
+  await flushPromises();
+  fixture.leadership.tick();
+  const [request] = fixture.requests;
+  assert.ok(request && fixture.requests.length === 1, 'the shard of the peer that starts is left to it');
+  assert.deepEqual(request.conditions, [
+    { key: TOKEN_KEY, version: tokenVersion },
+    { key: shardKey(HOME_SHARD), version: 0 },
+  ]);
+  assert.deepEqual(request.changes, [
+    { op: 'put', key: TOKEN_KEY, value: { token: 7 } },
+    { op: 'put', key: shardKey(HOME_SHARD), value: { owner: 'n0', incarnation: 'n0-1', token: 7 } },
+  ]);
+  request.answer({ kind: 'done', revision: revision(9) });
+  await flushPromises();
+  assert.equal(fixture.shards.size, 0, 'an answer alone does not open the shard');
+  fixture.putLeader(HOME_SHARD, SELF, INCARNATION, fencingToken(7));
+  assert.equal(fixture.shards.get(HOME_SHARD)?.fencingToken, 7);
+});
+
+test('while a request for a shard is under way, neither a tick nor a raise of its fencing token sends another', async () => {
+  const fixture = new LeadershipFixture();
+  await flushPromises();
+  fixture.putLeader(HOME_SHARD, SELF, INCARNATION, fencingToken(1));
+  const shard = fixture.shards.get(HOME_SHARD);
+  assert.ok(shard);
+  void fixture.leadership.raiseFencingToken(shard);
+  void fixture.leadership.raiseFencingToken(shard);
+  fixture.leadership.tick();
+  assert.equal(fixture.requests.length, 1);
+  fixture.requests[0]?.answer({ kind: 'done', revision: revision(3) });
+  await flushPromises();
+  void fixture.leadership.raiseFencingToken(shard);
+  assert.equal(fixture.requests.length, 2, 'the first one has ended');
+});
+
+test('a raised fencing token keeps the shard open; another incarnation takes the shard away', async () => {
+  const fixture = new LeadershipFixture();
+  await flushPromises();
+  fixture.putLeader(HOME_SHARD, SELF, INCARNATION, fencingToken(1));
+  const shard = fixture.shards.get(HOME_SHARD);
+  const version = fixture.putLeader(HOME_SHARD, SELF, INCARNATION, fencingToken(2));
+  assert.equal(fixture.shards.get(HOME_SHARD), shard);
+  assert.equal(shard?.fencingToken, 2);
+  assert.equal(shard.version, version);
+  fixture.putLeader(HOME_SHARD, SELF, 'n0-2' as Incarnation, fencingToken(3));
+  assert.equal(fixture.shards.size, 0, 'the same controller, but another process');
+});
+
+test('without a current store cache nothing is acquired', async () => {
+  for (const [cacheAgeMs, requests] of [
+    [61_499, 1],
+    [61_500, 0],
+  ] as const) {
+    const fixture = new LeadershipFixture();
+    await flushPromises();
+    await fixture.clock.advance(cacheAgeMs);
+    fixture.leadership.tick();
+    assert.equal(fixture.requests.length, requests, `confirmed ${cacheAgeMs} ms ago`);
+  }
+});
