--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -55,7 +55,7 @@
   updateDemand(shard: Shard, unplaced: readonly UnplacedTasks[], now: SteadyMs): void {
     const demands: CapacityDemand[] = [];
     for (const entry of unplaced) {
-      if (entry.reason !== 'room') continue;
+      if (entry.reason !== 'capacity') continue;
       const countByZone = new Map<ZoneId | null, number>();
       if (entry.indices === 'all') countByZone.set(null, unplacedCount(entry));
       else
@@ -101,7 +101,8 @@
   private scaleOut(shard: Shard, now: SteadyMs): void {
     const demands = this.demands.get(shard.id) ?? [];
     if (demands.length === 0 || this.shardsScalingOut.has(shard.id) || this.core.types.size === 0) return;
-    if (now - (this.lastScaleOutAt.get(shard.id) ?? -1e12) < SCALE_OUT_INTERVAL_MS) return;
+    const lastScaleOutAt = this.lastScaleOutAt.get(shard.id);
+    if (lastScaleOutAt !== undefined && now - lastScaleOutAt < SCALE_OUT_INTERVAL_MS) return;
     const decisions = planScaleOut(demands, {
       types: [...this.core.types.values()],
       zones: this.core.settings.zones,
@@ -145,7 +146,7 @@
           }
         }
         if (result.machines.length < request.count) this.backOff(request, now + NO_CAPACITY_BACKOFF_MS);
-        core.log.info({ ...request, got: result.machines.length }, 'rented');
+        core.log.info({ ...request, got: result.machines.length }, 'scaled out');
         return;
       }
       if (result.kind === 'no-capacity') {
@@ -189,8 +190,8 @@
     if (reason === null) return;
     machine.scalingIn = true;
     this.core.log.info(
-      { machine: machine.id, part: shard.id, why: reason, bound: machine.allocations.size },
-      'returning machine',
+      { machine: machine.id, shard: shard.id, why: reason, allocations: machine.allocations.size },
+      'scaling in machine',
     );
     void this.deleteMachine(shard, machine);
   }
@@ -285,7 +286,7 @@
         this.forgetPending(id);
     }
     if (unusedIds.length === 0) return;
-    core.log.info({ machines: unusedIds }, 'returning machines that nobody uses');
+    core.log.info({ machines: unusedIds }, 'scaling in unused machines');
     if (await core.cloud.scaleIn(unusedIds)) for (const id of unusedIds) this.forgetPending(id);
   }
 
--- a/src/autoscaling/instance-types.ts
+++ b/src/autoscaling/instance-types.ts
@@ -4,22 +4,26 @@
 import { decodeCatalog, encodeCatalog } from './codec.js';
 import { CATALOG_KEY } from '../shards/codec.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import { millis, steady } from '../model/units.js';
+import { millis, type SteadyMs } from '../model/units.js';
 
 const REFRESH_INTERVAL_MS = 60_000;
 
 export class InstanceTypeCatalog {
-  private refreshedAt = steady(-1e12);
+  private refreshedAt: SteadyMs | null = null;
 
   constructor(private readonly core: Core) {}
 
   async run(): Promise<never> {
     for (;;) {
-      if (this.core.clock.now() - this.refreshedAt > REFRESH_INTERVAL_MS) await this.refresh();
+      if (this.isRefreshDue()) await this.refresh();
       await this.core.sleep(millis(this.core.types.size === 0 ? 500 : 5000));
     }
   }
 
+  private isRefreshDue(): boolean {
+    return this.refreshedAt === null || this.core.clock.now() - this.refreshedAt > REFRESH_INTERVAL_MS;
+  }
+
   private async refresh(): Promise<void> {
     const { core } = this;
     if (core.types.size === 0) this.loadStoredTypes();
--- a/src/autoscaling/scale-in.ts
+++ b/src/autoscaling/scale-in.ts
@@ -95,7 +95,7 @@
     context.now > machine.interruptedAt &&
     silentMs > 2 * context.reportMs
   )
-    return 'taken';
+    return 'interrupted';
   const neverHeard = machine.lastHeardAt === null && machine.missedDirectRequests > 0;
   if ((neverHeard || silentMs > 1.5 * context.reportMs) && context.isUnlisted(machine.id))
     return 'not listed any more';
@@ -109,8 +109,8 @@
     return 'spot machine silent';
   const timeoutFactor = liveness.silentOnDemand <= liveness.maxSilentOnDemand ? 1 : 2;
   if (silentMs > context.silenceTimeout * timeoutFactor) return 'silent';
-  if (isMissingAfterFailover(shard, machine, liveness)) return 'it does not answer after a claim';
-  if (isUnreachable(machine, liveness, context)) return 'it is heard and cannot be reached';
+  if (isMissingAfterFailover(shard, machine, liveness)) return 'it does not answer after a failover';
+  if (isUnreachable(machine, liveness, context)) return 'its heartbeats arrive and it cannot be reached';
   return idleScaleInReason(machine, liveness, context);
 }
 
--- a/src/overflow/machine-transfer.ts
+++ b/src/overflow/machine-transfer.ts
@@ -12,7 +12,7 @@
 import { isSchedulable, type OversizedGang } from '../scheduling/cycle.js';
 import { RequestPriority } from '../store/rate-limiter.js';
 import type { ShardId, SteadyMs } from '../model/units.js';
-import { millis, plus, steady } from '../model/units.js';
+import { millis, plus } from '../model/units.js';
 import { zoneForShard } from './announcement.js';
 
 /** Between two requests of a pool, in milliseconds. */
@@ -79,7 +79,8 @@
     const { core } = this;
     const now = core.clock.now();
     this.oversizedGangSeenAt.set(shard.id, now);
-    if (now - (this.requestedAt.get(shard.id) ?? -Infinity) < REQUEST_INTERVAL_MS) return;
+    const requestedAt = this.requestedAt.get(shard.id);
+    if (requestedAt !== undefined && now - requestedAt < REQUEST_INTERVAL_MS) return;
     this.requestedAt.set(shard.id, now);
     const zone = zoneForShard(core, shard.id);
     const peers = core.settings.shards.filter((p) => p.shard !== shard.id && p.zone === zone);
@@ -120,7 +121,8 @@
 
   /** Of two pools that both have such a gang the one with the lower number gathers machines first. */
   private hasPrecedence(shard: Shard, request: MachineRequest, now: SteadyMs): boolean {
-    const hasOversizedGang = now - (this.oversizedGangSeenAt.get(shard.id) ?? steady(-Infinity)) < CORDON_TTL;
+    const seenAt = this.oversizedGangSeenAt.get(shard.id);
+    const hasOversizedGang = seenAt !== undefined && now - seenAt < CORDON_TTL;
     return hasOversizedGang && shard.id < request.from;
   }
 
--- a/src/overflow/task-transfer.ts
+++ b/src/overflow/task-transfer.ts
@@ -40,7 +40,7 @@
   const unfittingRequirements = new Set<string>();
   for (const entry of unplaced) {
     const { job } = entry;
-    if (entry.reason !== 'room' || !job.handingOver.isEmpty) continue;
+    if (entry.reason !== 'capacity' || !job.handingOver.isEmpty) continue;
     const transferDelayMs =
       job.spec.priority === Priority.critical ? CRITICAL_TRANSFER_DELAY_MS : TRANSFER_DELAY_MS;
     const minWaitMs = job.record.homeShard === shard.id ? 0 : transferDelayMs;
@@ -155,7 +155,7 @@
     );
     core.log.debug(
       { job: job.id, tasks: tasks.size, from: shard.id, to: receivingShard, result: result.kind },
-      'handed over',
+      'tasks transferred',
     );
     if (result.kind === 'done')
       await core.exclusive(() => core.storeCache.apply(key, record, result.revision));
--- a/src/scheduling/candidates.ts
+++ b/src/scheduling/candidates.ts
@@ -1,4 +1,7 @@
-/** Where tasks of one job may start, best first. Pure: it reads the part and the room that a round has left. */
+/**
+ * Filters and scores the machines on which tasks of one job may start, best first. Pure: reads the shard and what a
+ * scheduling cycle has left free.
+ */
 import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import {
@@ -15,11 +18,12 @@
 import type { Machine, Shard, ShardJob } from '../shards/model.js';
 import type { SteadyMs, InstanceTypeId, ZoneId } from '../model/units.js';
 import { mayRunOn } from '../model/constraints.js';
-import { freeResourcesOn, type SchedulingContext, type CycleState } from './cycle.js';
+import type { SchedulingCycle } from './scheduling-cycle.js';
 
+/** By the first numbers that differ; 0: all are equal. */
 export function compareLexicographically(first: readonly number[], second: readonly number[]): number {
-  for (let i = 0; i < first.length; i += 1) {
-    const difference = (first[i] as number) - (second[i] as number);
+  for (let position = 0; position < first.length; position += 1) {
+    const difference = (first[position] as number) - (second[position] as number);
     if (difference !== 0) return difference;
   }
   return 0;
@@ -31,16 +35,17 @@
   readonly score: readonly number[];
 }
 
-/** Steps in which replicas fill a machine: up to a half first, so that lesser work beside them can make way. */
+/** Steps in which replicas fill a machine: up to a half first, so that preemptible work has the rest. */
 const CROWDING_STEPS = 2;
+/** How long after its registration a machine counts as new. */
 const NEW_MACHINE_MS = 4000;
 
 /**
- * The machine that holds the image, then one that is fetching it, else most free room. Found and ordered once for
- * all tasks of the job in a round.
+ * Machines that hold the image first, then those that are fetching it, then those with most free. Found and ordered
+ * once for all tasks of the job in a cycle.
  */
 export class CandidateMachines {
-  /** Places of the same kind together, the best kind first. */
+  /** Candidates of equal preference together, the best first. */
   private scoreGroups: Candidate[][] | null = null;
   private groupPosition = 0;
 
@@ -48,12 +53,12 @@
     private readonly shard: Shard,
     private readonly job: ShardJob,
     private readonly types: ReadonlyMap<InstanceTypeId, InstanceType>,
-    /** What the round has left on a machine; null: nothing of the job may start there. */
+    /** Free on a machine as the cycle leaves it; null: no task of the job may start there. */
     private readonly freeResourcesOn: (machine: Machine) => Resources | null,
     private readonly now: SteadyMs,
   ) {}
 
-  /** `first`: the machine that is kept for this task, if it has room by now. */
+  /** The best machine with enough free; `preferred`, the one reserved for this task, if it has enough by now. */
   next(preferred?: Machine): Machine | null {
     const { job } = this;
     if (preferred) {
@@ -61,7 +66,7 @@
       if (free && fits(job.spec, free)) return preferred;
     }
     this.scoreGroups ??= groupByPreference(this.findCandidates());
-    // Batch work fills the best machine before the next; replicas take turns among machines of the best kind.
+    // Batch work fills the best machine before the next; replicas take turns among equal machines.
     const fill = job.spec.kind === 'array';
     for (
       let group = this.scoreGroups[0];
@@ -91,21 +96,22 @@
     return candidates.sort((a, b) => compareLexicographically(a.score, b.score));
   }
 
-  /** The first two say of what kind the place is. */
+  /** Smaller numbers are better. Candidates that agree in the first two are of equal preference. */
   private score(machine: Machine, free: Resources): readonly number[] {
     const { spec } = this.job;
-    // A machine on which the job failed is the last choice for it.
+    // A machine on which a task of the job has failed is its last choice.
     const failed = this.job.failedMachines.has(machine.id) ? 1 : 0;
     const hasImage = machine.images.has(spec.image);
     const capacity = this.types.get(machine.type) ?? ZERO;
     const crowding = spec.kind === 'service' ? replicaCrowding(machine, free, spec, capacity) : 0;
-    // Only a fetch that another machine would need too: replicas rather bring the image to one more machine.
+    // Replicas beyond half of a machine rather bring the image to one more machine than wait for this fetch.
     const isFetchingImage = !hasImage && machine.requiredImages.has(spec.image) && crowding < CROWDING_STEPS;
-    // Among holders batch work fills the fullest machine first: idle ones can be returned, and large gaps stay.
+    // With the image at hand, batch work fills the fullest machine first: idle ones can be scaled in, and large tasks
+    // still find machines with much free.
     const pack = (hasImage || isFetchingImage) && spec.kind === 'array';
-    // What would lose its work with a machine that may be taken goes to one that may not, while there is room.
+    // A task without checkpoints would lose its work with an interrupted spot machine: on-demand machines come first.
     const interruptionRisk = machine.spot && spec.checkpointIntervalS === 0 ? 1 : 0;
-    // Replicas stay together: machines without any come free when batch work ends, and are returned.
+    // Replicas stay together: machines without any become idle when batch work ends, and are scaled in.
     const withoutReplicas = spec.kind === 'service' && isZero(criticalUsage(machine)) ? 1 : 0;
     const freeCpus = freeAsCpus(free, capacity, spec);
     const packingOrder = pack ? freeCpus : -(freeCpus + freeCpus / Math.max(1, capacity.cpus));
@@ -120,33 +126,32 @@
   }
 }
 
-/** Where tasks of a job that are pinned to this zone may start in a round. */
+/** Where tasks of a job that this zone is required for may start; null: any zone. */
 export function candidatesFor(
-  shard: Shard,
+  cycle: SchedulingCycle,
   job: ShardJob,
   zone: ZoneId | null,
-  state: CycleState,
-  context: SchedulingContext,
   mayUse: (machine: Machine) => boolean = () => true,
 ): CandidateMachines {
   const freeOn = (machine: Machine): Resources | null =>
     mayRunOn(job.spec, machine.type, machine.zone, machine.spot, zone) && mayUse(machine)
-      ? freeResourcesOn(machine, state, context)
+      ? cycle.freeResourcesOn(machine)
       : null;
-  return new CandidateMachines(shard, job, context.types, freeOn, context.now);
+  const { types, now } = cycle.context;
+  return new CandidateMachines(cycle.shard, job, types, freeOn, now);
 }
 
 const criticalUsage = (machine: Machine): Resources => subtract(machine.used, machine.preemptible);
 
-/** In steps: what replicas would take of the machine, those of this round included, who are placed before others. */
+/** In steps: how much of the machine replicas would take, with those of this cycle, which are placed before others. */
 function replicaCrowding(machine: Machine, free: Resources, spec: JobSpec, capacity: Resources): number {
   const usedByReplicas = add(subtract(subtract(capacity, machine.preemptible), free), spec);
   return Math.ceil(CROWDING_STEPS * dominantShare(usedByReplicas, capacity) - TOLERANCE);
 }
 
 /**
- * Would a replica take more than its half of a machine that has just come and must fetch its image? Machines come one
- * by one at a start: the first would be filled with replicas alone, and nothing lesser could make way there later.
+ * Would a replica take more than half of a new machine that has yet to fetch its image? As a cluster starts, machines
+ * come one by one: the first would be filled with replicas alone, and nothing could be preempted there later.
  */
 export function isCrowded(
   machine: Machine,
--- a/src/scheduling/consolidation.ts
+++ b/src/scheduling/consolidation.ts
@@ -1,6 +1,7 @@
 /**
- * Moves replicas together once nothing waits and half of all room is free: a machine kept for one replica costs as much as a full one. One at a
- * time, from the machine with the fewest to one that holds the image, so that it is away for a moment only. Pure.
+ * Moves replicas together while nothing waits and half of the capacity is free: a machine that runs for one replica
+ * costs as much as a full one. One replica at a time, from the machine with the least load to one that holds the image,
+ * so that it is down for a moment only. Pure.
  */
 import {
   addTo,
@@ -21,15 +22,20 @@
 import { mayRunOn } from '../model/constraints.js';
 import { isSchedulable, type SchedulingContext } from './cycle.js';
 
+/** Decision: this replica stops and starts again on the target. */
 export interface Relocation {
   readonly allocation: Allocation;
   readonly target: Machine;
 }
 
-/** A start counts as one only after 30 s without a stop. */
+/** A replica moves only after it has run for this long, so that no service restarts over and over. */
 const STABLE_AFTER_MS = 60_000;
+/** Capacity must be at least so many times what is used. */
+const MIN_CAPACITY_OVER_USED = 2;
+
 type ConsolidationContext = Pick<SchedulingContext, 'now' | 'types' | 'reportMs'>;
 
+/** The first move of those that would make a whole machine free; null: none is worth it, or some replica cannot move. */
 export function chooseRelocation(shard: Shard, context: ConsolidationContext): Relocation | null {
   if (!isMostlyFree(shard, context)) return null;
   const from = leastLoadedReplicaMachine(shard, context);
@@ -38,7 +44,7 @@
   const placedOn = new Map<Machine, number>();
   for (const allocation of from.allocations.values()) {
     const target = chooseTarget(shard, from, allocation, placedOn, context);
-    // Only what frees the whole machine is worth a move.
+    // A move is worth it only if the whole machine becomes free.
     if (!target) return null;
     placedOn.set(target, (placedOn.get(target) ?? 0) + 1);
     relocations.push({ allocation, target });
@@ -46,7 +52,7 @@
   return relocations[0] ?? null;
 }
 
-/** While there is work, spread replicas lose less with a machine, and holders of an image have work that can make way. */
+/** Under load, replicas stay spread: a lost machine costs fewer, and there is work to preempt beside each. */
 function isMostlyFree(shard: Shard, context: ConsolidationContext): boolean {
   const total: MutableResources = { ...ZERO };
   const used: MutableResources = { ...ZERO };
@@ -54,7 +60,7 @@
     addTo(total, context.types.get(machine.type) ?? ZERO);
     addTo(used, machine.used);
   }
-  return fits(scale(used, 2), total);
+  return fits(scale(used, MIN_CAPACITY_OVER_USED), total);
 }
 
 /** By the dominant resource, as CPUs of the machine. */
@@ -65,7 +71,7 @@
   return asCpus(subtract(machine.used, machine.preemptible), context.types.get(machine.type) ?? ZERO);
 }
 
-/** Of the machines with nothing but settled replicas the one with the least on it. */
+/** Of the machines with nothing but stable replicas the one with the least load. */
 function leastLoadedReplicaMachine(shard: Shard, context: ConsolidationContext): Machine | null {
   let best: Machine | null = null;
   for (const machine of shard.machines.values()) {
@@ -89,10 +95,10 @@
   allocation.runningSince !== null &&
   context.now - allocation.runningSince > STABLE_AFTER_MS;
 
-/** Kept free where an image is, for the next service that comes: as much as the largest machine has, in CPUs. */
+/** Stays free on machines with the image, for more replicas of a service: the largest machine, in CPUs. */
 const headroomCpus = (context: ConsolidationContext): number => largestOf(context.types.values()).cpus;
 
-/** The fullest machine that holds the image and has more on it than the one to be freed. */
+/** The fullest machine that holds the image and has more load than the one to become free; null: none. */
 function chooseTarget(
   shard: Shard,
   from: Machine,
--- a/src/scheduling/cycle.ts
+++ b/src/scheduling/cycle.ts
@@ -1,167 +1,104 @@
-/** One placement round: what it reads, what it decides, and the room and limits that it has left so far. */
+/** What a scheduling cycle reads, and what it decides. */
 import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
-import {
-  add,
-  addTo,
-  fits,
-  subtract,
-  ZERO,
-  type MutableResources,
-  type Resources,
-} from '../model/resources.js';
-import {
-  freeResources,
-  usageOf,
-  type Allocation,
-  type Machine,
-  type Shard,
-  type ShardJob,
-} from '../shards/model.js';
+import type { Resources } from '../model/resources.js';
+import type { Allocation, Machine, ShardJob } from '../shards/model.js';
 import type { Team } from '../settings/settings.js';
 import type { Attempt, JobId, MachineId, SteadyMs, TeamId, InstanceTypeId } from '../model/units.js';
 
-/** Without any start by then it goes before all but critical work, of whatever priority. One start ends that. */
+/**
+ * A job that has waited this long without any start goes before all but critical work, whatever its priority. Its first
+ * start ends that.
+ */
 export const OVERDUE_AFTER_MS = 150_000;
 
+/** What a cycle reads beside the shard. Valid for one cycle. */
 export interface SchedulingContext {
   readonly now: SteadyMs;
   readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
   readonly teams: ReadonlyMap<TeamId, Team>;
-  /** This part's share of the team's limit. */
+  /** How much of the team's quota this shard may use. */
   readonly shardQuota: (team: TeamId) => Resources;
-  /** What the team uses on other parts, by their announcements. */
+  /** What the team uses on other shards, by their announcements. */
   readonly usageOnOtherShards: (team: TeamId) => Resources;
-  /** Does the job fit into its team's guarantee together with the team's earlier unfinished jobs? */
+  /** Does the job fit into its team's guaranteed quota together with the team's earlier unfinished jobs? */
   readonly guaranteed: (job: JobId) => boolean;
-  /** Has a peer announced room for a task like this? Then it is asked before anybody is stopped. */
+  /** Has a peer announced capacity for such a task? Then overflow is tried before preemption. */
   readonly peerHasCapacity: (spec: JobSpec) => boolean;
-  /** The largest multiple of a deadline that the users of this lane still count. */
+  /** The largest multiple of its deadline within which a job of this class is still of use. */
   readonly maxLatenessFactor: (jobClass: string) => number;
-  /** Actual over estimated run time that this lane has shown. */
+  /** Actual over estimated run time, as observed for this job class. */
   readonly runtimeCorrection: (jobClass: string) => number;
+  /** The interval between two heartbeats of a worker, in milliseconds. */
   readonly reportMs: number;
-  /** How long a gang's task waits for the others before it gives up, in milliseconds. */
+  /** How long a member of a gang waits for the others before it gives up, in milliseconds. */
   readonly gangWaitMs: number;
 }
 
+/** Decision: this task starts on this machine. */
 export interface TaskStart {
   readonly job: ShardJob;
   readonly index: number;
   readonly machine: Machine;
-  /** The attempt that it joins; absent: a new one. */
+  /** The running attempt of its gang that the task joins; absent: a new attempt. */
   readonly attempt?: Attempt;
 }
 
+/** Decision: this task stops, and has the grace period to write a checkpoint. */
 export interface TaskStop {
   readonly allocation: Allocation;
   readonly graceS: number;
 }
 
+/** Waiting tasks of a job that the cycle could not place. */
 export interface UnplacedTasks {
   readonly job: ShardJob;
-  readonly reason: 'room' | 'limit';
-  /** `all`: everything that waits of a job without pins; told so, since thousands of tasks may wait round after round. */
+  /** `capacity`: no machine has enough free; `quota`: the team's quota on this shard is used up. */
+  readonly reason: 'capacity' | 'quota';
+  /** `all`: all waiting tasks of a job without required zones, without a list of thousands in every cycle. */
   readonly indices: readonly number[] | 'all';
 }
 
-/** A gang that its pool could not hold even if all lesser work left it, and how many of its tasks have no place. */
+/** How many tasks the entry stands for. */
+export const unplacedCount = (unplaced: UnplacedTasks): number =>
+  unplaced.indices === 'all' ? unplaced.job.waiting.size : unplaced.indices.length;
+
+/** A gang that does not fit on its shard even if all preemptible work left, and how many members have no machine. */
 export interface OversizedGang {
   readonly job: ShardJob;
   readonly missingTasks: number;
 }
 
-export const unplacedCount = (unplaced: UnplacedTasks): number =>
-  unplaced.indices === 'all' ? unplaced.job.waiting.size : unplaced.indices.length;
+/** Decision: resources of a machine are kept free for a task. */
+export interface PlannedReservation {
+  readonly job: ShardJob;
+  readonly index: number;
+  readonly machine: MachineId;
+  /** The machine becomes free as its tasks end; otherwise tasks were stopped there for this one. */
+  readonly withoutPreemption: boolean;
+}
 
+/** All decisions of a cycle. */
 export interface SchedulingPlan {
   readonly starts: TaskStart[];
   readonly stops: TaskStop[];
-  readonly reservations: { job: ShardJob; index: number; machine: MachineId; reserved: boolean }[];
+  readonly reservations: PlannedReservation[];
   readonly unplaced: UnplacedTasks[];
-  /** By team: the share of its limit that one task, or one gang, needs for which smaller ones now make way. */
+  /** By team: quota that one task, or one gang, needs and that smaller tasks now leave unused. */
   readonly quotaReservations: Map<TeamId, Resources>;
-  /** The first of those that have waited for long. */
+  /** The first such gang that has waited too long. */
   oversizedGang: OversizedGang | null;
 }
 
-export interface CycleState {
-  /** Room for starts of this round, of machines that were looked at. */
-  readonly freeResources: Map<MachineId, MutableResources>;
-  /** Room on machines where tasks were stopped in this round: for holds, not for starts. */
-  readonly freeAfterStops: Map<MachineId, MutableResources>;
-  readonly usage: Map<TeamId, Resources>;
-  readonly unattributedUsage: Resources;
-  readonly stopping: Set<Allocation>;
-  readonly stoppingUsage: Map<TeamId, Resources>;
-  preemptionSearches: number;
-  /** Machines that are kept for tasks that fit nowhere. */
-  reservedMachines: number;
-}
-
-export const teamUsage = (state: CycleState, team: TeamId): Resources => state.usage.get(team) ?? ZERO;
-
-export const usageAfterStops = (state: CycleState, team: TeamId, context: SchedulingContext): Resources =>
-  add(
-    subtract(teamUsage(state, team), state.stoppingUsage.get(team) ?? ZERO),
-    context.usageOnOtherShards(team),
-  );
-
-/** What the team may be using here with one more task of the job. */
-export const usageWithTask = (spec: JobSpec, state: CycleState): Resources =>
-  add(add(teamUsage(state, spec.team), state.unattributedUsage), spec);
-
-export const fitsShardQuota = (spec: JobSpec, state: CycleState, context: SchedulingContext): boolean =>
-  fits(usageWithTask(spec, state), context.shardQuota(spec.team));
-
-/** Room as this round leaves it; null: nothing may start there. */
-export function freeResourcesOn(
-  machine: Machine,
-  state: CycleState,
-  context: SchedulingContext,
-): MutableResources | null {
-  const known = state.freeResources.get(machine.id);
-  if (known) return known;
-  if (!isSchedulable(machine, context)) return null;
-  const free = freeResources(machine, context.types.get(machine.type));
-  state.freeResources.set(machine.id, free);
-  return free;
-}
-
-export function adjustFreeResources(
-  free: MutableResources | null | undefined,
-  spec: JobSpec,
-  sign: 1 | -1,
-): void {
-  if (free) addTo(free, spec, -sign);
-}
-
-/** Told to stop: it no longer counts for the team's guarantee, but for its limit until it is seen gone. */
-export function addStoppingUsage(state: CycleState, spec: JobSpec): void {
-  state.stoppingUsage.set(spec.team, add(state.stoppingUsage.get(spec.team) ?? ZERO, spec));
-}
-
-export const addTaskUsage = (state: CycleState, spec: JobSpec): void => addTeamUsage(state, spec.team, spec);
-
-export function addTeamUsage(state: CycleState, team: TeamId, amount: Resources): void {
-  state.usage.set(team, add(teamUsage(state, team), amount));
-}
-
-export function deadlineAt(job: ShardJob): number {
-  return job.spec.deadlineS === null ? Infinity : job.acceptedAt + job.spec.deadlineS * 1000;
-}
-
-/** 0: its deadline can be kept; 1: its users' second measure of lateness can; 2: neither. */
-export function lateness(job: ShardJob, remainingMs: number, context: SchedulingContext): number {
-  if (job.spec.deadlineS === null) return 0;
-  const expectedTurnaroundMs = context.now + remainingMs - job.acceptedAt;
-  const deadlineMs = job.spec.deadlineS * 1000;
-  return expectedTurnaroundMs < deadlineMs
-    ? 0
-    : expectedTurnaroundMs < deadlineMs * context.maxLatenessFactor(job.spec.jobClass)
-      ? 1
-      : 2;
-}
+/** A plan without any decision. */
+export const newPlan = (): SchedulingPlan => ({
+  starts: [],
+  stops: [],
+  reservations: [],
+  unplaced: [],
+  quotaReservations: new Map(),
+  oversizedGang: null,
+});
 
 export function isSchedulable(
   machine: Machine,
@@ -178,62 +115,3 @@
     return false;
   return machine.lastHeardAt !== null && context.now - machine.lastHeardAt < context.reportMs * 2 + 1000;
 }
-
-export function newCycleState(shard: Shard): CycleState {
-  const usage = usageOf(shard);
-  const state: CycleState = {
-    freeResources: new Map(),
-    freeAfterStops: new Map(),
-    usage: new Map(
-      [...usage.byTeam].map(([team, { cpus, gpus, memoryGb }]) => [team, { cpus, gpus, memoryGb }]),
-    ),
-    unattributedUsage: usage.unattributed,
-    stopping: new Set(),
-    stoppingUsage: new Map(),
-    preemptionSearches: 0,
-    reservedMachines: 0,
-  };
-  for (const allocation of shard.stopping) if (allocation.spec) addStoppingUsage(state, allocation.spec);
-  return state;
-}
-
-/** Remembers the round as it stands; the returned function takes everything back that was decided since. */
-export function savepoint(state: CycleState, plan: SchedulingPlan): () => void {
-  const freeResources = copyFreeResources(state.freeResources);
-  const freeAfterStops = copyFreeResources(state.freeAfterStops);
-  const usage = new Map(state.usage);
-  const stoppingUsage = new Map(state.stoppingUsage);
-  const stopping = new Set(state.stopping);
-  const { stops, reservations } = plan;
-  const lengths = { stops: stops.length, holds: reservations.length };
-  return () => {
-    restoreFreeResources(state.freeResources, freeResources);
-    restoreFreeResources(state.freeAfterStops, freeAfterStops);
-    replaceEntries(state.usage, usage);
-    replaceEntries(state.stoppingUsage, stoppingUsage);
-    state.stopping.clear();
-    for (const allocation of stopping) state.stopping.add(allocation);
-    stops.length = lengths.stops;
-    reservations.length = lengths.holds;
-  };
-}
-
-const copyFreeResources = (freeResources: CycleState['freeResources']): Map<MachineId, MutableResources> =>
-  new Map([...freeResources].map(([id, free]) => [id, { ...free }]));
-
-/** In place: searches of this round hold on to the rooms that they have found. */
-function restoreFreeResources(
-  freeResources: CycleState['freeResources'],
-  saved: ReadonlyMap<MachineId, MutableResources>,
-): void {
-  for (const [id, free] of freeResources) {
-    const before = saved.get(id);
-    if (before) Object.assign(free, before);
-    else freeResources.delete(id);
-  }
-}
-
-function replaceEntries<K, V>(map: Map<K, V>, saved: ReadonlyMap<K, V>): void {
-  map.clear();
-  for (const [key, value] of saved) map.set(key, value);
-}
--- a/src/scheduling/gangs.ts
+++ b/src/scheduling/gangs.ts
@@ -1,30 +1,19 @@
-/** Gangs in a placement round: all their tasks start, or none does; what a broken gang has left is stopped. Pure. */
+/**
+ * Gangs in a scheduling cycle: all members start, or none does; what is left of a broken gang is stopped. Pure:
+ * decisions go into the plan of the cycle.
+ */
 import { decideGang, forgetAttempt, type GangDecision } from '../model/gang.js';
 import type { Resources } from '../model/resources.js';
 import { millis, type Attempt, type ZoneId } from '../model/units.js';
-import { requiredZone, type Machine, type Shard, type ShardJob } from '../shards/model.js';
+import { requiredZone, type Machine, type ShardJob } from '../shards/model.js';
 import { candidatesFor, type CandidateMachines } from './candidates.js';
-import {
-  addTaskUsage,
-  savepoint,
-  freeResourcesOn,
-  adjustFreeResources,
-  teamUsage,
-  fitsShardQuota,
-  type SchedulingPlan,
-  type SchedulingContext,
-  type CycleState,
-  type TaskStart,
-} from './cycle.js';
+import type { TaskStart } from './cycle.js';
 import { preemptForTask } from './preemption.js';
 import { expireGangReservations, reserveGangMachines, reserveQuota } from './reservations.js';
+import { returnResources, takeResources, type SchedulingCycle } from './scheduling-cycle.js';
 
-/** What should become of a gang, by all that is known of it here. */
-export function gangDecisionFor(
-  shard: Shard,
-  job: ShardJob,
-  context: SchedulingContext,
-): GangDecision | null {
+/** What should become of a gang, by all that this shard knows of it; null: the job is no gang. */
+function gangDecisionFor({ shard, context }: SchedulingCycle, job: ShardJob): GangDecision | null {
   if (!job.gangHistory) return null;
   return decideGang({
     now: context.now,
@@ -38,192 +27,158 @@
   });
 }
 
-/** Gangs that cannot go on as they are: the tasks that are left stop, so that all can begin anew. */
-export function stopBrokenGangs(
-  shard: Shard,
-  state: CycleState,
-  context: SchedulingContext,
-  plan: SchedulingPlan,
-): void {
+/** Stops the remaining members of gangs that cannot go on as they are, so that all can start anew. */
+export function stopBrokenGangs(cycle: SchedulingCycle): void {
+  const { shard, plan } = cycle;
   for (const job of shard.gangs) {
     if (shard.jobs.get(job.id) !== job) {
       shard.gangs.delete(job);
       continue;
     }
-    const action = gangDecisionFor(shard, job, context)?.action;
+    const action = gangDecisionFor(cycle, job)?.action;
     if (action?.kind !== 'stop') continue;
     for (const allocation of shard.allocationsByJob.get(job.id) ?? []) {
       if (allocation.stop) continue;
-      state.stopping.add(allocation);
+      cycle.stopping.add(allocation);
       plan.stops.push({ allocation, graceS: action.grace });
     }
   }
 }
 
-/** Starts all tasks of a gang, or those that are missing of one that has not started yet. */
-export function scheduleGang(
-  shard: Shard,
-  job: ShardJob,
-  state: CycleState,
-  context: SchedulingContext,
-  plan: SchedulingPlan,
-): void {
-  const action = gangDecisionFor(shard, job, context)?.action;
+/** Starts all members of a gang, or those that are missing of one that has not started yet. */
+export function scheduleGang(cycle: SchedulingCycle, job: ShardJob): void {
+  const action = gangDecisionFor(cycle, job)?.action;
   if (action?.kind === 'start' && job.waiting.size === job.spec.tasks) {
     if (job.gangHistory) forgetAttempt(job.gangHistory);
-    scheduleWaitingMembers(shard, job, undefined, state, context, plan);
-  } else if (action?.kind === 'replace')
-    scheduleWaitingMembers(shard, job, action.attempt, state, context, plan);
+    scheduleWaitingMembers(cycle, job, undefined);
+  } else if (action?.kind === 'replace') scheduleWaitingMembers(cycle, job, action.attempt);
 }
 
-/** Tasks of one gang for which others are stopped, at the most: beyond it the gang waits for room to come free. */
+/** Members of one gang for which others are stopped, at most: beyond it the gang waits for capacity to come free. */
 const MAX_MEMBERS_WITH_PREEMPTION = 64;
 
-/** Places found for some tasks of a gang, and the tasks for which there is none. */
+/** Machines found for some members of a gang, and the members for which there is none. */
 interface GangSearch {
   readonly starts: TaskStart[];
   readonly unplaced: number[];
-  /** The team is at its limit: the others need not be looked at. */
+  /** The team's quota is used up: the search ended there. */
   blockedByQuota: boolean;
 }
 
-function scheduleWaitingMembers(
-  shard: Shard,
-  job: ShardJob,
-  attempt: Attempt | undefined,
-  state: CycleState,
-  context: SchedulingContext,
-  plan: SchedulingPlan,
-): void {
-  expireGangReservations(shard, job, state, context);
-  const usageBefore = { ...teamUsage(state, job.spec.team) };
-  const found = searchForMembers(shard, job, attempt, state, context);
+/** `attempt`: the one that the members join; undefined: all members start, in a new one. */
+function scheduleWaitingMembers(cycle: SchedulingCycle, job: ShardJob, attempt: Attempt | undefined): void {
+  const { plan } = cycle;
+  expireGangReservations(cycle, job);
+  const usageBefore = { ...cycle.teamUsage(job.spec.team) };
+  const found = searchForMembers(cycle, job, attempt);
   if (!found.blockedByQuota && found.unplaced.length === 0) {
     job.reservations.clear();
     plan.starts.push(...found.starts);
     return;
   }
-  if (!found.blockedByQuota && preemptForGang(shard, job, found, state, context, plan)) return;
-  undoSearch(shard, job, found, usageBefore, state, context);
-  if (found.blockedByQuota) reserveQuota(shard, job, job.waiting.size, state, context, plan);
-  else reserveGangMachines(shard, job, attemptMayUse(job, attempt), state, context, plan);
-  plan.unplaced.push({ job, reason: found.blockedByQuota ? 'limit' : 'room', indices: waitingIndices(job) });
+  if (!found.blockedByQuota && preemptForGang(cycle, job, found)) return;
+  undoSearch(cycle, job, found, usageBefore);
+  if (found.blockedByQuota) reserveQuota(cycle, job, job.waiting.size);
+  else reserveGangMachines(cycle, job, attemptMayUse(job, attempt));
+  const reason = found.blockedByQuota ? 'quota' : 'capacity';
+  plan.unplaced.push({ job, reason, indices: waitingIndices(job) });
 }
 
-/** The waiting tasks; `all` where none of them is pinned to a zone. */
+/** The waiting members; `all` where none of them has a required zone. */
 const waitingIndices = (job: ShardJob): number[] | 'all' =>
-  job.record.assignments.some((a) => a.zone !== null) ? [...job.waiting] : 'all';
+  job.record.assignments.some((assignment) => assignment.zone !== null) ? [...job.waiting] : 'all';
 
-function searchForMembers(
-  shard: Shard,
-  job: ShardJob,
-  attempt: Attempt | undefined,
-  state: CycleState,
-  context: SchedulingContext,
-): GangSearch {
+function searchForMembers(cycle: SchedulingCycle, job: ShardJob, attempt: Attempt | undefined): GangSearch {
   const found: GangSearch = { starts: [], unplaced: [], blockedByQuota: false };
   const candidatesByZone = new Map<ZoneId | null, CandidateMachines>();
-  adjustForReservations(shard, job, state, 1);
+  const mayUse = attemptMayUse(job, attempt);
+  returnReservedResources(cycle, job);
   for (const index of job.waiting) {
-    if (!fitsShardQuota(job.spec, state, context)) {
+    if (!cycle.fitsShardQuota(job.spec)) {
       found.blockedByQuota = true;
       break;
     }
     const zone = requiredZone(job, index);
     let candidates = candidatesByZone.get(zone);
-    if (!candidates)
-      candidatesByZone.set(
-        zone,
-        (candidates = candidatesFor(shard, job, zone, state, context, attemptMayUse(job, attempt))),
-      );
-    const machine = candidates.next(reservedMachine(shard, job, index));
+    if (!candidates) candidatesByZone.set(zone, (candidates = candidatesFor(cycle, job, zone, mayUse)));
+    const machine = candidates.next(reservedMachine(cycle, job, index));
     if (!machine) {
       found.unplaced.push(index);
       if (found.unplaced.length > MAX_MEMBERS_WITH_PREEMPTION) break;
       continue;
     }
-    adjustFreeResources(state.freeResources.get(machine.id), job.spec, 1);
-    addTaskUsage(state, job.spec);
+    takeResources(cycle.freeResources.get(machine.id), job.spec);
+    cycle.addTaskUsage(job.spec);
     found.starts.push({ job, index, machine, ...(attempt === undefined ? {} : { attempt }) });
   }
   return found;
 }
 
-/** An attempt must not come back to a machine that it has left: a late order about its end there might hit it. */
+/**
+ * An attempt must not return to a machine that it has left: a command to stop it there may still be on its way, and
+ * would stop the member that came back.
+ */
 const attemptMayUse =
   (job: ShardJob, attempt: Attempt | undefined) =>
   (machine: Machine): boolean =>
     attempt === undefined || !job.gangHistory?.leftMachines.has(machine.id);
 
-function reservedMachine(shard: Shard, job: ShardJob, index: number): Machine | undefined {
+function reservedMachine({ shard }: SchedulingCycle, job: ShardJob, index: number): Machine | undefined {
   const reservation = job.reservations.get(index);
   return reservation && shard.machines.get(reservation.machine);
 }
 
-/** Takes room off the round for what is held, or gives it back to it. */
-function adjustForReservations(shard: Shard, job: ShardJob, state: CycleState, sign: 1 | -1): void {
+/** Makes what earlier cycles have reserved for the gang available to its own search. */
+function returnReservedResources(cycle: SchedulingCycle, job: ShardJob): void {
   for (const index of job.reservations.keys()) {
-    const machine = reservedMachine(shard, job, index);
-    if (machine) adjustFreeResources(state.freeResources.get(machine.id), job.spec, sign === 1 ? -1 : 1);
+    const machine = reservedMachine(cycle, job, index);
+    if (machine) returnResources(cycle.freeResources.get(machine.id), job.spec);
   }
 }
 
-/** Stops others for the tasks without a place; only if that makes room for all of them. The rest keep their places. */
-function preemptForGang(
-  shard: Shard,
-  job: ShardJob,
-  found: GangSearch,
-  state: CycleState,
-  context: SchedulingContext,
-  plan: SchedulingPlan,
-): boolean {
-  if (context.now < job.nextPreemptionSearchAt || job.waitingSince === null) return false;
+/** Keeps what earlier cycles have reserved for the gang from other jobs of this cycle. */
+function takeReservedResources(cycle: SchedulingCycle, job: ShardJob): void {
+  for (const index of job.reservations.keys()) {
+    const machine = reservedMachine(cycle, job, index);
+    if (machine) takeResources(cycle.freeResources.get(machine.id), job.spec);
+  }
+}
+
+/** Stops others for the members without a machine, but only if that is enough for all; the rest keep their machines. */
+function preemptForGang(cycle: SchedulingCycle, job: ShardJob, found: GangSearch): boolean {
+  if (cycle.context.now < job.nextPreemptionSearchAt || job.waitingSince === null) return false;
   if (found.unplaced.length > MAX_MEMBERS_WITH_PREEMPTION) return false;
-  // What an earlier round has stopped for it is still on its way out.
+  // The tasks that an earlier cycle has stopped for it have not ended yet.
   if (found.unplaced.every((index) => job.reservations.get(index)?.withoutPreemption === false)) {
-    reserveFoundMachines(shard, job, found, state, plan);
+    reserveFoundMachines(cycle, job, found);
     return true;
   }
-  const undo = savepoint(state, plan);
+  const undo = cycle.savepoint();
   for (const index of found.unplaced) {
     if (job.reservations.has(index)) continue;
-    if (preemptForTask(shard, job, index, requiredZone(job, index), state, context, plan)) continue;
+    if (preemptForTask(cycle, job, index, requiredZone(job, index))) continue;
     undo();
     return false;
   }
-  reserveFoundMachines(shard, job, found, state, plan);
+  reserveFoundMachines(cycle, job, found);
   return true;
 }
 
-/** Nothing starts in this round; whatever has been found or made for the gang is kept for it. */
-function reserveFoundMachines(
-  shard: Shard,
-  job: ShardJob,
-  found: GangSearch,
-  state: CycleState,
-  plan: SchedulingPlan,
-): void {
+/** No member starts in this cycle; machines found, or being made free, are reserved for the gang. */
+function reserveFoundMachines(cycle: SchedulingCycle, job: ShardJob, found: GangSearch): void {
   for (const { index, machine } of found.starts) {
     if (job.reservations.get(index)?.machine === machine.id) continue;
-    plan.reservations.push({ job, index, machine: machine.id, reserved: false });
+    cycle.plan.reservations.push({ job, index, machine: machine.id, withoutPreemption: false });
   }
   for (const index of found.unplaced) {
-    const machine = reservedMachine(shard, job, index);
-    if (machine) adjustFreeResources(state.freeResources.get(machine.id), job.spec, 1);
+    const machine = reservedMachine(cycle, job, index);
+    if (machine) takeResources(cycle.freeResources.get(machine.id), job.spec);
   }
 }
 
-/** The round is as it was before the search; what earlier rounds hold for the gang is held until it expires. */
-function undoSearch(
-  shard: Shard,
-  job: ShardJob,
-  found: GangSearch,
-  usageBefore: Resources,
-  state: CycleState,
-  context: SchedulingContext,
-): void {
-  for (const start of found.starts)
-    adjustFreeResources(freeResourcesOn(start.machine, state, context), job.spec, -1);
-  state.usage.set(job.spec.team, usageBefore);
-  adjustForReservations(shard, job, state, -1);
+/** The cycle is as it was before the search; reservations of earlier cycles hold until they expire. */
+function undoSearch(cycle: SchedulingCycle, job: ShardJob, found: GangSearch, usageBefore: Resources): void {
+  for (const { machine } of found.starts) returnResources(cycle.freeResourcesOn(machine), job.spec);
+  cycle.restoreTeamUsage(job.spec.team, usageBefore);
+  takeReservedResources(cycle, job);
 }
--- a/src/scheduling/reservations.ts
+++ b/src/scheduling/reservations.ts
@@ -1,42 +1,25 @@
 /**
- * What is kept for jobs that have waited too long: machines that empty for them, and a share of their team's limit.
- * Without it smaller tasks would take each piece of a machine or of a limit as soon as it comes free. Pure.
+ * Reservations for jobs that have waited too long: machines that become free for them, and quota that their team leaves
+ * unused. Without them smaller tasks would take each piece of a machine or of a quota as soon as it comes free. Pure.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import { mayRunOn } from '../model/constraints.js';
-import {
-  add,
-  dominantShare,
-  fits,
-  freeAsCpus,
-  scale,
-  type MutableResources,
-  type Resources,
-} from '../model/resources.js';
-import { requiredZone, type Machine, type Shard, type ShardJob } from '../shards/model.js';
+import { add, dominantShare, fits, freeAsCpus, scale, type Resources } from '../model/resources.js';
+import { requiredZone, type Machine, type ShardJob } from '../shards/model.js';
 import type { MachineId, ZoneId } from '../model/units.js';
-import {
-  addTeamUsage,
-  freeResourcesOn,
-  adjustFreeResources,
-  type SchedulingPlan,
-  type SchedulingContext,
-  type CycleState,
-} from './cycle.js';
+import { returnResources, takeResources, type SchedulingCycle } from './scheduling-cycle.js';
 
-/** What finds no room, or no share of its team's limit, has some reserved after this time, in milliseconds. */
+/** A job that has waited this long without any start may have machines or quota reserved. */
 const RESERVE_AFTER_MS = 60_000;
-/** Of a part's machines, one in this many at most empties for jobs whose tasks fit nowhere. */
+/** At most one in this many machines of a shard is reserved for tasks that fit nowhere. */
 const MACHINES_PER_RESERVATION = 8;
-/** A task that takes at least this share of some resource of a machine may have one reserved. */
+/** A task may have a machine reserved if it takes at least this share of some resource there. */
 const MIN_RESERVABLE_SHARE = 0.5;
-
-/** How long the job has waited without any start; 0: it has begun. */
-export function waitedWithoutStartMs(shard: Shard, job: ShardJob, context: SchedulingContext): number {
-  const hasStarted = !job.record.done.isEmpty || !job.finished.isEmpty || shard.allocationsByJob.has(job.id);
-  return hasStarted ? 0 : context.now - job.acceptedAt;
-}
+/** Machines are reserved for a gang for this long. */
+const GANG_RESERVATION_MS = 60_000;
+/** After its reservation a gang leaves this long to others. */
+const GANG_RESERVATION_PAUSE_MS = 30_000;
 
 /** Smaller tasks find a piece of some machine soon. */
 const needsMostResources = (type: InstanceType, spec: JobSpec): boolean =>
@@ -47,86 +30,61 @@
   freeAsCpus(freeResources, type, { cpus: 0, gpus: spec.gpus, memoryGb: 0 });
 
 /**
- * A task that needs most of a machine fits nowhere as long as smaller ones take each piece that comes free. After a
- * while one machine is kept for it and empties. One for each job, and few of a part's machines at a time.
+ * Reserves the machine with most free for a task that needs most of one: it fits nowhere as long as smaller tasks take
+ * each piece that comes free. One machine for each job, and few of a shard at a time; false: none.
  */
 export function reserveMachine(
-  shard: Shard,
+  cycle: SchedulingCycle,
   job: ShardJob,
   index: number,
   zone: ZoneId | null,
-  state: CycleState,
-  context: SchedulingContext,
-  plan: SchedulingPlan,
 ): boolean {
+  if (!mayReserveMachine(cycle, job)) return false;
   const { spec } = job;
-  if (waitedWithoutStartMs(shard, job, context) <= RESERVE_AFTER_MS || job.reservations.size > 0)
-    return false;
-  if (plan.reservations.some((h) => h.job === job)) return false;
-  const maxReserved = Math.max(1, Math.floor(shard.machines.size / MACHINES_PER_RESERVATION));
-  if (state.reservedMachines + plan.reservations.filter((h) => h.reserved).length >= maxReserved)
-    return false;
-  let best: { machine: Machine; room: MutableResources; free: number } | null = null;
-  for (const machine of shard.machines.values()) {
-    const type = context.types.get(machine.type);
-    if (
-      !type ||
-      !needsMostResources(type, spec) ||
-      !mayRunOn(spec, machine.type, machine.zone, machine.spot, zone)
-    )
-      continue;
-    const freeResources = freeResourcesOn(machine, state, context);
-    if (!freeResources) continue;
-    const free = freeReservableCpus(freeResources, type, spec);
-    if (!best || free > best.free) best = { machine, room: freeResources, free };
-  }
-  if (!best) return false;
-  adjustFreeResources(best.room, spec, 1);
-  plan.reservations.push({ job, index, machine: best.machine.id, reserved: true });
+  const machine = machineWithMostFree(cycle, spec, zone, {
+    mayUse: (_, type) => needsMostResources(type, spec),
+    willFit: () => true,
+  });
+  if (!machine) return false;
+  takeResources(cycle.freeResourcesOn(machine), spec);
+  cycle.plan.reservations.push({ job, index, machine: machine.id, withoutPreemption: true });
   return true;
 }
 
+function mayReserveMachine(cycle: SchedulingCycle, job: ShardJob): boolean {
+  if (cycle.waitedWithoutStartMs(job) <= RESERVE_AFTER_MS || job.reservations.size > 0) return false;
+  const { reservations } = cycle.plan;
+  if (reservations.some((reservation) => reservation.job === job)) return false;
+  const maxReserved = Math.max(1, Math.floor(cycle.shard.machines.size / MACHINES_PER_RESERVATION));
+  const planned = reservations.filter((reservation) => reservation.withoutPreemption).length;
+  return cycle.reservedMachines + planned < maxReserved;
+}
+
 /**
- * The same for its team's limit: what `count` tasks need gathers, also from other parts, for one job of a team at a time.
- * Of an array that is one task, of a gang all of them.
+ * Reserves quota of the job's team for `count` tasks, one of an array or all of a gang: it is collected, also from other
+ * shards, for one job of a team at a time.
  */
-export function reserveQuota(
-  shard: Shard,
-  job: ShardJob,
-  count: number,
-  state: CycleState,
-  context: SchedulingContext,
-  plan: SchedulingPlan,
-): void {
-  const { spec } = job;
-  if (plan.quotaReservations.has(spec.team) || waitedWithoutStartMs(shard, job, context) <= RESERVE_AFTER_MS)
-    return;
-  const needed = scale(spec, count);
-  plan.quotaReservations.set(spec.team, needed);
-  addTeamUsage(state, spec.team, needed);
+export function reserveQuota(cycle: SchedulingCycle, job: ShardJob, count: number): void {
+  const { team } = job.spec;
+  const { quotaReservations } = cycle.plan;
+  if (quotaReservations.has(team) || cycle.waitedWithoutStartMs(job) <= RESERVE_AFTER_MS) return;
+  const needed = scale(job.spec, count);
+  quotaReservations.set(team, needed);
+  cycle.addTeamUsage(team, needed);
 }
 
-/** Places are kept for a gang for so long, and then others have their turn for so long, in milliseconds. */
-const GANG_RESERVATION_MS = 60_000;
-const GANG_RESERVATION_PAUSE_MS = 30_000;
-
-/** Nobody else may wait beside room that is kept free for as long as a minute and a half. */
-function hasReservationTurn(shard: Shard, job: ShardJob, context: SchedulingContext): boolean {
-  const waitedMs = waitedWithoutStartMs(shard, job, context) - RESERVE_AFTER_MS;
+/** Reservations for gangs come and go in turns: no other job may wait for long beside capacity that is kept free. */
+function hasReservationTurn(cycle: SchedulingCycle, job: ShardJob): boolean {
+  const waitedMs = cycle.waitedWithoutStartMs(job) - RESERVE_AFTER_MS;
   return waitedMs > 0 && waitedMs % (GANG_RESERVATION_MS + GANG_RESERVATION_PAUSE_MS) < GANG_RESERVATION_MS;
 }
 
-/** At the end of its turn a gang gives up the places that were kept for it. */
-export function expireGangReservations(
-  shard: Shard,
-  job: ShardJob,
-  state: CycleState,
-  context: SchedulingContext,
-): void {
-  if (hasReservationTurn(shard, job, context)) return;
-  for (const [index, { machine, withoutPreemption: reserved }] of job.reservations) {
-    if (!reserved) continue;
-    adjustFreeResources(state.freeResources.get(machine), job.spec, -1);
+/** At the end of its turn a gang gives up the machines that were reserved for it without preemption. */
+export function expireGangReservations(cycle: SchedulingCycle, job: ShardJob): void {
+  if (hasReservationTurn(cycle, job)) return;
+  for (const [index, { machine, withoutPreemption }] of job.reservations) {
+    if (!withoutPreemption) continue;
+    returnResources(cycle.freeResources.get(machine), job.spec);
     job.reservations.delete(index);
   }
 }
@@ -137,52 +95,67 @@
 }
 
 /**
- * For a gang whose tasks find no room together: a place for each, on machines that lesser work will leave. One gang of
- * a part at a time, and only where that makes room for all of it.
+ * Reserves a machine for each waiting member of a gang that does not fit on the shard now, where preemptible work will
+ * leave enough. One gang of a shard at a time, and only if there is a machine for all members.
  */
 export function reserveGangMachines(
-  shard: Shard,
+  cycle: SchedulingCycle,
   job: ShardJob,
   mayUse: (machine: Machine) => boolean,
-  state: CycleState,
-  context: SchedulingContext,
-  plan: SchedulingPlan,
-): boolean {
-  if (!hasReservationTurn(shard, job, context) || job.reservations.size > 0) return false;
-  if (state.reservedMachines > 0 || plan.reservations.some((h) => h.reserved)) return false;
+): void {
+  const { plan } = cycle;
+  if (!hasReservationTurn(cycle, job) || job.reservations.size > 0) return;
+  if (cycle.reservedMachines > 0 || plan.reservations.some((reservation) => reservation.withoutPreemption))
+    return;
+  const reserved = reserveForMembers(cycle, job, mayUse);
+  if (reserved.length === job.waiting.size) {
+    for (const { index, machine } of reserved)
+      plan.reservations.push({ job, index, machine, withoutPreemption: true });
+    return;
+  }
+  for (const { machine } of reserved) returnResources(cycle.freeResources.get(machine), job.spec);
+  plan.oversizedGang ??= { job, missingTasks: job.waiting.size - reserved.length };
+}
+
+/** Takes resources for one member after the other, up to the first that finds no machine. */
+function reserveForMembers(
+  cycle: SchedulingCycle,
+  job: ShardJob,
+  mayUse: (machine: Machine) => boolean,
+): ReservedMachine[] {
+  const { spec } = job;
+  const willFit = (machine: Machine, free: Resources): boolean => fits(spec, add(free, machine.preemptible));
   const reserved: ReservedMachine[] = [];
   for (const index of job.waiting) {
-    const machine = machineWithMostFree(shard, job.spec, requiredZone(job, index), mayUse, state, context);
+    const machine = machineWithMostFree(cycle, spec, requiredZone(job, index), { mayUse, willFit });
     if (!machine) break;
-    adjustFreeResources(freeResourcesOn(machine, state, context), job.spec, 1);
+    takeResources(cycle.freeResourcesOn(machine), spec);
     reserved.push({ index, machine: machine.id });
   }
-  if (reserved.length === job.waiting.size) {
-    for (const { index, machine } of reserved)
-      plan.reservations.push({ job, index, machine, reserved: true });
-    return true;
-  }
-  for (const { machine } of reserved) adjustFreeResources(state.freeResources.get(machine), job.spec, -1);
-  plan.oversizedGang ??= { job, missingTasks: job.waiting.size - reserved.length };
-  return false;
+  return reserved;
+}
+
+/** Which machines come into question for a reservation. */
+interface MachineFilter {
+  readonly mayUse: (machine: Machine, type: InstanceType) => boolean;
+  /** Will the task fit there, with so much free now? */
+  readonly willFit: (machine: Machine, free: Resources) => boolean;
 }
 
-/** The machine with most free that has room for the task once lesser work has left it. */
+/** Of the machines on which the task may run and that pass the filter, the one with most free. */
 function machineWithMostFree(
-  shard: Shard,
+  cycle: SchedulingCycle,
   spec: JobSpec,
   zone: ZoneId | null,
-  mayUse: (machine: Machine) => boolean,
-  state: CycleState,
-  context: SchedulingContext,
+  { mayUse, willFit }: MachineFilter,
 ): Machine | null {
   let best: { readonly machine: Machine; readonly free: number } | null = null;
-  for (const machine of shard.machines.values()) {
-    const type = context.types.get(machine.type);
-    if (!type || !mayRunOn(spec, machine.type, machine.zone, machine.spot, zone) || !mayUse(machine))
+  for (const machine of cycle.shard.machines.values()) {
+    const type = cycle.context.types.get(machine.type);
+    if (!type || !mayRunOn(spec, machine.type, machine.zone, machine.spot, zone) || !mayUse(machine, type))
       continue;
-    const freeResources = freeResourcesOn(machine, state, context);
-    if (!freeResources || !fits(spec, add(freeResources, machine.preemptible))) continue;
+    const freeResources = cycle.freeResourcesOn(machine);
+    if (!freeResources || !willFit(machine, freeResources)) continue;
     const free = freeReservableCpus(freeResources, type, spec);
     if (!best || free > best.free) best = { machine, free };
   }
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -1,62 +1,59 @@
-/** Runs placement rounds: plans, binds, stops, and passes on what found no room. */
+/**
+ * Runs scheduling cycles: plans one for each shard that this controller leads, carries the plan out, and passes on what
+ * stayed unplaced to peers, to quota transfer and to the autoscaler. Relies on `Core` for the command deadline and for
+ * exclusive access to the shards.
+ */
 import type { Core } from '../core.js';
 import type { Autoscaler } from '../autoscaling/autoscaler.js';
 import { MachineTransferService } from '../overflow/machine-transfer.js';
 import { TaskTransferService } from '../overflow/task-transfer.js';
-import { taskCapacity } from '../overflow/peer-ranking.js';
 import type { JobRecord } from '../jobs/record.js';
-import type { JobSpec } from '../jobs/spec.js';
-import { add, addTo, ZERO, type MutableResources, type Resources } from '../model/resources.js';
-import {
-  allocate,
-  release,
-  type Allocation,
-  type Machine,
-  type Shard,
-  type ShardJob,
-} from '../shards/model.js';
+import { addTo, ZERO, type MutableResources } from '../model/resources.js';
+import type { Shard, ShardJob } from '../shards/model.js';
 import { GuaranteedJobs } from '../quota/guaranteed-jobs.js';
 import type { QuotaTransferService } from '../quota/transfer-service.js';
-import type { Attempt, JobId, SteadyMs, TaskIndex, TeamId } from '../model/units.js';
-import { millis, plus, taskId } from '../model/units.js';
+import type { JobId, SteadyMs, TeamId } from '../model/units.js';
+import { millis, plus } from '../model/units.js';
 import type { WorkerService } from '../workers/service.js';
 import { chooseRelocation } from './consolidation.js';
 import { planCycle } from './plan.js';
-import { unplacedCount, type SchedulingPlan, type SchedulingContext, type TaskStart } from './cycle.js';
+import {
+  unplacedCount,
+  type PlannedReservation,
+  type SchedulingContext,
+  type SchedulingPlan,
+  type UnplacedTasks,
+} from './cycle.js';
 import type { RuntimeEstimator } from './runtime-estimator.js';
-import { gracePeriodS } from './preemption.js';
+import { createSchedulingContext } from './scheduling-context.js';
+import { TaskAllocator } from './task-allocator.js';
 
-/** Rounds come this far apart while critical work waits, and otherwise, so that many events share one. */
+/** An urgent cycle waits this long, so that events of the same moment share it. */
 const URGENT_CYCLE_DELAY_MS = 15;
+/** Cycles start at least this far apart otherwise. */
 const CYCLE_INTERVAL_MS = 90;
-/** A round's share of this process's time at most: one in this many. */
+/** Cycles take at most one in this many parts of the time of this process. */
 const CYCLE_TIME_DIVISOR = 4;
+/** However long cycles take, the next one starts after this time. */
 const MAX_CYCLE_INTERVAL_MS = 400;
+/** How long a machine stays reserved on which others were stopped for a task. */
 const RESERVATION_TTL = millis(6000);
-/** How long a machine may take to empty for a task that has waited too long. */
+/** How long a machine may take to become empty for a task that has waited too long. */
 const LONG_RESERVATION_TTL = millis(120_000);
-/** Replicas are moved together one by one, this far apart: few are away at any moment. */
+/** Replicas are moved one by one, this far apart: few are down at any moment. */
 const RELOCATION_INTERVAL_MS = 400;
 
-/** Asked many times a round, with the same answer. */
-function memoize<K>(compute: (key: K) => boolean): (key: K) => boolean {
-  const known = new Map<K, boolean>();
-  return (key) => {
-    let answer = known.get(key);
-    if (answer === undefined) known.set(key, (answer = compute(key)));
-    return answer;
-  };
-}
-
+/** Decides when cycles run, and carries out their plans. */
 export class Scheduler {
   private cycleScheduled = false;
   private lastCycleDurationMs = 0;
-  private lastCycleAt = -1e12;
+  private lastCycleAt: SteadyMs | null = null;
   private nextCycleAt = 0;
-  /** Jobs that found no room in a part's last round. */
+  /** Jobs with tasks that the last cycle of a shard could not place. */
   private readonly unplacedJobs = new WeakMap<Shard, ReadonlySet<ShardJob>>();
   private readonly guarantees: GuaranteedJobs;
-  private lastRelocationAt = -1e12;
+  private readonly taskAllocator: TaskAllocator;
+  private lastRelocationAt: SteadyMs | null = null;
   readonly taskTransfers: TaskTransferService;
   readonly machineTransfers: MachineTransferService;
 
@@ -70,18 +67,21 @@
     this.taskTransfers = new TaskTransferService(core);
     this.machineTransfers = new MachineTransferService(core);
     this.guarantees = new GuaranteedJobs(core.settings.teams);
+    this.taskAllocator = new TaskAllocator(core, runtimeEstimator);
   }
 
+  /** Something that matters for scheduling has changed: a cycle runs when the next one is due. */
   requestCycle(): void {
     if (this.cycleScheduled) return;
     const interval = Math.min(
       MAX_CYCLE_INTERVAL_MS,
       Math.max(CYCLE_INTERVAL_MS, this.lastCycleDurationMs * CYCLE_TIME_DIVISOR),
     );
-    this.scheduleCycle(Math.max(URGENT_CYCLE_DELAY_MS, this.lastCycleAt + interval - this.core.clock.now()));
+    const untilDueMs = this.lastCycleAt === null ? 0 : this.lastCycleAt + interval - this.core.clock.now();
+    this.scheduleCycle(Math.max(URGENT_CYCLE_DELAY_MS, untilDueMs));
   }
 
-  /** Critical work has come in: it does not wait for the next round in turn. */
+  /** A critical job has arrived: it does not wait until the next cycle is due. */
   requestUrgentCycle(): void {
     this.scheduleCycle(Math.max(URGENT_CYCLE_DELAY_MS, this.lastCycleDurationMs * CYCLE_TIME_DIVISOR));
   }
@@ -92,209 +92,108 @@
     this.cycleScheduled = true;
     this.nextCycleAt = cycleAt;
     this.core.clock.after(millis(delayMs), () => {
+      // An urgent request may have replaced this cycle by an earlier one.
       if (!this.cycleScheduled || this.nextCycleAt !== cycleAt) return;
       this.cycleScheduled = false;
-      void this.core.exclusive(() => {
-        this.lastCycleAt = this.core.clock.now();
-        for (const shard of this.core.shards.values()) this.runCycle(shard);
-        this.lastCycleDurationMs = this.core.clock.now() - this.lastCycleAt;
-      });
+      void this.core.exclusive(() => this.runCycles());
     });
   }
 
-  /** A live record is new, has changed or is over. */
+  private runCycles(): void {
+    const startedAt = this.core.clock.now();
+    this.lastCycleAt = startedAt;
+    for (const shard of this.core.shards.values()) this.runCycle(shard);
+    this.lastCycleDurationMs = this.core.clock.now() - startedAt;
+  }
+
+  /** The record of an active job is new or has changed; null: the job has ended. */
   onJobRecord(id: JobId, record: JobRecord | null): void {
     this.guarantees.update(id, record);
   }
 
+  /** The job has ended: stops every task of it. */
+  stopJob(jobId: JobId): void {
+    this.taskAllocator.stopJob(jobId);
+  }
+
   private runCycle(shard: Shard): void {
     const now = this.core.clock.now();
     if (!this.core.mayCommand(now)) return;
-    this.evacuateInterruptedMachines(shard);
-    const context = this.createContext(now, shard);
+    this.taskAllocator.evacuateInterruptedMachines(shard);
+    const context = this.createContext(shard, now);
     const plan = planCycle(shard, context);
     this.applyPlan(shard, plan, now);
     if (plan.starts.length + plan.stops.length + plan.unplaced.length === 0) this.consolidate(shard, context);
     this.workers.dispatchCommands(shard);
     this.taskTransfers.transferUnplaced(shard, plan.unplaced);
-    this.requestQuota(shard, plan);
+    this.requestQuota(shard, plan.unplaced);
     if (plan.oversizedGang) this.machineTransfers.request(shard, plan.oversizedGang);
     this.autoscaler.updateDemand(shard, plan.unplaced, now);
   }
 
-  /** While nothing waits and nothing is on its way to or from a machine here. */
-  private consolidate(shard: Shard, cycleContext: SchedulingContext): void {
-    const { now } = cycleContext;
-    if (!shard.reconciled || shard.stopping.size > 0 || now - this.lastRelocationAt < RELOCATION_INTERVAL_MS)
-      return;
+  private createContext(shard: Shard, now: SteadyMs): SchedulingContext {
+    const { core, quotaTransfers, guarantees, runtimeEstimator } = this;
+    return createSchedulingContext({ core, quotaTransfers, guarantees, runtimeEstimator }, shard, now);
+  }
+
+  /** Moves one replica while nothing waits and no task of the shard is being stopped. */
+  private consolidate(shard: Shard, context: SchedulingContext): void {
+    const { now } = context;
+    if (!shard.reconciled || shard.stopping.size > 0) return;
+    if (this.lastRelocationAt !== null && now - this.lastRelocationAt < RELOCATION_INTERVAL_MS) return;
     this.lastRelocationAt = now;
-    const relocation = chooseRelocation(shard, cycleContext);
+    const relocation = chooseRelocation(shard, context);
     if (!relocation) return;
-    const job = shard.jobs.get(relocation.allocation.job);
-    job?.reservations.set(relocation.allocation.index, {
-      machine: relocation.target.id,
+    const { allocation, target } = relocation;
+    shard.jobs.get(allocation.job)?.reservations.set(allocation.index, {
+      machine: target.id,
       reservedUntil: plus(now, RESERVATION_TTL),
       withoutPreemption: false,
     });
-    this.stop(shard, relocation.allocation, 0);
-  }
-
-  private createContext(now: SteadyMs, shard: Shard): SchedulingContext {
-    const { core } = this;
-    const others = [...core.settings.shards].filter((p) => p.shard !== shard.id);
-    const usageElsewhere = new Map<TeamId, Resources>();
-    for (const { shard: shardId } of others) {
-      const used =
-        core.shards.get(shardId)?.totals.usageByTeam ?? core.shardAnnouncements.get(shardId)?.usage ?? [];
-      for (const [team, amount] of used)
-        usageElsewhere.set(team, add(usageElsewhere.get(team) ?? ZERO, amount));
-    }
-    return {
-      now,
-      types: core.types,
-      teams: core.settings.teams,
-      shardQuota: (team) => this.quotaTransfers.shardQuota(shard.id, team),
-      usageOnOtherShards: (team) => usageElsewhere.get(team) ?? ZERO,
-      guaranteed: memoize((job) => this.guarantees.has(job)),
-      peerHasCapacity: (spec) => this.peerHasCapacity(shard, spec, now),
-      maxLatenessFactor: (jobClass) => core.settings.deadlineFactorByClass.get(jobClass) ?? 1,
-      runtimeCorrection: (jobClass) => this.runtimeEstimator.correctionFactor(jobClass),
-      reportMs: core.heartbeatIntervalMs,
-      gangWaitMs: core.settings.gangWaitS * 1000,
-    };
-  }
-
-  private peerHasCapacity(shard: Shard, spec: JobSpec, now: SteadyMs): boolean {
-    for (const freeCapacity of this.core.freeCapacity.values()) {
-      if (
-        freeCapacity.shard !== shard.id &&
-        freeCapacity.expiresAt > now &&
-        taskCapacity(freeCapacity, spec, null) > 0
-      )
-        return true;
-    }
-    return false;
+    this.taskAllocator.stop(shard, allocation, 0);
   }
 
   private applyPlan(shard: Shard, plan: SchedulingPlan, now: SteadyMs): void {
-    // A gang's tasks find each other by their attempt: all of one start share it.
-    const gangAttempts = new Map<JobId, Attempt>();
-    for (const decision of plan.starts) {
-      const attempt = decision.attempt ?? gangAttempts.get(decision.job.id) ?? shard.nextAttempt();
-      if (decision.job.gangHistory) gangAttempts.set(decision.job.id, attempt);
-      this.startTask(shard, decision, attempt, now);
-    }
-    for (const decision of plan.stops) this.stop(shard, decision.allocation, decision.graceS);
-    for (const { job, index, machine, reserved } of plan.reservations)
-      job.reservations.set(index, {
-        machine,
-        reservedUntil: plus(now, reserved ? LONG_RESERVATION_TTL : RESERVATION_TTL),
-        withoutPreemption: reserved,
-      });
-    const teamsThatWaitFor = (reason: 'room' | 'limit'): Set<TeamId> =>
-      new Set(plan.unplaced.filter((u) => u.reason === reason).map((u) => u.job.spec.team));
-    shard.teamsBlockedByCapacity = teamsThatWaitFor('room');
-    shard.teamsBlockedByQuota = teamsThatWaitFor('limit');
+    this.taskAllocator.startAll(shard, plan.starts, now);
+    this.taskAllocator.stopAll(shard, plan.stops);
+    for (const reservation of plan.reservations) applyReservation(reservation, now);
+    shard.teamsBlockedByCapacity = teamsBlockedBy('capacity', plan.unplaced);
+    shard.teamsBlockedByQuota = teamsBlockedBy('quota', plan.unplaced);
     shard.quotaReservations = plan.quotaReservations;
-    const unplacedJobs = new Set(plan.unplaced.map((u) => u.job));
+    this.updateWaitingTimes(shard, plan.unplaced, now);
+  }
+
+  /** A job waits from the first cycle that could not place a task of it until one that places all. */
+  private updateWaitingTimes(shard: Shard, unplaced: readonly UnplacedTasks[], now: SteadyMs): void {
+    const unplacedJobs = new Set(unplaced.map((entry) => entry.job));
     for (const job of this.unplacedJobs.get(shard) ?? []) if (!unplacedJobs.has(job)) job.waitingSince = null;
     for (const job of unplacedJobs) job.waitingSince ??= now;
     this.unplacedJobs.set(shard, unplacedJobs);
   }
 
-  private startTask(shard: Shard, start: TaskStart, attempt: Attempt, now: SteadyMs): void {
-    const index = start.index as TaskIndex;
-    const allocation: Allocation = {
-      id: taskId(start.job.id, index),
-      job: start.job.id,
-      index,
-      attempt,
-      machine: start.machine.id,
-      spec: start.job.spec,
-      phase: 'ordered',
-      allocatedAt: now,
-      runningSince: null,
-      gatheringSince: null,
-      stop: null,
-      launchInFlight: false,
-      launchPending: true,
-      unacknowledged: null,
-      answeredSequence: null,
-    };
-    allocate(shard, start.machine, allocation);
-    shard.machinesWithPendingCommands.add(start.machine);
-    this.core.log.debug(
-      { task: allocation.id, machine: start.machine.id, attempt: allocation.attempt },
-      'start',
-    );
-  }
-
-  /** Stops a task; of a gang all tasks, with the same grace: only together can they save their work. */
-  stop(shard: Shard, allocation: Allocation, graceS: number): void {
-    if (allocation.spec?.kind !== 'gang') return this.stopTask(shard, allocation, graceS);
-    for (const member of [...(shard.allocationsByJob.get(allocation.job) ?? [])])
-      this.stopTask(shard, member, graceS);
-  }
-
-  private stopTask(shard: Shard, allocation: Allocation, graceS: number): void {
-    const machine = shard.machines.get(allocation.machine);
-    if (!machine || (allocation.stop && allocation.stop.grace <= graceS)) return;
-    this.core.log.debug({ task: allocation.id, machine: allocation.machine, grace: graceS }, 'stop');
-    // Never sent: there is nothing to stop.
-    if (
-      allocation.phase === 'ordered' &&
-      allocation.launchPending &&
-      !allocation.launchInFlight &&
-      !allocation.unacknowledged &&
-      allocation.answeredSequence === null
-    )
-      release(shard, machine, allocation);
-    else {
-      allocation.stop = { grace: graceS, direct: 'due' };
-      shard.stopping.add(allocation);
-      shard.machinesWithPendingCommands.add(machine);
-    }
-  }
-
-  /** The job is over: every task of it is stopped, and counts until it is seen gone. */
-  stopJob(jobId: Allocation['job']): void {
-    for (const shard of this.core.shards.values()) {
-      shard.jobs.delete(jobId);
-      for (const allocation of [...(shard.allocationsByJob.get(jobId) ?? [])])
-        this.stop(shard, allocation, 0);
-    }
-  }
-
-  /** A machine about to be taken: what can save does, replicas move at once, the rest may still finish. */
-  private evacuateInterruptedMachines(shard: Shard): void {
-    for (const machine of shard.interruptionNoticed) {
-      for (const allocation of [...machine.allocations.values()]) {
-        if (allocation.stop || !allocation.spec) continue;
-        // Before its gang has started, another machine can take its place.
-        if (allocation.spec.kind === 'gang' && allocation.runningSince === null)
-          this.stopTask(shard, allocation, 0);
-        else if (allocation.spec.kind === 'service' || allocation.spec.checkpointIntervalS > 0)
-          this.stop(shard, allocation, gracePeriodS(allocation));
-        else if (!this.canFinishBeforeInterruption(allocation, machine)) this.stop(shard, allocation, 0);
-      }
-    }
-  }
-
-  private canFinishBeforeInterruption(allocation: Allocation, machine: Machine): boolean {
-    if (!allocation.spec || allocation.runningSince === null || machine.interruptedAt === null) return false;
-    const expectedRuntimeMs =
-      allocation.spec.estimateS * this.runtimeEstimator.correctionFactor(allocation.spec.jobClass) * 1000;
-    return allocation.runningSince + expectedRuntimeMs < machine.interruptedAt + 2000;
-  }
-
-  private requestQuota(shard: Shard, plan: SchedulingPlan): void {
+  /** Asks other shards for quota for what only the quota of its team here keeps from starting. */
+  private requestQuota(shard: Shard, unplaced: readonly UnplacedTasks[]): void {
     const neededByTeam = new Map<TeamId, MutableResources>();
-    for (const unplaced of plan.unplaced) {
-      if (unplaced.reason !== 'limit') continue;
-      const needed = neededByTeam.get(unplaced.job.spec.team) ?? { ...ZERO };
-      addTo(needed, unplaced.job.spec, unplacedCount(unplaced));
-      neededByTeam.set(unplaced.job.spec.team, needed);
+    for (const entry of unplaced) {
+      if (entry.reason !== 'quota') continue;
+      const needed = neededByTeam.get(entry.job.spec.team) ?? { ...ZERO };
+      addTo(needed, entry.job.spec, unplacedCount(entry));
+      neededByTeam.set(entry.job.spec.team, needed);
     }
     for (const [team, amount] of neededByTeam) this.quotaTransfers.requestQuota(shard, team, amount);
   }
 }
+
+function applyReservation(
+  { job, index, machine, withoutPreemption }: PlannedReservation,
+  now: SteadyMs,
+): void {
+  job.reservations.set(index, {
+    machine,
+    reservedUntil: plus(now, withoutPreemption ? LONG_RESERVATION_TTL : RESERVATION_TTL),
+    withoutPreemption,
+  });
+}
+
+const teamsBlockedBy = (reason: UnplacedTasks['reason'], unplaced: readonly UnplacedTasks[]): Set<TeamId> =>
+  new Set(unplaced.filter((entry) => entry.reason === reason).map((entry) => entry.job.spec.team));
--- /dev/null
+++ b/src/scheduling/scheduling-context.ts
@@ -0,0 +1,79 @@
+/**
+ * Composes what one scheduling cycle of a shard reads beside the shard itself: teams and quotas, what peers have
+ * announced, and corrections of run times. The cycle stays a function of its inputs.
+ */
+import type { Core } from '../core.js';
+import type { JobSpec } from '../jobs/spec.js';
+import { add, ZERO, type Resources } from '../model/resources.js';
+import type { SteadyMs, TeamId } from '../model/units.js';
+import { taskCapacity } from '../overflow/peer-ranking.js';
+import type { GuaranteedJobs } from '../quota/guaranteed-jobs.js';
+import type { QuotaTransferService } from '../quota/transfer-service.js';
+import type { Shard } from '../shards/model.js';
+import type { SchedulingContext } from './cycle.js';
+import type { RuntimeEstimator } from './runtime-estimator.js';
+
+/** Where the context of a cycle comes from. */
+export interface SchedulingContextSources {
+  readonly core: Core;
+  readonly quotaTransfers: Pick<QuotaTransferService, 'shardQuota'>;
+  readonly guarantees: Pick<GuaranteedJobs, 'has'>;
+  readonly runtimeEstimator: Pick<RuntimeEstimator, 'correctionFactor'>;
+}
+
+/** Keeps the answer for each key: a cycle asks for the same one many times. */
+function memoize<K>(compute: (key: K) => boolean): (key: K) => boolean {
+  const known = new Map<K, boolean>();
+  return (key) => {
+    let answer = known.get(key);
+    if (answer === undefined) known.set(key, (answer = compute(key)));
+    return answer;
+  };
+}
+
+/** The context of one cycle; it must not outlive the cycle, since it remembers answers. */
+export function createSchedulingContext(
+  sources: SchedulingContextSources,
+  shard: Shard,
+  now: SteadyMs,
+): SchedulingContext {
+  const { core, quotaTransfers, guarantees, runtimeEstimator } = sources;
+  const usageElsewhere = usageOnOtherShards(core, shard);
+  return {
+    now,
+    types: core.types,
+    teams: core.settings.teams,
+    shardQuota: (team) => quotaTransfers.shardQuota(shard.id, team),
+    usageOnOtherShards: (team) => usageElsewhere.get(team) ?? ZERO,
+    guaranteed: memoize((job) => guarantees.has(job)),
+    peerHasCapacity: (spec) => peerHasCapacity(core, shard, spec, now),
+    maxLatenessFactor: (jobClass) => core.settings.deadlineFactorByClass.get(jobClass) ?? 1,
+    runtimeCorrection: (jobClass) => runtimeEstimator.correctionFactor(jobClass),
+    reportMs: core.heartbeatIntervalMs,
+    gangWaitMs: core.settings.gangWaitS * 1000,
+  };
+}
+
+/** What each team uses on the other shards: from memory for those led here, else by their announcements. */
+function usageOnOtherShards(core: Core, shard: Shard): Map<TeamId, Resources> {
+  const usage = new Map<TeamId, Resources>();
+  for (const { shard: shardId } of core.settings.shards) {
+    if (shardId === shard.id) continue;
+    const used =
+      core.shards.get(shardId)?.totals.usageByTeam ?? core.shardAnnouncements.get(shardId)?.usage ?? [];
+    for (const [team, amount] of used) usage.set(team, add(usage.get(team) ?? ZERO, amount));
+  }
+  return usage;
+}
+
+function peerHasCapacity(core: Core, shard: Shard, spec: JobSpec, now: SteadyMs): boolean {
+  for (const freeCapacity of core.freeCapacity.values()) {
+    if (
+      freeCapacity.shard !== shard.id &&
+      freeCapacity.expiresAt > now &&
+      taskCapacity(freeCapacity, spec, null) > 0
+    )
+      return true;
+  }
+  return false;
+}
--- /dev/null
+++ b/src/scheduling/task-allocator.ts
@@ -0,0 +1,140 @@
+/**
+ * Starts and stops tasks in the memory of a shard: it allocates resources for a start, marks what must stop, and moves
+ * work off spot machines that will be interrupted. It sends nothing: machines with pending commands are left to
+ * `WorkerService.dispatchCommands`, which asks for the command deadline at the sending.
+ */
+import type { Core } from '../core.js';
+import {
+  allocate,
+  release,
+  type Allocation,
+  type Machine,
+  type Shard,
+  type ShardJob,
+} from '../shards/model.js';
+import { taskId, type Attempt, type JobId, type SteadyMs, type TaskIndex } from '../model/units.js';
+import type { TaskStart, TaskStop } from './cycle.js';
+import { gracePeriodS } from './preemption-cost.js';
+import type { RuntimeEstimator } from './runtime-estimator.js';
+
+/** A task may be expected to end this long after the announced interruption and is still left to finish. */
+const INTERRUPTION_TOLERANCE_MS = 2000;
+
+/** The launch has not been sent in any form, so that no machine can hold the task. */
+const isUnsent = (allocation: Allocation): boolean =>
+  allocation.phase === 'ordered' &&
+  allocation.launchPending &&
+  !allocation.launchInFlight &&
+  !allocation.unacknowledged &&
+  allocation.answeredSequence === null;
+
+/** An allocation whose launch is still to be sent. */
+function newAllocation(
+  job: ShardJob,
+  index: TaskIndex,
+  machine: Machine,
+  attempt: Attempt,
+  now: SteadyMs,
+): Allocation {
+  return {
+    id: taskId(job.id, index),
+    job: job.id,
+    index,
+    attempt,
+    machine: machine.id,
+    spec: job.spec,
+    phase: 'ordered',
+    allocatedAt: now,
+    runningSince: null,
+    gatheringSince: null,
+    stop: null,
+    launchInFlight: false,
+    launchPending: true,
+    unacknowledged: null,
+    answeredSequence: null,
+  };
+}
+
+/** Carries out the starts and stops of a scheduling plan. */
+export class TaskAllocator {
+  constructor(
+    private readonly core: Core,
+    private readonly runtimeEstimator: RuntimeEstimator,
+  ) {}
+
+  /** Allocates resources for the tasks. Members of a gang find each other by their attempt: one start shares one. */
+  startAll(shard: Shard, starts: readonly TaskStart[], now: SteadyMs): void {
+    const gangAttempts = new Map<JobId, Attempt>();
+    for (const start of starts) {
+      const attempt = start.attempt ?? gangAttempts.get(start.job.id) ?? shard.nextAttempt();
+      if (start.job.gangHistory) gangAttempts.set(start.job.id, attempt);
+      this.start(shard, start, attempt, now);
+    }
+  }
+
+  private start(shard: Shard, { job, index, machine }: TaskStart, attempt: Attempt, now: SteadyMs): void {
+    const allocation = newAllocation(job, index as TaskIndex, machine, attempt, now);
+    allocate(shard, machine, allocation);
+    shard.machinesWithPendingCommands.add(machine);
+    this.core.log.debug({ task: allocation.id, machine: machine.id, attempt }, 'start');
+  }
+
+  /** Stops the tasks that a plan names. */
+  stopAll(shard: Shard, stops: readonly TaskStop[]): void {
+    for (const { allocation, graceS } of stops) this.stop(shard, allocation, graceS);
+  }
+
+  /** Stops a task; of a gang all tasks, with the same grace: a gang can only write a checkpoint as a whole. */
+  stop(shard: Shard, allocation: Allocation, graceS: number): void {
+    if (allocation.spec?.kind !== 'gang') return this.stopTask(shard, allocation, graceS);
+    for (const member of [...(shard.allocationsByJob.get(allocation.job) ?? [])])
+      this.stopTask(shard, member, graceS);
+  }
+
+  /** A stop with a shorter grace replaces an earlier one; a longer one changes nothing. */
+  private stopTask(shard: Shard, allocation: Allocation, graceS: number): void {
+    const machine = shard.machines.get(allocation.machine);
+    if (!machine || (allocation.stop && allocation.stop.grace <= graceS)) return;
+    this.core.log.debug({ task: allocation.id, machine: allocation.machine, grace: graceS }, 'stop');
+    if (isUnsent(allocation)) return release(shard, machine, allocation);
+    allocation.stop = { grace: graceS, direct: 'due' };
+    shard.stopping.add(allocation);
+    shard.machinesWithPendingCommands.add(machine);
+  }
+
+  /** The job has ended: stops every task of it. Each uses quota and capacity until a heartbeat shows it gone. */
+  stopJob(jobId: JobId): void {
+    for (const shard of this.core.shards.values()) {
+      shard.jobs.delete(jobId);
+      for (const allocation of [...(shard.allocationsByJob.get(jobId) ?? [])])
+        this.stop(shard, allocation, 0);
+    }
+  }
+
+  /**
+   * Moves work off machines with an interruption notice: tasks with checkpoints write one, replicas move at once, and
+   * the others stay if they are expected to finish in time.
+   */
+  evacuateInterruptedMachines(shard: Shard): void {
+    for (const machine of shard.interruptionNoticed) {
+      for (const allocation of [...machine.allocations.values()]) this.evacuate(shard, machine, allocation);
+    }
+  }
+
+  private evacuate(shard: Shard, machine: Machine, allocation: Allocation): void {
+    const { spec } = allocation;
+    if (allocation.stop || !spec) return;
+    // A member of a gang that has not started yet can be replaced on another machine alone.
+    if (spec.kind === 'gang' && allocation.runningSince === null) this.stopTask(shard, allocation, 0);
+    else if (spec.kind === 'service' || spec.checkpointIntervalS > 0)
+      this.stop(shard, allocation, gracePeriodS(allocation));
+    else if (!this.canFinishBeforeInterruption(allocation, machine)) this.stop(shard, allocation, 0);
+  }
+
+  private canFinishBeforeInterruption(allocation: Allocation, machine: Machine): boolean {
+    if (!allocation.spec || allocation.runningSince === null || machine.interruptedAt === null) return false;
+    const expectedRuntimeMs =
+      allocation.spec.estimateS * this.runtimeEstimator.correctionFactor(allocation.spec.jobClass) * 1000;
+    return allocation.runningSince + expectedRuntimeMs < machine.interruptedAt + INTERRUPTION_TOLERANCE_MS;
+  }
+}
--- a/test/autoscaling/scale-in.test.ts
+++ b/test/autoscaling/scale-in.test.ts
@@ -83,7 +83,7 @@
 
 test('after a failover missing machines are deleted when they are few, or only spot machines; many are a partition', () => {
   const few = { ordinary: 100, spot: 50, silentOrdinary: 2, silentSpot: 1, silentMs: 0 };
-  const missing = 'it does not answer after a claim';
+  const missing = 'it does not answer after a failover';
   assert.equal(countReturned(shardWith(few, false)), `3 ${missing}`);
   assert.equal(countReturned(shardWith({ ...few, silentSpot: 40 }, false)), `42 ${missing}`);
   const cut = shardWith({ ...few, silentOrdinary: 60 }, false);
--- a/test/cluster/decision-functions.test.ts
+++ b/test/cluster/decision-functions.test.ts
@@ -307,7 +307,7 @@
     } as never;
     syncJob(shard, record, (i + 1) as never, 0 as SteadyMs, false);
     const job = shard.jobs.get(id as never) as ShardJob;
-    return { job, reason: 'room' as const, indices: [...job.waiting] };
+    return { job, reason: 'capacity' as const, indices: [...job.waiting] };
   });
   const choice = chooseTaskTransfer(core as unknown as Core, shard, unplaced, now);
   assert.equal(choice?.job.id, 'req-plain');
--- a/test/scheduling/starvation.test.ts
+++ b/test/scheduling/starvation.test.ts
@@ -144,7 +144,7 @@
     [0, 2, 0, 'east'],
     [2, 4, 0, 'west'],
   ]);
-  const unplaced = [{ job, reason: 'room' as const, indices: [0, 1, 2, 3] }];
+  const unplaced = [{ job, reason: 'capacity' as const, indices: [0, 1, 2, 3] }];
   const choice = chooseTaskTransfer(core([freeCapacity(1, 'west', 8)]), shard, unplaced, NOW);
   assert.deepEqual(choice?.tasks.ranges(), [[2, 4]]);
   assert.equal(choice.receivingShard, 1);
--- a/test/simulation/simulation.test.ts
+++ b/test/simulation/simulation.test.ts
@@ -694,7 +694,7 @@
     requestCycle: () => undefined,
   };
   const overflow = new TaskTransferService(core as unknown as Core);
-  overflow.transferUnplaced(shard, [{ job, reason: 'room', indices: 'all' }]);
+  overflow.transferUnplaced(shard, [{ job, reason: 'capacity', indices: 'all' }]);
   assert.equal(job.handingOver.size, 2);
   planCycle(shard, { now: 10_000 } as unknown as SchedulingContext);
   answer({ kind: 'refused' });
--- a/test/support/cycle-runner.ts
+++ b/test/support/cycle-runner.ts
@@ -159,7 +159,7 @@
       reservation.job.reservations.set(reservation.index, {
         machine: reservation.machine,
         reservedUntil: (this.now + 6000) as never,
-        withoutPreemption: reservation.reserved,
+        withoutPreemption: reservation.withoutPreemption,
       });
     for (const unplaced of plan.unplaced) unplaced.job.waitingSince ??= this.now as never;
     return decisions.join('; ') || 'nothing';
