--- a/src/autoscaling/instance-types.ts
+++ b/src/autoscaling/instance-types.ts
@@ -1,4 +1,4 @@
-/** Which machine types there are: asked of the cloud, and kept in the state service for a start without it. */
+/** Keeps the catalog of instance types: read from the cloud, and stored for a start while the cloud is down. */
 import type { InstanceType } from '../cloud/wire.js';
 import type { Core } from '../core.js';
 import { decodeCatalog, encodeCatalog } from './codec.js';
@@ -7,16 +7,21 @@
 import { millis, type SteadyMs } from '../model/units.js';
 
 const REFRESH_INTERVAL_MS = 60_000;
+/** Between two looks at whether a refresh is due, with a catalog and before there is one. */
+const CHECK_INTERVAL = millis(5000);
+const FIRST_CHECK_INTERVAL = millis(500);
 
+/** Fills `Core.types`. */
 export class InstanceTypeCatalog {
   private refreshedAt: SteadyMs | null = null;
 
   constructor(private readonly core: Core) {}
 
+  /** Runs for the lifetime of the process. */
   async run(): Promise<never> {
     for (;;) {
       if (this.isRefreshDue()) await this.refresh();
-      await this.core.sleep(millis(this.core.types.size === 0 ? 500 : 5000));
+      await this.core.sleep(this.core.types.size === 0 ? FIRST_CHECK_INTERVAL : CHECK_INTERVAL);
     }
   }
 
@@ -34,7 +39,7 @@
     await this.storeTypes(types);
   }
 
-  /** The catalog is kept in the state service too, so that a restart while the cloud is away can decide. */
+  /** A restart while the cloud is down needs the stored catalog to schedule at all. */
   private loadStoredTypes(): void {
     const entry = this.core.storeCache.get(CATALOG_KEY);
     const types = entry ? decodeCatalog(entry.value) : null;
@@ -47,12 +52,15 @@
     this.core.requestCycle();
   }
 
+  /** Writes the catalog where it differs from the stored one and fits into a value. */
   private async storeTypes(types: readonly InstanceType[]): Promise<void> {
     const { core } = this;
     const stored = core.storeCache.get(CATALOG_KEY);
-    const names = (list: readonly InstanceType[] | null): string =>
-      JSON.stringify(list?.map((t) => [t.name, t.cpus, t.gpus, t.memoryGb, t.zones]));
-    if (!core.storeCache.loaded || (stored && names(decodeCatalog(stored.value)) === names(types))) return;
+    if (
+      !core.storeCache.loaded ||
+      (stored && fingerprint(decodeCatalog(stored.value)) === fingerprint(types))
+    )
+      return;
     const value = encodeCatalog(types);
     if (Buffer.byteLength(JSON.stringify(value)) > core.settings.maxValueBytes) return;
     const version = core.storeCache.version(CATALOG_KEY);
@@ -63,3 +71,7 @@
     );
   }
 }
+
+/** What must change for the catalog to be stored again. */
+const fingerprint = (types: readonly InstanceType[] | null): string =>
+  JSON.stringify(types?.map(({ name, cpus, gpus, memoryGb, zones }) => [name, cpus, gpus, memoryGb, zones]));
--- a/src/autoscaling/scale-out-plan.ts
+++ b/src/autoscaling/scale-out-plan.ts
@@ -1,4 +1,4 @@
-/** What to rent for tasks that found no room. Pure. */
+/** Decides which machines to request for tasks that find no capacity: the cheapest that fit, less those on their way. Pure. */
 import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import { Priority } from '../jobs/spec.js';
@@ -6,6 +6,7 @@
 import { mayRunOn } from '../model/constraints.js';
 import type { InstanceTypeId, ZoneId } from '../model/units.js';
 
+/** Tasks of a job that wait for capacity, in one zone if one is required. */
 export interface CapacityDemand {
   readonly spec: JobSpec;
   readonly requiredZone: ZoneId | null;
@@ -13,34 +14,39 @@
   readonly waitedMs: number;
 }
 
+/** What a machine is requested as. */
 export interface MachineKind {
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
 }
 
+/** Decision: so many machines of one kind are requested. */
 export interface ScaleOutDecision extends MachineKind {
   readonly count: number;
 }
 
+/** The kind as a key of maps. */
 export const machineKindKey = (kind: MachineKind): string =>
-  `${kind.type}/${kind.zone}/${kind.spot ? 'spot' : 'ordinary'}`;
+  `${kind.type}/${kind.zone}/${kind.spot ? 'spot' : 'on-demand'}`;
 
+/** What the decision reads beside the demand. */
 export interface ScaleOutContext {
   readonly types: readonly InstanceType[];
   readonly zones: readonly ZoneId[];
   readonly homeZone: ZoneId;
-  /** Machines on their way. */
+  /** Machines that were requested and are not registered yet. */
   readonly pendingMachines: readonly MachineKind[];
-  readonly isBackedOff: (k: MachineKind) => boolean;
-  /** Tasks running on the part now: some will be done before a new machine is up. */
+  /** The cloud had no capacity of this kind a moment ago. */
+  readonly isBackedOff: (kind: MachineKind) => boolean;
+  /** Tasks running on the shard: some will end before a new machine has booted. */
   readonly runningTasks: number;
   readonly runtimeCorrection: (jobClass: string) => number;
 }
 
-/** Demand younger than this may still find a peer with room. */
+/** Younger demand may still overflow to a peer. */
 const MIN_DEMAND_AGE_MS = 700;
-/** The cloud takes no more in one request. */
+/** The cloud grants no more in one request. */
 const MAX_MACHINES_PER_REQUEST = 50;
 
 const typeResources = (type: InstanceType): MutableResources => ({
@@ -53,7 +59,7 @@
   readonly freeResources: MutableResources;
 }
 
-/** Puts tasks on machines that are coming anyway; returns how many are left. */
+/** Assigns tasks to machines on their way; returns how many are left. */
 function fillIncomingMachines(incoming: IncomingMachine[], demand: CapacityDemand, count: number): number {
   let left = count;
   for (const machine of incoming) {
@@ -70,24 +76,35 @@
   return left;
 }
 
-/** Of the turnover: most of it goes to jobs that are yet to come, as a backlog shows that they do. */
+/** The share of capacity coming free that waiting tasks may count on: most of it goes to jobs that are yet to arrive. */
 const TURNOVER_FACTOR = 0.1;
+/** Boot times beyond this do not raise the turnover that is counted on, in seconds. */
+const MAX_TURNOVER_BOOT_S = 60;
+const MIN_RUNTIME_S = 5;
+/** A machine in another zone than the shard's counts as so much dearer. */
+const REMOTE_ZONE_COST_FACTOR = 1.02;
 
-/** Those whose turn comes on machines that we have before a new one is up need none. */
+/** Tasks of the demand that do not get their turn on present machines before a new one has booted. */
 function demandAfterTurnover(demand: CapacityDemand, context: ScaleOutContext, running: number): number {
   if (demand.spec.priority === Priority.critical) return demand.count;
-  const bootS = Math.min(...context.types.map((t) => t.bootS), 60);
-  const runtimeS = Math.max(5, demand.spec.estimateS * context.runtimeCorrection(demand.spec.jobClass));
+  const bootS = Math.min(...context.types.map((type) => type.bootS), MAX_TURNOVER_BOOT_S);
+  const runtimeS = Math.max(
+    MIN_RUNTIME_S,
+    demand.spec.estimateS * context.runtimeCorrection(demand.spec.jobClass),
+  );
   return demand.count - Math.floor(running * Math.min(1, bootS / runtimeS) * TURNOVER_FACTOR);
 }
 
-/** Cheapest room per task first; machines that take no more than is asked for before larger ones. */
-function machineOptions(
-  demand: CapacityDemand,
-  count: number,
-  context: ScaleOutContext,
-): { kind: MachineKind; type: InstanceType; tasksPerMachine: number }[] {
-  const found: { kind: MachineKind; type: InstanceType; tasksPerMachine: number; cost: number }[] = [];
+/** A kind of machine that can run tasks of a demand. */
+interface MachineOption {
+  readonly kind: MachineKind;
+  readonly type: InstanceType;
+  readonly tasksPerMachine: number;
+}
+
+/** Lowest cost per task first; capacity beyond the demand counts as cost. */
+function machineOptions(demand: CapacityDemand, count: number, context: ScaleOutContext): MachineOption[] {
+  const found: (MachineOption & { readonly cost: number })[] = [];
   for (const type of context.types) {
     const tasksPerMachine = taskSlots(type, demand.spec);
     if (tasksPerMachine < 1) continue;
@@ -97,7 +114,7 @@
         if (!mayRunOn(demand.spec, type.name, zone, spot, demand.requiredZone) || context.isBackedOff(kind))
           continue;
         const price = spot ? type.spotPrice : type.price;
-        const distanceFactor = zone === context.homeZone ? 1 : 1.02;
+        const distanceFactor = zone === context.homeZone ? 1 : REMOTE_ZONE_COST_FACTOR;
         found.push({
           kind,
           type,
@@ -107,17 +124,18 @@
       }
     }
   }
-  return found.sort((a, b) => a.cost - b.cost);
+  return found.sort((first, second) => first.cost - second.cost);
 }
 
+/** What to request, in the order of the demands. */
 export function planScaleOut(
   demands: readonly CapacityDemand[],
   context: ScaleOutContext,
 ): ScaleOutDecision[] {
-  const byName = new Map(context.types.map((t) => [t.name, t] as const));
-  const incoming: IncomingMachine[] = context.pendingMachines.flatMap((k) => {
-    const type = byName.get(k.type);
-    return type ? [{ ...k, freeResources: typeResources(type) }] : [];
+  const byName = new Map(context.types.map((type) => [type.name, type] as const));
+  const incoming: IncomingMachine[] = context.pendingMachines.flatMap((kind) => {
+    const type = byName.get(kind.type);
+    return type ? [{ ...kind, freeResources: typeResources(type) }] : [];
   });
   const decisions = new Map<string, ScaleOutDecision>();
   let running = context.runningTasks;
