--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -1,4 +1,4 @@
-/** Composes what a controller announces to its peers, and takes in what they announce. */
+/** Composes the capacity announcements of a controller, and applies those of its peers to `Core`. */
 import type { Core } from '../core.js';
 import { activeJobKey } from '../jobs/codec.js';
 import { add, addTo, ZERO, type MutableResources, type Resources } from '../model/resources.js';
@@ -18,13 +18,14 @@
 import { plus } from '../model/units.js';
 import { reserveCapacity, type FreeCapacity } from './peer-ranking.js';
 
-/** Machines whose images one announcement tells. */
+/** Machines whose cached images one announcement lists. */
 const MAX_MACHINES_WITH_IMAGE_HINTS = 12;
 
+/** Machines with the same key count as one entry of an announcement. */
 const machineShapeKey = (machine: Machine, free: Resources): string =>
   `${machine.type}/${machine.zone}/${machine.spot}/${free.cpus.toFixed(2)}/${free.gpus.toFixed(2)}/${free.memoryGb.toFixed(2)}`;
 
-/** What one of our parts has free right now, less what its own queue is about to take. */
+/** What a shard that is led here has free now, less what its own queue is about to take. */
 export function freeCapacityOf(core: Core, shard: Shard): FreeCapacity {
   const now = core.clock.now();
   const context = { now, reportMs: core.heartbeatIntervalMs };
@@ -43,8 +44,8 @@
     expiresAt: plus(now, core.tuning.announcementExpiry),
     machines: [...shapes.values()],
   };
-  // What waits for its team's limit takes no room: others may have it meanwhile.
-  // Neither does a job in its back-off, nor a task in a zone other than its own.
+  // Jobs that wait for quota take no capacity meanwhile, and neither do jobs in back-off; a task takes some only in its
+  // required zone.
   for (const job of shard.queue) {
     if (shard.teamsBlockedByQuota.has(job.spec.team) || now < job.backoffUntil) continue;
     for (const [zone, count] of waitingByZone(job)) reserveCapacity(freeCapacity, job.spec, zone, count);
@@ -52,7 +53,7 @@
   return freeCapacity;
 }
 
-/** What critical work could have at once on machines with the image, lesser work making room. */
+/** By image: what critical tasks could use at once on machines that hold it, by preemption if need be. */
 export function capacityByImage(core: Core, shard: Shard): Map<ImageId, Resources> {
   const capacities = new Map<ImageId, Resources>();
   const context = { now: core.clock.now(), reportMs: core.heartbeatIntervalMs };
@@ -67,7 +68,7 @@
   return capacities;
 }
 
-/** Our own parts as peers will see them, and as new jobs are placed by. */
+/** Updates the free capacity of the shards led here, for announcements and for the assignment of new jobs. */
 export function refreshFreeCapacity(core: Core): void {
   for (const shard of core.shards.values()) {
     core.freeCapacity.set(shard.id, freeCapacityOf(core, shard));
@@ -75,17 +76,20 @@
   }
 }
 
-/** Which machine holds what, for whoever takes the part over: what is new, and the rest by turns. */
+/** Cached images of some machines, for the next leader of the shard: new ones first, then the rest in turn. */
 function imageHints(shard: Shard): Map<MachineId, CachedImages> {
   const machines = [...shard.nextImageAnnouncements(MAX_MACHINES_WITH_IMAGE_HINTS)];
   return new Map(machines.map((machine) => [machine.id, [...machine.images]]));
 }
 
+/** The zone of a shard's controller. */
 export const zoneForShard = (core: Core, shard: ShardId): ZoneId =>
-  core.settings.shards.find((p) => p.shard === shard)?.zone ?? core.settings.zone;
+  core.settings.shards.find((configured) => configured.shard === shard)?.zone ?? core.settings.zone;
 
 function freeMachinesOf(core: Core, shard: Shard): FreeMachines[] {
-  return (core.freeCapacity.get(shard.id) ?? freeCapacityOf(core, shard)).machines.filter((m) => m.count > 0);
+  return (core.freeCapacity.get(shard.id) ?? freeCapacityOf(core, shard)).machines.filter(
+    (machines) => machines.count > 0,
+  );
 }
 
 /** Running tasks by job, in all shards that this controller leads. */
@@ -135,6 +139,7 @@
   };
 }
 
+/** Remembers what a peer says of itself and of its shards, until the announcement expires. */
 function learnAnnouncement(core: Core, announcement: CapacityAnnouncement): void {
   const now = core.clock.now();
   core.peers.set(announcement.node, {
@@ -147,7 +152,7 @@
   });
   for (const [machine, shard] of announcement.rentedMachines) core.intendedShards.set(machine, shard);
   const expires = plus(now, core.tuning.announcementExpiry);
-  // Both of us may believe that we lead a shard for a moment: our own knowledge is the better one.
+  // During a failover two controllers may take themselves for the leader: what is led here is known better here.
   for (const capacity of announcement.shards)
     if (!core.shards.has(capacity.shard)) learnShardCapacity(core, capacity, expires);
 }
@@ -167,14 +172,15 @@
 }
 
 /**
- * Takes in a committed cancellation without waiting for the watch: the peer may be served by the state service while we
- * are not. It is learned like the answer to a write of our own; a late copy is older than the view and changes nothing.
+ * Applies a committed cancellation without waiting for the watch, since the store may answer the peer and not this
+ * controller. It is applied like the result of an own write; a late copy is older than the watch cache and changes
+ * nothing.
  */
 function learnCancellation(core: Core, { job, version }: CancellationNotice): void {
   void core.exclusive(() => core.storeCache.apply(activeJobKey(job), undefined, version));
 }
 
-/** A peer's message; a request for quota, or for machines, is returned to the caller. */
+/** Applies a peer's message; returns a request for quota or machines to the caller; null: none, or an invalid message. */
 export function receiveMessage(core: Core, sent: unknown): QuotaTransferRequest | MachineRequest | null {
   const message = decodePeerMessage(sent);
   switch (message?.kind) {
--- a/src/overflow/assignment.ts
+++ b/src/overflow/assignment.ts
@@ -1,28 +1,29 @@
-/** Which part a new job's tasks are entrusted to, and in which zone those of a constrained job must be. */
+/** Assigns the tasks of a new job to shards, and those of a constrained job to zones. Pure but for the capacity it reserves. */
 import type { InstanceType } from '../cloud/wire.js';
 import type { Assignment } from '../jobs/record.js';
 import { Priority, type JobSpec } from '../jobs/spec.js';
-import { covers, scale, fittingRatio, TOLERANCE, ZERO, type Resources } from '../model/resources.js';
+import { covers, fits, scale, fittingRatio, TOLERANCE, ZERO, type Resources } from '../model/resources.js';
 import type { ImageId, ShardId, SteadyMs, ZoneId } from '../model/units.js';
 import { mayRunOn } from '../model/constraints.js';
-import { fits } from '../model/resources.js';
 import { taskCapacity, reserveCapacity, rankPeers, type FreeCapacity, type Random } from './peer-ranking.js';
 
+/** What an assignment reads. */
 export interface AssignmentContext {
   readonly now: SteadyMs;
+  /** The shard of the controller that accepted the job. */
   readonly homeShard: ShardId;
   readonly homeZone: ZoneId;
   readonly shards: readonly { shard: ShardId; zone: ZoneId }[];
   readonly zones: readonly ZoneId[];
   readonly types: readonly InstanceType[];
-  /** Announced room of every part, our own included. */
+  /** Free capacity of every shard, as announced; the assignment takes off it what it uses. */
   readonly freeCapacity: ReadonlyMap<ShardId, FreeCapacity>;
-  /** By part and image: what critical work could have at once where the image is. */
+  /** By shard and image: what critical tasks could use at once on machines that hold the image. */
   readonly imageCapacity: ReadonlyMap<ShardId, ReadonlyMap<ImageId, Resources>>;
   readonly random: Random;
 }
 
-/** A zone that no machine is in: tasks of a spread job that no zone may take wait there. */
+/** A zone without machines: tasks of a spread job that no zone may take wait in it. */
 const NO_ZONE = '' as ZoneId;
 
 function capacityInZone(context: AssignmentContext, spec: JobSpec, zone: ZoneId): number {
@@ -36,8 +37,8 @@
   context.imageCapacity.get(shard)?.get(spec.image) ?? ZERO;
 
 /**
- * Critical work should start at once: where its image is, home if it is there, else nearest zone first, then most
- * room. null: nowhere, or not critical.
+ * The shard on which critical tasks start at once because machines there hold their image: the home shard if it can
+ * take all, else by zone, then by capacity. null: there is none, or the job is not critical.
  */
 function shardWithImage(
   context: AssignmentContext,
@@ -48,34 +49,40 @@
   if (spec.priority !== Priority.critical) return null;
   const needed = scale(spec, count);
   const candidates = context.shards.filter(
-    (p) => (zone === null || p.zone === zone) && covers(capacityWithImage(context, spec, p.shard), needed),
+    (candidate) =>
+      (zone === null || candidate.zone === zone) &&
+      covers(capacityWithImage(context, spec, candidate.shard), needed),
   );
-  if (candidates.some((p) => p.shard === context.homeShard)) return context.homeShard;
-  const zoneDistance = (z: ZoneId): number => (z === context.homeZone ? 0 : 1);
-  const taskSlots = (p: ShardId): number => fittingRatio(capacityWithImage(context, spec, p), spec);
+  if (candidates.some((candidate) => candidate.shard === context.homeShard)) return context.homeShard;
+  const zoneDistance = (candidateZone: ZoneId): number => (candidateZone === context.homeZone ? 0 : 1);
+  const taskSlots = (shard: ShardId): number => fittingRatio(capacityWithImage(context, spec, shard), spec);
   candidates.sort(
-    (a, b) => zoneDistance(a.zone) - zoneDistance(b.zone) || taskSlots(b.shard) - taskSlots(a.shard),
+    (first, second) =>
+      zoneDistance(first.zone) - zoneDistance(second.zone) ||
+      taskSlots(second.shard) - taskSlots(first.shard),
   );
   return candidates[0]?.shard ?? null;
 }
 
-/** Critical tasks go where their image is, to one part if it can take all, else split by what each could start. */
+/** Critical tasks go where their image is: to one shard if it can take all, else to several by what each could start. */
 function assignByImage(context: AssignmentContext, spec: JobSpec): Assignment[] {
   const singleShard = shardWithImage(context, spec, null, spec.tasks);
   if (singleShard !== null) return [{ from: 0, to: spec.tasks, shard: singleShard, zone: null }];
   if (spec.priority !== Priority.critical) return [];
-  const taskSlots = (p: ShardId): number =>
-    Math.floor(
-      Math.min(Number.MAX_SAFE_INTEGER, fittingRatio(capacityWithImage(context, spec, p), spec)) + TOLERANCE,
-    );
-  const zoneDistance = (p: { shard: ShardId; zone: ZoneId }): number =>
-    p.shard === context.homeShard ? 0 : p.zone === context.homeZone ? 1 : 2;
-  const order = [...context.shards].sort(
-    (a, b) => zoneDistance(a) - zoneDistance(b) || taskSlots(b.shard) - taskSlots(a.shard),
+  const taskSlots = (shard: ShardId): number => {
+    const ratio = fittingRatio(capacityWithImage(context, spec, shard), spec);
+    return Math.floor(Math.min(Number.MAX_SAFE_INTEGER, ratio) + TOLERANCE);
+  };
+  const distance = ({ shard, zone }: AssignmentContext['shards'][number]): number => {
+    if (shard === context.homeShard) return 0;
+    return zone === context.homeZone ? 1 : 2;
+  };
+  const nearestFirst = [...context.shards].sort(
+    (first, second) => distance(first) - distance(second) || taskSlots(second.shard) - taskSlots(first.shard),
   );
   const assignments: Assignment[] = [];
   let nextTask = 0;
-  for (const { shard } of order) {
+  for (const { shard } of nearestFirst) {
     const to = Math.min(spec.tasks, nextTask + taskSlots(shard));
     if (to > nextTask) assignments.push({ from: nextTask, to, shard, zone: null });
     nextTask = to;
@@ -83,7 +90,7 @@
   return assignments;
 }
 
-/** The part that should place tasks in a zone: ours if it is there, else the one with most room there. */
+/** The shard for tasks in a zone: the home shard if it is there and can take all, else the best peer there. */
 function shardForZone(context: AssignmentContext, spec: JobSpec, zone: ZoneId, count: number): ShardId {
   const withImage = shardWithImage(context, spec, zone, count);
   if (withImage !== null) return withImage;
@@ -93,9 +100,10 @@
   const best = rankPeers(context.freeCapacity.values(), zone, spec, zone, context.now, context.random)[0];
   if (best) return best.freeCapacity.shard;
   if (context.homeZone === zone) return context.homeShard;
-  return context.shards.find((p) => p.zone === zone)?.shard ?? context.homeShard;
+  return context.shards.find((candidate) => candidate.zone === zone)?.shard ?? context.homeShard;
 }
 
+/** Assigns a range of tasks to a zone, and reserves the capacity on the shard chosen for it. */
 function assignToZone(
   context: AssignmentContext,
   spec: JobSpec,
@@ -110,20 +118,22 @@
 }
 
 const zonesByCapacity = (context: AssignmentContext, spec: JobSpec, zones: readonly ZoneId[]): ZoneId[] =>
-  [...zones].sort((a, b) => capacityInZone(context, spec, b) - capacityInZone(context, spec, a));
+  [...zones].sort(
+    (first, second) => capacityInZone(context, spec, second) - capacityInZone(context, spec, first),
+  );
 
-/** At most half of the tasks, rounded up, in one zone: fixed per task, so that any subset that runs is legal. */
+/** At most half of the tasks, rounded up, in one zone: fixed for each task, so that any subset may run at any time. */
 function assignAcrossZones(
   context: AssignmentContext,
   spec: JobSpec,
   zones: readonly ZoneId[],
 ): Assignment[] {
   const maxPerZone = Math.ceil(spec.tasks / 2);
-  const order = zonesByCapacity(context, spec, zones);
-  const tasksPerZone = Math.min(maxPerZone, Math.ceil(spec.tasks / Math.max(1, order.length)));
+  const zonesInOrder = zonesByCapacity(context, spec, zones);
+  const tasksPerZone = Math.min(maxPerZone, Math.ceil(spec.tasks / Math.max(1, zonesInOrder.length)));
   const assignments: Assignment[] = [];
   let nextTask = 0;
-  for (const zone of order) {
+  for (const zone of zonesInOrder) {
     const to = Math.min(spec.tasks, nextTask + tasksPerZone);
     if (to > nextTask) assignments.push(assignToZone(context, spec, nextTask, to, zone));
     nextTask = to;
@@ -133,7 +143,7 @@
   return assignments;
 }
 
-/** Home first; what exceeds its free room goes to peers that announced some, nearest zone first. */
+/** To the home shard; what exceeds its free capacity overflows to ranked peers, and stays at home if they have none. */
 function assignWithOverflow(context: AssignmentContext, spec: JobSpec): Assignment[] {
   const assignments = assignByImage(context, spec);
   let nextTask = assignments.at(-1)?.to ?? 0;
@@ -165,7 +175,7 @@
   return assignments;
 }
 
-/** A gang stays in one part: home if it has room for all, else the nearest that announced room for all. */
+/** A gang goes to one shard: the home shard if it has capacity for all members, else the best peer that has. */
 function assignGang(context: AssignmentContext, spec: JobSpec): Assignment {
   const homeCapacity = context.freeCapacity.get(context.homeShard);
   const rankedPeers = rankPeers(
@@ -186,29 +196,34 @@
   };
 }
 
-/** Zones in which the cloud has machines that can take a task; all zones while no type is known to. */
+/** Zones in which some instance type can take a task; all zones while none is known. */
 export function eligibleZones(
   spec: JobSpec,
   zones: readonly ZoneId[],
   types: readonly InstanceType[],
 ): readonly ZoneId[] {
   const eligible = zones.filter((zone) =>
-    types.some((t) => t.zones.includes(zone) && fits(spec, t) && mayRunOn(spec, t.name, zone, false, null)),
+    types.some(
+      (type) => type.zones.includes(zone) && fits(spec, type) && mayRunOn(spec, type.name, zone, false, null),
+    ),
   );
   return eligible.length > 0 ? eligible : zones;
 }
 
+/** The shard of each task of a new job, and its required zone if the job is constrained; covers all tasks in order. */
 export function assignJob(spec: JobSpec, context: AssignmentContext): Assignment[] {
   const zones = eligibleZones(spec, spec.zone === null ? context.zones : [spec.zone], context.types);
-  // A job that asks for one zone and to be spread never runs whole: half of it in one zone breaks neither promise.
+  // A job that must be in one zone and spread can never run as a whole: half of it in one zone violates neither.
   if (spec.spread && spec.tasks > 1) {
     const assignments = assignAcrossZones(
       context,
       spec,
       spec.oneZone ? zonesByCapacity(context, spec, zones).slice(0, 1) : zones,
     );
-    // A gang has one owner, also where its tasks are in several zones.
-    return spec.kind === 'gang' ? assignments.map((a) => ({ ...a, shard: context.homeShard })) : assignments;
+    // A gang has one leader, also where its members are in several zones.
+    return spec.kind === 'gang'
+      ? assignments.map((assignment) => ({ ...assignment, shard: context.homeShard }))
+      : assignments;
   }
   if (spec.oneZone)
     return [
--- a/src/overflow/machine-transfer.ts
+++ b/src/overflow/machine-transfer.ts
@@ -1,10 +1,10 @@
 /**
- * Machines change pools for a gang that is larger than every pool: its pool asks a peer, and the peer's owner gives
- * machines that have come empty, each by one conditional write. A transferred machine holds nothing, and nothing that
- * could still start a task is on its way to it, so its new owner counts it as new.
+ * Transfers machines between shards for a gang that no shard can hold: its shard asks a peer, and the peer's leader
+ * transfers machines that have become empty, each by one compare-and-swap. A transferred machine holds no task, and no
+ * command that could still start one is on its way to it, so its new leader treats it as a new machine.
  */
 import type { Core } from '../core.js';
-import { fits, isZero, taskSlots, subtract, type Resources } from '../model/resources.js';
+import { fits, isZero, taskSlots, subtract } from '../model/resources.js';
 import type { Machine, Shard } from '../shards/model.js';
 import { encodeMachineRecord, machineKey } from '../shards/codec.js';
 import { encodePeerMessage } from '../peers/codec.js';
@@ -15,27 +15,27 @@
 import { millis, plus } from '../model/units.js';
 import { zoneForShard } from './announcement.js';
 
-/** Between two requests of a pool, in milliseconds. */
+/** Between two requests of a shard. */
 const REQUEST_INTERVAL_MS = 2000;
-/** One peer is asked for so long before the next one is, in milliseconds. */
+/** One peer is asked for this long before the next one is. */
 const PEER_TURN_MS = 20_000;
-/** Without another request a machine takes work again after this time. */
+/** Without another request a cordoned machine takes tasks again after this time. */
 const CORDON_TTL = millis(6000);
 
-/** Machines that are to go to the pool that asks: those that are empty go now, the others take no more work. */
+/** Machines for the shard that asks: empty ones are transferred now, the others take no more tasks until they are. */
 export interface TransferChoice {
   readonly empty: readonly Machine[];
   readonly draining: readonly Machine[];
 }
 
-/** Nothing is on the machine, and no order that may still be carried out there is outstanding. */
+/** No task is on the machine, and no command that may still be carried out there is unacknowledged. */
 const isEmpty = (machine: Machine): boolean =>
   machine.allocations.size === 0 && machine.exitedTasks.size === 0 && !machine.directRequestInFlight;
 
-/** Critical work does not end by itself. */
+/** Such a machine is not cordoned: critical tasks are not preempted and may run for good. */
 const runsCriticalWork = (machine: Machine): boolean => !isZero(subtract(machine.used, machine.preemptible));
 
-/** Pure: which machines of the pool suit the request, those that were promised first, then the least used. */
+/** Pure: which machines of the shard suit the request, cordoned ones first, then those with the least in use. */
 export function chooseTransfer(
   shard: Shard,
   request: MachineRequest,
@@ -51,14 +51,15 @@
       !runsCriticalWork(machine)
     );
   };
-  const capacityOf = (machine: Machine): Resources | undefined => core.types.get(machine.type);
   const suitable = [...shard.machines.values()].filter(suits);
-  suitable.sort((a, b) => Number(b.draining) - Number(a.draining) || a.used.cpus - b.used.cpus);
+  suitable.sort(
+    (first, second) => Number(second.draining) - Number(first.draining) || first.used.cpus - second.used.cpus,
+  );
   const chosen: Machine[] = [];
   let missing = request.tasks;
   for (const machine of suitable) {
     if (missing <= 0) break;
-    const capacity = capacityOf(machine);
+    const capacity = core.types.get(machine.type);
     if (!capacity || !fits(request, capacity)) continue;
     missing -= taskSlots(capacity, request);
     chosen.push(machine);
@@ -66,15 +67,17 @@
   return { empty: chosen.filter(isEmpty), draining: chosen.filter((machine) => !isEmpty(machine)) };
 }
 
+/** Asks peers for machines, and gives them machines of the shards led here. */
 export class MachineTransferService {
   private readonly requestedAt = new Map<ShardId, SteadyMs>();
-  /** When a pool of ours last had a gang that is larger than it. */
+  /** When a shard led here last had such a gang. */
   private readonly oversizedGangSeenAt = new Map<ShardId, SteadyMs>();
+  /** Machines drained for a request; others that are draining are left alone. */
   private readonly cordonedUntil = new Map<Machine, SteadyMs>();
 
   constructor(private readonly core: Core) {}
 
-  /** The pool has such a gang: asks one peer of the same zone after another. */
+  /** The shard has a gang that it cannot hold: asks one peer of its zone after another. */
   request(shard: Shard, gang: OversizedGang): void {
     const { core } = this;
     const now = core.clock.now();
@@ -83,7 +86,7 @@
     if (requestedAt !== undefined && now - requestedAt < REQUEST_INTERVAL_MS) return;
     this.requestedAt.set(shard.id, now);
     const zone = zoneForShard(core, shard.id);
-    const peers = core.settings.shards.filter((p) => p.shard !== shard.id && p.zone === zone);
+    const peers = core.settings.shards.filter((other) => other.shard !== shard.id && other.zone === zone);
     const peer = peers[Math.floor(now / PEER_TURN_MS) % peers.length];
     if (!peer) return;
     const { cpus, gpus, memoryGb, types, spot } = gang.job.spec;
@@ -96,21 +99,21 @@
     };
     if (core.shards.has(peer.shard)) this.handleRequest(request);
     else {
-      const owner = core.shardRecord(peer.shard)?.leader;
-      if (owner) core.peerTransport.send(owner, encodePeerMessage(request));
+      const leader = core.shardRecord(peer.shard)?.leader;
+      if (leader) core.peerTransport.send(leader, encodePeerMessage(request));
     }
   }
 
-  /** A pool asks one of ours for machines. */
+  /** Another shard asks one that is led here for machines. */
   handleRequest(request: MachineRequest): void {
     const { core } = this;
     const now = core.clock.now();
     const shard = core.shards.get(request.to);
     if (!shard?.reconciled || request.from === request.to || !core.mayCommand(now)) return;
-    if (!core.settings.shards.some((p) => p.shard === request.from)) return;
+    if (!core.settings.shards.some((configured) => configured.shard === request.from)) return;
     if (this.hasPrecedence(shard, request, now)) return;
-    const { empty, draining: emptying } = chooseTransfer(shard, request, core, now);
-    for (const machine of emptying) this.cordon(machine, now);
+    const { empty, draining } = chooseTransfer(shard, request, core, now);
+    for (const machine of draining) this.cordon(machine, now);
     for (const machine of empty) {
       if (machine.draining && !this.cordonedUntil.has(machine)) continue;
       machine.draining = true;
@@ -119,20 +122,21 @@
     }
   }
 
-  /** Of two pools that both have such a gang the one with the lower number gathers machines first. */
+  /** Of two shards with such a gang the one with the lower number is served first: neither must drain for the other. */
   private hasPrecedence(shard: Shard, request: MachineRequest, now: SteadyMs): boolean {
     const seenAt = this.oversizedGangSeenAt.get(shard.id);
     const hasOversizedGang = seenAt !== undefined && now - seenAt < CORDON_TTL;
     return hasOversizedGang && shard.id < request.from;
   }
 
+  /** The machine takes no more tasks until the cordon expires. */
   private cordon(machine: Machine, now: SteadyMs): void {
     if (machine.draining && !this.cordonedUntil.has(machine)) return;
     machine.draining = true;
     this.cordonedUntil.set(machine, plus(now, CORDON_TTL));
   }
 
-  /** Promised machines that nobody asks for any more take work again. */
+  /** Cordoned machines that no shard asks for any more take tasks again. */
   expireCordons(): void {
     const now = this.core.clock.now();
     for (const [machine, until] of this.cordonedUntil) {
@@ -142,7 +146,10 @@
     }
   }
 
-  /** Nothing is placed on the machine meanwhile, also where the outcome of the write stays open for long. */
+  /**
+   * The machine stays cordoned until the outcome of the write is certain: a task started meanwhile would be on a machine
+   * that already belongs to another leader.
+   */
   private async transfer(shard: Shard, machine: Machine, receivingShard: ShardId): Promise<void> {
     const { core } = this;
     const key = machineKey(machine.id);
--- a/src/overflow/peer-ranking.ts
+++ b/src/overflow/peer-ranking.ts
@@ -1,4 +1,4 @@
-/** Announcements of free room and the willing list made of them: nearest zone first, then most free room. */
+/** Ranks peers by the free capacity that they have announced, and keeps account of what is promised of it. Pure. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { JobSpec } from '../jobs/spec.js';
@@ -7,17 +7,19 @@
 import type { FreeMachines } from '../peers/messages.js';
 import type { ShardId, SteadyMs, ZoneId } from '../model/units.js';
 
+/** The free capacity of a shard as last announced. */
 export interface FreeCapacity {
   readonly shard: ShardId;
   readonly zone: ZoneId;
   readonly expiresAt: SteadyMs;
-  /** Room left as far as we know: what we hand over is taken off until the next announcement. */
+  /** Less what tasks transferred there since will use. */
   readonly machines: FreeMachines[];
 }
 
+/** A random integer from 0 up to, and without, `below`. */
 export type Random = (below: number) => number;
 
-/** Seeded: the same run shuffles the same way. */
+/** The same seed gives the same numbers, so that simulations can be repeated. */
 export function seededRandom(seed: number): Random {
   const generator = xoroshiro128plus(seed);
   return (below) => (below <= 1 ? 0 : uniformInt(generator, 0, below - 1));
@@ -25,10 +27,13 @@
 
 const fittingMachines = (freeCapacity: FreeCapacity, spec: JobSpec, zone: ZoneId | null): FreeMachines[] =>
   freeCapacity.machines.filter(
-    (m) => m.count > 0 && fits(spec, m) && mayRunOn(spec, m.type, m.zone, m.spot, zone),
+    (machines) =>
+      machines.count > 0 &&
+      fits(spec, machines) &&
+      mayRunOn(spec, machines.type, machines.zone, machines.spot, zone),
   );
 
-/** How many tasks like this fit into what is announced, by zone restriction. */
+/** How many such tasks fit into the free capacity, in one zone if one is required. */
 export function taskCapacity(freeCapacity: FreeCapacity, spec: JobSpec, zone: ZoneId | null): number {
   let tasks = 0;
   for (const machine of fittingMachines(freeCapacity, spec, zone))
@@ -36,7 +41,7 @@
   return tasks;
 }
 
-/** `machines` of a shape get `each` tasks: they have another shape from then on. */
+/** Of the machines of a shape, so many get tasks each, and are of another shape from then on. */
 function subtractTasks(
   freeCapacity: FreeCapacity,
   shape: FreeMachines,
@@ -49,7 +54,7 @@
   freeCapacity.machines.push({ ...shape, ...subtract(shape, scale(spec, tasksPerMachine)), count: machines });
 }
 
-/** Takes room for `count` tasks off the offer, so that the next hand-over does not promise it again. */
+/** Takes `count` tasks off the free capacity, so that the next transfer does not count on it again. */
 export function reserveCapacity(
   freeCapacity: FreeCapacity,
   spec: JobSpec,
@@ -70,7 +75,18 @@
   }
 }
 
-/** Unexpired offers with room for such a task: own zone first, then most free room; equals in random order. */
+const DRAW_RANGE = 1 << 20;
+
+/** A peer and how many of the tasks it has capacity for. */
+export interface RankedPeer {
+  readonly freeCapacity: FreeCapacity;
+  readonly capacity: number;
+}
+
+/**
+ * Peers with unexpired announcements and capacity for such a task: those of `fromZone` first, then those with most
+ * capacity, and equal ones in random order. Draws one random number for each unexpired peer.
+ */
 export function rankPeers(
   freeCapacities: Iterable<FreeCapacity>,
   fromZone: ZoneId,
@@ -78,20 +94,20 @@
   zone: ZoneId | null,
   now: SteadyMs,
   random: Random,
-): { freeCapacity: FreeCapacity; capacity: number }[] {
+): RankedPeer[] {
   const candidates = [...freeCapacities]
     .filter((peer) => peer.expiresAt > now)
     .map((freeCapacity) => ({
       freeCapacity,
       capacity: taskCapacity(freeCapacity, spec, zone),
-      draw: random(1 << 20),
+      draw: random(DRAW_RANGE),
     }))
     .filter((peer) => peer.capacity > 0);
   const zoneDistance = (peer: FreeCapacity): number => (peer.zone === fromZone ? 0 : 1);
   return candidates.sort(
-    (a, b) =>
-      zoneDistance(a.freeCapacity) - zoneDistance(b.freeCapacity) ||
-      b.capacity - a.capacity ||
-      a.draw - b.draw,
+    (first, second) =>
+      zoneDistance(first.freeCapacity) - zoneDistance(second.freeCapacity) ||
+      second.capacity - first.capacity ||
+      first.draw - second.draw,
   );
 }
--- a/src/overflow/task-transfer.ts
+++ b/src/overflow/task-transfer.ts
@@ -1,4 +1,7 @@
-/** Hands waiting tasks to a peer's part that announced room: one conditional write naming the lender. */
+/**
+ * Transfers waiting tasks to a shard that has announced free capacity, by one compare-and-swap of the job's record.
+ * Only tasks that are certainly on no machine are transferred.
+ */
 import type { Core } from '../core.js';
 import { encodeRecord, activeJobKey } from '../jobs/codec.js';
 import { reassign } from '../jobs/record.js';
@@ -7,36 +10,40 @@
 import type { UnplacedTasks } from '../scheduling/cycle.js';
 import { RangeSet } from '../model/ranges.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import type { SteadyMs, ZoneId } from '../model/units.js';
+import { millis, type SteadyMs, type ZoneId } from '../model/units.js';
 import { zoneForShard } from './announcement.js';
 import { chooseZoneReassignment } from './zone-reassignment.js';
 import { reserveCapacity, rankPeers, type FreeCapacity } from './peer-ranking.js';
 
-/** Tasks rest this long with a part before they are handed on: a stale offer must not make them wander. */
+/** Tasks stay this long on a receiving shard before they may move on: stale announcements must not make them wander. */
 const TRANSFER_DELAY_MS = 800;
 const CRITICAL_TRANSFER_DELAY_MS = 2000;
+/** Tasks that have just arrived wait for a scheduling cycle of their own shard first. */
+const MIN_WAIT_MS = 30;
+const READ_RETRY_DELAY = millis(200);
 
+/** Decision: these tasks move to the receiving shard. */
 export interface TaskTransfer {
   readonly job: ShardJob;
   readonly tasks: RangeSet;
   readonly receivingShard: Shard['id'];
-  /** The job's record with the tasks entrusted to the lender. */
+  /** The job's record with the tasks assigned to the receiving shard, encoded. */
   readonly record: unknown;
 }
 
-/** As JSON: pinned to no zone ('') is not the same as not pinned (null). */
-const requirementsKey = (s: JobSpec, zone: ZoneId | null): string =>
-  JSON.stringify([s.cpus, s.gpus, s.memoryGb, s.spot, s.zone, zone, s.types]);
+/** As JSON: the zone without machines ('') is not the same as any zone (null). */
+const requirementsKey = (spec: JobSpec, zone: ZoneId | null): string =>
+  JSON.stringify([spec.cpus, spec.gpus, spec.memoryGb, spec.spot, spec.zone, zone, spec.types]);
 
-/** Pure choice: what to hand to whom. Takes the promised room off the offer. */
+/** The first transfer that is possible, or null. Pure but for the capacity that it reserves at the receiving shard. */
 export function chooseTaskTransfer(
   core: Core,
   shard: Shard,
   unplaced: readonly UnplacedTasks[],
   now: SteadyMs,
 ): TaskTransfer | null {
-  const peers = [...core.freeCapacity.values()].filter((o) => o.shard !== shard.id);
-  // Jobs that ask for the same find the same: nothing.
+  const peers = [...core.freeCapacity.values()].filter((peer) => peer.shard !== shard.id);
+  // What no peer had capacity for is not searched again for other jobs that need the same.
   const unfittingRequirements = new Set<string>();
   for (const entry of unplaced) {
     const { job } = entry;
@@ -44,8 +51,9 @@
     const transferDelayMs =
       job.spec.priority === Priority.critical ? CRITICAL_TRANSFER_DELAY_MS : TRANSFER_DELAY_MS;
     const minWaitMs = job.record.homeShard === shard.id ? 0 : transferDelayMs;
-    if (now - job.arrivedAt < minWaitMs || now - job.arrivedAt < 30) continue;
-    const zones = entry.indices === 'all' ? [null] : new Set(entry.indices.map((i) => requiredZone(job, i)));
+    if (now - job.arrivedAt < minWaitMs || now - job.arrivedAt < MIN_WAIT_MS) continue;
+    const zones =
+      entry.indices === 'all' ? [null] : new Set(entry.indices.map((index) => requiredZone(job, index)));
     for (const zone of zones) {
       const choice = chooseTransferForZone(core, shard, entry, zone, peers, unfittingRequirements, now);
       if (choice) return choice;
@@ -54,7 +62,7 @@
   return null;
 }
 
-/** What to do with the tasks of one job that wait for one zone: a lender that has room there, or another zone. */
+/** For tasks of one job that wait for one zone: a peer with capacity there, or else another zone. */
 function chooseTransferForZone(
   core: Core,
   shard: Shard,
@@ -73,15 +81,13 @@
     return zone === null ? null : reassignZone(core, shard, job, zone, now);
   }
   const gang = job.spec.kind === 'gang';
-  const indicesInZone =
-    gang || indices === 'all'
-      ? [...job.waiting].filter((i) => requiredZone(job, i) === zone)
-      : indices.filter((i) => requiredZone(job, i) === zone);
-  const peer = gang ? rankedPeers.find((o) => o.capacity >= job.spec.tasks) : rankedPeers[0];
-  // A gang goes whole: none of its tasks may be on a machine here.
+  const candidates = gang || indices === 'all' ? [...job.waiting] : indices;
+  const indicesInZone = candidates.filter((index) => requiredZone(job, index) === zone);
+  const peer = gang ? rankedPeers.find((ranked) => ranked.capacity >= job.spec.tasks) : rankedPeers[0];
+  // A gang is transferred as a whole: none of its members may be on a machine here.
   if (!peer || (gang && indicesInZone.length < job.spec.tasks)) return null;
   const count = Math.min(peer.capacity, indicesInZone.length);
-  const tasks = RangeSet.of(indicesInZone.slice(0, count).map((i) => [i, i + 1] as const));
+  const tasks = RangeSet.of(indicesInZone.slice(0, count).map((index) => [index, index + 1] as const));
   const receivingShard = peer.freeCapacity.shard;
   const record = encodeReassignedRecord(core, job, tasks, receivingShard, zone);
   if (record === null) return null;
@@ -89,7 +95,7 @@
   return { job, tasks, receivingShard, record };
 }
 
-/** The tasks have waited for room in their zone, and no part has any there. */
+/** Moves tasks to another zone after they have waited for capacity in theirs and no shard has any there. */
 function reassignZone(
   core: Core,
   shard: Shard,
@@ -113,7 +119,7 @@
   return { job, tasks: reassignment.tasks, receivingShard: reassignment.shard, record };
 }
 
-/** The job's record with these tasks entrusted to that part in that zone; null: it has no room for another range. */
+/** The job's record with the tasks assigned to the shard and zone; null: it would exceed the store's limit of a value. */
 function encodeReassignedRecord(
   core: Core,
   job: ShardJob,
@@ -122,27 +128,32 @@
   zone: ZoneId | null,
 ): unknown {
   const record = encodeRecord(reassign(job.record, tasks, receivingShard, () => zone));
-  // Such a job stays here, and must not keep others from going.
+  // Such a job stays on its shard, and must not keep others from being transferred.
   return Buffer.byteLength(JSON.stringify(record)) > core.settings.maxValueBytes ? null : record;
 }
 
+/** Transfers tasks of the shards led here, one transfer of a shard at a time. */
 export class TaskTransferService {
   private readonly transferringShards = new Set<Shard['id']>();
 
   constructor(private readonly core: Core) {}
 
+  /** Starts a transfer of tasks that a scheduling cycle could not place, if one is possible. */
   transferUnplaced(shard: Shard, unplaced: readonly UnplacedTasks[]): void {
     if (this.transferringShards.has(shard.id) || !shard.reconciled) return;
     const choice = chooseTaskTransfer(this.core, shard, unplaced, this.core.clock.now());
     if (!choice) return;
     this.transferringShards.add(shard.id);
+    // Never rejects: a refused write is an outcome. Whatever it is, the shard's next cycle schedules what stayed.
     void this.transfer(shard, choice).finally(() => {
       this.transferringShards.delete(shard.id);
       this.core.requestCycle();
     });
   }
 
-  /** None of these tasks is on a machine: they wait here, and stop waiting before the write is sent. */
+  /**
+   * The tasks stop waiting before the write is sent: started here afterwards, they could run on the receiving shard too.
+   */
   private async transfer(shard: Shard, { job, tasks, receivingShard, record }: TaskTransfer): Promise<void> {
     const { core } = this;
     job.waiting.removeAll(tasks);
@@ -163,7 +174,7 @@
     await core.exclusive(() => this.requeueOwnTasks(shard, job));
   }
 
-  /** A conflict says that the record is newer than what we know: reads it before deciding anything. */
+  /** A conflict means that the watch cache has an older record: reads the newest before anything is decided by it. */
   private async readAfterConflict(key: ReturnType<typeof activeJobKey>): Promise<void> {
     for (;;) {
       const read = await this.core.store.get(key, RequestPriority.handOver);
@@ -174,21 +185,21 @@
         return;
       }
       if (read.kind === 'absent') return;
-      await this.core.sleep(200 as never);
+      await this.core.sleep(READ_RETRY_DELAY);
     }
   }
 
-  /** Whatever the record still entrusts to us waits again; a hand-over that was applied has taken it away. */
+  /** Tasks that the record still assigns to this shard wait again; an applied transfer has assigned them elsewhere. */
   private requeueOwnTasks(shard: Shard, job: ShardJob): void {
     if (shard.jobs.get(job.id) !== job) return;
     for (const index of job.handingOver) {
-      const isOurs = job.record.assignments.some(
-        (a) => a.shard === shard.id && a.from <= index && index < a.to,
+      const isAssignedHere = job.record.assignments.some(
+        ({ shard: assigned, from, to }) => assigned === shard.id && from <= index && index < to,
       );
-      if (isOurs && !job.record.done.has(index) && !job.finished.has(index)) job.waiting.add(index);
+      if (isAssignedHere && !job.record.done.has(index) && !job.finished.has(index)) job.waiting.add(index);
     }
     job.handingOver.removeAll(job.handingOver.clone());
-    // While all its waiting tasks were moving, the placement rounds took the job for one without any.
+    // A cycle during the transfer may have dropped the job from the queue, as one without waiting tasks.
     shard.queue.add(job);
   }
 }
--- a/src/overflow/zone-reassignment.ts
+++ b/src/overflow/zone-reassignment.ts
@@ -1,33 +1,35 @@
 /**
- * Moves waiting tasks of a constrained job to another zone when theirs has had no room for a while, as after the loss
- * of a zone. Pure. Only tasks that are certainly on no machine move, in one write on condition of the record that was
- * read, so that any subset of the job's tasks that runs stays legal.
+ * Moves waiting tasks of a constrained job to another zone when theirs has had no capacity for a while, as after the
+ * loss of a zone. Pure. Only tasks that are certainly on no machine move, in one compare-and-swap of the job's record,
+ * so that the tasks that run satisfy the constraints of the job at any time.
  */
 import type { JobSpec } from '../jobs/spec.js';
 import type { JobRecord } from '../jobs/record.js';
 import { waitingRuns, type ShardJob } from '../shards/model.js';
 import { RangeSet } from '../model/ranges.js';
-import type { ShardId, ZoneId } from '../model/units.js';
+import type { ShardId, SteadyMs, ZoneId } from '../model/units.js';
 import { eligibleZones, type AssignmentContext } from './assignment.js';
 import { rankPeers, type FreeCapacity } from './peer-ranking.js';
 
-/** How long the tasks of a job wait for room in their zone before they may move to another, in milliseconds. */
+/** How long the tasks of a job wait for capacity in their zone before they may move to another. */
 export const ZONE_REASSIGNMENT_DELAY_MS = 5000;
 
+/** What the decision reads beside the job. */
 export type ZoneReassignmentContext = Pick<
   AssignmentContext,
   'now' | 'homeZone' | 'zones' | 'types' | 'freeCapacity' | 'random'
 >;
 
+/** Decision: these tasks are assigned to the zone and the shard. */
 export interface ZoneReassignment {
   readonly tasks: RangeSet;
   readonly shard: ShardId;
   readonly zone: ZoneId;
-  /** The offer whose room is taken; null: the tasks only join the others of their job. */
+  /** The announced capacity that they will use; null: the tasks only join the others of their job. */
   readonly freeCapacity: FreeCapacity | null;
 }
 
-/** Tasks that the record entrusts to each zone, the finished ones included: the strictest reading of the limit. */
+/** Tasks that the record assigns to the zone, finished ones included: the strictest reading of the constraint. */
 function tasksInZone(record: JobRecord, zone: ZoneId): number {
   let count = 0;
   for (const assignment of record.assignments)
@@ -35,17 +37,18 @@
   return count;
 }
 
-/** How many more tasks the job may have in a zone. */
+/** How many more tasks the job may have in the zone. */
 function remainingZoneAllowance(job: ShardJob, zone: ZoneId): number {
   const { spec, record } = job;
   if (spec.spread) return Math.ceil(spec.tasks / 2) - tasksInZone(record, zone);
-  // All tasks move together or none does: none of them may be on a machine, or have been.
+  // In one zone: all tasks move together, so none of them may be or have been on a machine.
   return job.waiting.size === spec.tasks ? spec.tasks : 0;
 }
 
 /**
- * Tasks that must be together can only change their zone together, and only the owner of a task knows that it is on no
- * machine: while they are split among parts, the waiting ones gather at the part with the lowest number.
+ * Tasks that must be in one zone can only move together, and only the leader of a task's shard knows that the task is on
+ * no machine. While they are split among shards, the waiting ones are collected on the one with the lowest number. null:
+ * some task has ended, so that the others must stay in its zone.
  */
 function collectingShard({ record }: ShardJob): ShardId | null {
   if (!record.done.isEmpty) return null;
@@ -53,56 +56,66 @@
 }
 
 /**
- * A job that asks both for one zone and to be spread stays where it was put: half of it, in one zone. So does a gang
- * that is spread: its tasks would come to different pools.
+ * A job that must be both in one zone and spread stays where it was assigned: half of it, in one zone. So does a gang
+ * that is spread: its members would come to different shards.
  */
 const mayChangeZone = (spec: JobSpec): boolean =>
   spec.zone === null && spec.spread !== spec.oneZone && !(spec.kind === 'gang' && spec.spread);
 
-/** The best move for the tasks that wait in `fromZone`, or null: nowhere else is room that the job may use. */
+/** Has the job waited long enough, and is it known of all its tasks whether they are on a machine? */
+function isReassignmentDue(job: ShardJob, now: SteadyMs): boolean {
+  const { spec, waitingSince } = job;
+  if (!mayChangeZone(spec) || waitingSince === null) return false;
+  if (now - waitingSince < ZONE_REASSIGNMENT_DELAY_MS) return false;
+  return job.handingOver.isEmpty && job.unaccounted.isEmpty;
+}
+
+function tasksWaitingFor(zone: ZoneId, job: ShardJob): RangeSet {
+  const runs = waitingRuns(job).filter((run) => run.zone === zone);
+  return RangeSet.of(runs.map((run) => [run.from, run.to] as const));
+}
+
+/** The best move for the tasks that wait for `fromZone`; null: no other zone has capacity that the job may use. */
 export function chooseZoneReassignment(
   shard: ShardId,
   job: ShardJob,
   fromZone: ZoneId,
   context: ZoneReassignmentContext,
 ): ZoneReassignment | null {
-  const { spec, waitingSince } = job;
-  if (
-    !mayChangeZone(spec) ||
-    waitingSince === null ||
-    context.now - waitingSince < ZONE_REASSIGNMENT_DELAY_MS
-  )
-    return null;
-  if (!job.handingOver.isEmpty || !job.unaccounted.isEmpty) return null;
-  const waiting = RangeSet.of(
-    waitingRuns(job)
-      .filter((run) => run.zone === fromZone)
-      .map((run) => [run.from, run.to] as const),
-  );
-  const collector = spec.oneZone ? collectingShard(job) : null;
+  if (!isReassignmentDue(job, context.now)) return null;
+  const waiting = tasksWaitingFor(fromZone, job);
+  const collector = job.spec.oneZone ? collectingShard(job) : null;
   if (collector !== null && collector !== shard)
     return { tasks: waiting, shard: collector, zone: fromZone, freeCapacity: null };
-  let best: { zone: ZoneId; freeCapacity: FreeCapacity; count: number } | null = null;
-  for (const zone of eligibleZones(spec, context.zones, context.types)) {
+  const best = bestOtherZone(job, fromZone, waiting.size, context);
+  if (!best) return null;
+  const { zone, freeCapacity, count } = best;
+  return { tasks: waiting.first(count), shard: freeCapacity.shard, zone, freeCapacity };
+}
+
+interface ZoneOption {
+  readonly zone: ZoneId;
+  readonly freeCapacity: FreeCapacity;
+  /** Tasks that may move there. */
+  readonly count: number;
+}
+
+/** The zone that takes most of the waiting tasks. */
+function bestOtherZone(
+  job: ShardJob,
+  fromZone: ZoneId,
+  waitingTasks: number,
+  { zones, types, freeCapacity, homeZone, now, random }: ZoneReassignmentContext,
+): ZoneOption | null {
+  const { spec } = job;
+  let best: ZoneOption | null = null;
+  for (const zone of eligibleZones(spec, zones, types)) {
     if (zone === fromZone) continue;
-    const bestPeer = rankPeers(
-      context.freeCapacity.values(),
-      context.homeZone,
-      spec,
-      zone,
-      context.now,
-      context.random,
-    )[0];
+    const bestPeer = rankPeers(freeCapacity.values(), homeZone, spec, zone, now, random)[0];
     if (!bestPeer) continue;
     const allowed = remainingZoneAllowance(job, zone);
-    const count = Math.min(waiting.size, allowed, spec.spread ? bestPeer.capacity : allowed);
+    const count = Math.min(waitingTasks, allowed, spec.spread ? bestPeer.capacity : allowed);
     if (count > (best?.count ?? 0)) best = { zone, freeCapacity: bestPeer.freeCapacity, count };
   }
-  if (!best) return null;
-  return {
-    tasks: waiting.first(best.count),
-    shard: best.freeCapacity.shard,
-    zone: best.zone,
-    freeCapacity: best.freeCapacity,
-  };
+  return best;
 }
--- a/src/scheduling/deadlines.ts
+++ b/src/scheduling/deadlines.ts
@@ -11,6 +11,7 @@
   /** Neither. */
   tooLate: 2,
 } as const;
+/** One of the values above. */
 export type Lateness = (typeof Lateness)[keyof typeof Lateness];
 
 /** When the job is due, on the steady clock; infinite for a job without a deadline. */
--- a/src/scheduling/job-placement.ts
+++ b/src/scheduling/job-placement.ts
@@ -51,7 +51,7 @@
     const { job } = this;
     const { starts, unplaced } = this.cycle.plan;
     for (const index of this.indicesToTry()) {
-      if (this.isBlockedAsAWhole()) {
+      if (this.allTasksBlocked()) {
         unplaced.push({ job, reason: this.quotaExhausted ? 'quota' : 'capacity', indices: 'all' });
         return;
       }
@@ -72,7 +72,7 @@
   }
 
   /** Without required zones and reservations, what blocks one task of the job blocks all. */
-  private isBlockedAsAWhole(): boolean {
+  private allTasksBlocked(): boolean {
     return (
       !this.hasRequiredZones &&
       this.job.reservations.size === 0 &&
