--- a/test/autoscaling/scale-in.test.ts
+++ b/test/autoscaling/scale-in.test.ts
@@ -1,4 +1,4 @@
-/** Which machines go back when many are silent together: a wave is not a cut, and a cut is not a death. */
+/** Scale-in of silent machines: interrupted spot machines, network partitions and lost machines are told apart. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -13,10 +13,10 @@
 const TYPES = new Map([['t', { cpus: 4, gpus: 0, memoryGb: 16, cacheGb: 4 }]]);
 
 interface ShardSetup {
-  readonly ordinary: number;
+  readonly onDemand: number;
   readonly spot: number;
-  /** Silent for that long, of each. */
-  readonly silentOrdinary: number;
+  /** So many of each have been silent for `silentMs`. */
+  readonly silentOnDemand: number;
   readonly silentSpot: number;
   readonly silentMs: number;
 }
@@ -39,13 +39,14 @@
     else machine.missedDirectRequests = 5;
     shard.addMachine(machine);
   };
-  for (let i = 0; i < setup.ordinary; i += 1) add(i, false, i < setup.silentOrdinary);
+  for (let i = 0; i < setup.onDemand; i += 1) add(i, false, i < setup.silentOnDemand);
   for (let i = 0; i < setup.spot; i += 1) add(i, true, i < setup.silentSpot);
   return shard;
 }
 
-function countReturned(shard: Shard, changes: Partial<ScaleInContext> = {}): string {
-  const ctx: ScaleInContext = {
+/** How many machines are to be deleted for each reason, as text. */
+function countScaleIns(shard: Shard, changes: Partial<ScaleInContext> = {}): string {
+  const context: ScaleInContext = {
     now: NOW as never,
     reportMs: 2500,
     idleTimeout: 20_000 as never,
@@ -55,56 +56,65 @@
     isUnlisted: () => false,
     ...changes,
   };
-  const sight = assessLiveness(shard, ctx);
+  const liveness = assessLiveness(shard, context);
   const count = new Map<string, number>();
   for (const machine of shard.machines.values()) {
-    const why = scaleInReason(shard, machine, sight, ctx);
-    if (why) count.set(why, (count.get(why) ?? 0) + 1);
+    const reason = scaleInReason(shard, machine, liveness, context);
+    if (reason) count.set(reason, (count.get(reason) ?? 0) + 1);
   }
-  return [...count].map(([why, total]) => `${total} ${why}`).join(', ') || 'none';
+  return [...count].map(([reason, total]) => `${total} ${reason}`).join(', ') || 'none';
 }
 
-test('spot machines that fall silent alone were interrupted; together with ordinary ones they are partitioned', () => {
-  const wave = { ordinary: 100, spot: 50, silentOrdinary: 0, silentSpot: 40, silentMs: 10_000 };
-  assert.equal(countReturned(shardWith(wave)), '40 spot machine silent');
-  const cut = { ...wave, silentOrdinary: 60 };
-  assert.equal(countReturned(shardWith(cut)), 'none');
+test('spot machines that fall silent alone were interrupted; together with on-demand ones they are partitioned', () => {
+  const interrupted = { onDemand: 100, spot: 50, silentOnDemand: 0, silentSpot: 40, silentMs: 10_000 };
+  assert.equal(countScaleIns(shardWith(interrupted)), '40 spot machine silent');
+  const partitioned = { ...interrupted, silentOnDemand: 60 };
+  assert.equal(countScaleIns(shardWith(partitioned)), 'none');
   const gone = new Set(['m-s003', 'm-s004'] as never[]);
   assert.equal(
-    countReturned(shardWith(cut), { isUnlisted: (id) => gone.has(id as never) }),
+    countScaleIns(shardWith(partitioned), { isUnlisted: (id) => gone.has(id as never) }),
     '2 not listed any more',
   );
-  assert.equal(countReturned(shardWith({ ...cut, silentMs: 80_000 })), 'none', 'twice the patience in a cut');
   assert.equal(
-    countReturned(shardWith({ ...cut, silentOrdinary: 1, silentSpot: 0, silentMs: 80_000 })),
+    countScaleIns(shardWith({ ...partitioned, silentMs: 80_000 })),
+    'none',
+    'twice the timeout in a partition',
+  );
+  assert.equal(
+    countScaleIns(shardWith({ ...partitioned, silentOnDemand: 1, silentSpot: 0, silentMs: 80_000 })),
     '1 silent',
   );
 });
 
 test('after a failover missing machines are deleted when they are few, or only spot machines; many are a partition', () => {
-  const few = { ordinary: 100, spot: 50, silentOrdinary: 2, silentSpot: 1, silentMs: 0 };
+  const few = { onDemand: 100, spot: 50, silentOnDemand: 2, silentSpot: 1, silentMs: 0 };
   const missing = 'it does not answer after a failover';
-  assert.equal(countReturned(shardWith(few, false)), `3 ${missing}`);
-  assert.equal(countReturned(shardWith({ ...few, silentSpot: 40 }, false)), `42 ${missing}`);
-  const cut = shardWith({ ...few, silentOrdinary: 60 }, false);
-  assert.equal(countReturned(cut), 'none');
-  // The cut ends, and all but two have spoken: these have missed calls, but none since then.
-  for (const machine of [...cut.machines.values()].slice(2, 60)) {
-    cut.markReconciled(machine);
+  assert.equal(countScaleIns(shardWith(few, false)), `3 ${missing}`);
+  assert.equal(countScaleIns(shardWith({ ...few, silentSpot: 40 }, false)), `42 ${missing}`);
+  const partitioned = shardWith({ ...few, silentOnDemand: 60 }, false);
+  assert.equal(countScaleIns(partitioned), 'none');
+  // The partition ends, and all but two have been heard: these have missed requests, but none since then.
+  for (const machine of [...partitioned.machines.values()].slice(2, 60)) {
+    partitioned.markReconciled(machine);
     machine.lastHeardAt = NOW as never;
   }
-  assert.equal(countReturned(cut), 'none');
-  for (const machine of cut.machines.values()) if (!machine.reconciled) machine.missedDirectRequests = 3;
-  assert.equal(countReturned(cut), `3 ${missing}`);
-  const all = { ordinary: 2, spot: 2, silentOrdinary: 2, silentSpot: 2, silentMs: 0 };
-  assert.equal(countReturned(shardWith(all, false)), 'none', 'nobody is heard: it is we who are cut off');
+  assert.equal(countScaleIns(partitioned), 'none');
+  for (const machine of partitioned.machines.values())
+    if (!machine.reconciled) machine.missedDirectRequests = 3;
+  assert.equal(countScaleIns(partitioned), `3 ${missing}`);
+  const all = { onDemand: 2, spot: 2, silentOnDemand: 2, silentSpot: 2, silentMs: 0 };
+  assert.equal(
+    countScaleIns(shardWith(all, false)),
+    'none',
+    'no machine is heard: this controller is cut off',
+  );
 });
 
-test('an idle machine is not returned while the state service is away: its deletion would be carried out late', () => {
-  const shard = shardWith({ ordinary: 3, spot: 0, silentOrdinary: 0, silentSpot: 0, silentMs: 0 });
+test('an idle machine is not scaled in while the store is down: its deletion would be carried out late', () => {
+  const shard = shardWith({ onDemand: 3, spot: 0, silentOnDemand: 0, silentSpot: 0, silentMs: 0 });
   for (const machine of shard.machines.values()) machine.idleSince = (NOW - 60_000) as never;
-  assert.equal(countReturned(shard, { hasPendingDemand: false, storeHealthy: false }), 'none');
-  assert.equal(countReturned(shard, { hasPendingDemand: false }), '2 idle', 'one stays');
+  assert.equal(countScaleIns(shard, { hasPendingDemand: false, storeHealthy: false }), 'none');
+  assert.equal(countScaleIns(shard, { hasPendingDemand: false }), '2 idle', 'one stays');
 });
 
 test('a machine is unlisted when the list shows one that came after it, longer ago than a list can be old', () => {
--- a/test/scheduling/consolidation.test.ts
+++ b/test/scheduling/consolidation.test.ts
@@ -1,3 +1,4 @@
+/** Consolidation of replicas onto fewer machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { allocate, newMachine, Shard, syncJob, type Allocation } from '../../src/shards/model.js';
@@ -106,22 +107,24 @@
   const idle = { i1: { replicas: 0 }, i2: { replicas: 0 } };
   const cases: Record<string, string> = {
     'one has one replica': describeMoves(shardWith({ a: { replicas: 1 }, ...load, ...idle })),
-    'while more than half of the room is in use': describeMoves(shardWith({ a: { replicas: 1 }, ...load })),
+    'while more than half of the capacity is in use': describeMoves(
+      shardWith({ a: { replicas: 1 }, ...load }),
+    ),
     'with a batch task beside it': describeMoves(
       shardWith({ a: { replicas: 1, batch: 1 }, f: { replicas: 3 }, ...idle }),
     ),
     'nobody else holds more': describeMoves(shardWith({ a: { replicas: 1 }, b: { replicas: 1 } })),
-    'no room would be left for the next service': describeMoves(
+    'no capacity would be left for the next service': describeMoves(
       shardWith({ a: { replicas: 1 }, f: { replicas: 3 } }),
     ),
     'started just now': describeMoves(shardWith({ a: { replicas: 1 }, ...load, ...idle }, NOW - 20_000)),
   };
   assert.deepEqual(cases, {
     'one has one replica': 'a -> e1',
-    'while more than half of the room is in use': 'stays',
+    'while more than half of the capacity is in use': 'stays',
     'with a batch task beside it': 'stays',
     'nobody else holds more': 'stays',
-    'no room would be left for the next service': 'stays',
+    'no capacity would be left for the next service': 'stays',
     'started just now': 'stays',
   });
 });
--- a/test/scheduling/cycle-cost.test.ts
+++ b/test/scheduling/cycle-cost.test.ts
@@ -1,5 +1,5 @@
 /**
- * What an event costs in a large pool, counted in machines that are looked at: it follows what the event is about and
+ * What an event costs on a large shard, counted in machines that are looked at: it follows what the event is about and
  * what is free, not how many machines there are.
  */
 import assert from 'node:assert/strict';
--- a/test/scheduling/dominant-resource.test.ts
+++ b/test/scheduling/dominant-resource.test.ts
@@ -154,7 +154,7 @@
   assert.equal(runner.runCycle(), 'start req-a/0 on m-1');
 });
 
-/** A part with machines by name, and on each so many replicas of one GPU, or replicas as given. */
+/** A shard with machines by name, and on each so many replicas of one GPU, or replicas as given. */
 function shardWith(load: Record<string, number | Partial<JobSpec>[]>, changes: Partial<JobSpec> = {}): Shard {
   const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
   shard.reconciled = true;
@@ -212,16 +212,16 @@
       'less than half of the GPUs is free': move({ a: 1, b: 7, c: 4, d: 4, e: 5 }),
       'the fullest has no GPU left': move({ a: 1, b: 8, c: 4, d: 3, i1: 0, i2: 0 }),
       'one GPU and 30 CPUs are less than 4 GPUs': move({ a: [{ cpus: 30 }], b: 4, i1: 0, i2: 0, i3: 0 }),
-      'there is room for one of two': move({ a: 2, b: 7, i1: 0, i2: 0, i3: 0 }),
-      'there is room for one on each of two': move({ a: 2, b: 7, c: 7, i1: 0, i2: 0, i3: 0 }),
+      'there is capacity for one of two': move({ a: 2, b: 7, i1: 0, i2: 0, i3: 0 }),
+      'there is capacity for one on each of two': move({ a: 2, b: 7, c: 7, i1: 0, i2: 0, i3: 0 }),
     },
     {
       'half is free': 'a -> b',
       'less than half of the GPUs is free': 'stays',
       'the fullest has no GPU left': 'a -> c',
       'one GPU and 30 CPUs are less than 4 GPUs': 'a -> b',
-      'there is room for one of two': 'stays',
-      'there is room for one on each of two': 'a -> b',
+      'there is capacity for one of two': 'stays',
+      'there is capacity for one on each of two': 'a -> b',
     },
   );
 });
@@ -300,7 +300,7 @@
   assert.equal(chosenShards(14), '0-1 at 0, 1-9 at 1, 9-14 at 2');
 });
 
-/** A desk of three parts, the first of them ours and its tasks waiting; what it asks of whom. */
+/** Quota transfer among three shards, the first of them led here and its tasks waiting: what is requested of which. */
 function requestedTransfers(
   team: Parameters<typeof buildTeam>[0],
   unusedQuota: Resources[],
@@ -362,7 +362,7 @@
   const cluster = new SimulatedCluster(shape);
   for (let i = 0; i < 2; i += 1) cluster.addWorker('gpu', 'west');
   await cluster.start();
-  // All machines are in the west, and so is the part that may place them: its share is 4 of 12 GPUs.
+  // All machines are in the west, and so is the shard that may schedule on them: its quota is 4 of 12 GPUs.
   await cluster.submit(1, 'req-1', { tasks: 12, cpus: 2, gpus: 1, runMs: 8000, zone: 'west' });
   await cluster.step(12_000);
   await cluster.sendUserRequest(1, 'GET', '/v2/runs/req-1');
@@ -396,7 +396,7 @@
     ['cpu', { cpus: 64, gpus: 0, memoryGb: 64 }],
     ['half', { cpus: 32, gpus: 0, memoryGb: 64 }],
   ]);
-  const shardFor = (machines: (readonly [part: number, type: string])[]): number => {
+  const shardFor = (machines: (readonly [shard: number, type: string])[]): number => {
     const registered = new RegisteredMachines();
     machines.forEach(([shard, type], i) => registered.update(`m-${i}` as never, { shard, type } as never));
     const chosenShards = [0, 1].map((shard) => ({ shard, zone: 'east' }));
--- a/test/scheduling/gang-decisions.test.ts
+++ b/test/scheduling/gang-decisions.test.ts
@@ -1,4 +1,4 @@
-/** The table of a gang: each line, and what a gang must not be taken for. */
+/** Each row of the decision table of gangs, and states that must not be confused. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decideGang, newGangHistory, type GangFacts, type GangMember } from '../../src/model/gang.js';
--- a/test/scheduling/gang-starvation.test.ts
+++ b/test/scheduling/gang-starvation.test.ts
@@ -1,6 +1,6 @@
 /**
- * Gangs that wait for long: for room that is free on several pools, for room that smaller tasks take piece by piece, and
- * for a limit that smaller jobs of the team use up. Each must begin within four minutes.
+ * Gangs that wait for long: for capacity that is free on several shards, for capacity that smaller tasks take piece by
+ * piece, and for quota that smaller jobs of the team use up. Each must begin within four minutes.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -58,7 +58,7 @@
 }
 
 test('a gang that is larger than every shard gets machines of other shards', async () => {
-  // Three pools of 16 CPUs.
+  // Three shards of 16 CPUs.
   await assertStartsInTime(deployment(6, 200), [{ ...GANG, tasks: [10, 10], cpus: 2 }]);
 });
 
@@ -114,7 +114,7 @@
   spot: false,
 };
 
-/** Names of the machines that a pool would give: empty ones, and those that are to empty. */
+/** Names of the machines that a shard would transfer: empty ones, and those that are to become empty. */
 function chooseMachines(runner: CycleRunner, changes: Partial<MachineRequest> = {}): [string[], string[]] {
   runner.runCycle();
   const now = runner.currentTime() as never;
--- a/test/scheduling/preemption.test.ts
+++ b/test/scheduling/preemption.test.ts
@@ -1,4 +1,4 @@
-/** Who stops whom: rounds of one part, with what they decided, as text. */
+/** Preemption in cycles of one shard; decisions are compared as text. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CycleRunner } from '../support/cycle-runner.js';
@@ -40,14 +40,14 @@
   runner.addJob('req-large', { tasks: 80, deadlineS: 90 });
   runner.addJob('req-sweep', { tasks: 60, priority: 3 });
   const begun = new Map<string, number>();
-  for (let round = 0; round < 130; round += 1) {
-    // Twice as much small work as there is room for, all of it in time.
+  for (let cycle = 0; cycle < 130; cycle += 1) {
+    // Twice as much small work as there is capacity for, all of it in time.
     for (let i = 0; i < 4; i += 1)
-      runner.addJob(`req-small-${round}-${i}`, { tasks: 2, cpus: 2, deadlineS: 600 });
+      runner.addJob(`req-small-${cycle}-${i}`, { tasks: 2, cpus: 2, deadlineS: 600 });
     runner.finishTasksRunningFor(8000);
     const decided = runner.runCycle();
     for (const id of ['req-large', 'req-sweep'])
-      if (decided.includes(`start ${id}/`) && !begun.has(id)) begun.set(id, round * 2);
+      if (decided.includes(`start ${id}/`) && !begun.has(id)) begun.set(id, cycle * 2);
   }
   const text = [...begun].map(([id, seconds]) => `${id} after ${seconds} s`).join(', ');
   assert.deepEqual([...begun.keys()].sort(), ['req-large', 'req-sweep'], text);
--- a/test/scheduling/reservations.test.ts
+++ b/test/scheduling/reservations.test.ts
@@ -1,4 +1,4 @@
-/** What is kept for a task that has waited too long, by whichever resource it needs most of. */
+/** Reservations for tasks that have waited too long, by their dominant resource. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { UNLIMITED } from '../../src/model/resources.js';
@@ -24,12 +24,12 @@
   runCyclesFor(runner, 58_000);
   assert.equal(reservationOf(runner, 'req-large'), undefined);
   runCyclesFor(runner, 10_000);
-  const { machine, withoutPreemption: reserved } = reservationOf(runner, 'req-large') as Reservation;
-  assert.deepEqual([machine, reserved], ['m-1', true]);
+  const { machine, withoutPreemption } = reservationOf(runner, 'req-large') as Reservation;
+  assert.deepEqual([machine, withoutPreemption], ['m-1', true]);
 });
 
 test('for a task that needs most of the memory a machine is reserved, and none for one that needs little', () => {
-  for (const [memoryGb, kept] of [
+  for (const [memoryGb, reserved] of [
     [40, true],
     [20, false],
   ] as const) {
@@ -37,11 +37,11 @@
     runner.addRunningTask('req-a', 'm-0', { memoryGb: 50 });
     runner.addJob('req-large', { cpus: 1, memoryGb });
     runCyclesFor(runner, 70_000);
-    assert.equal(reservationOf(runner, 'req-large')?.withoutPreemption ?? false, kept, `${memoryGb} GB`);
+    assert.equal(reservationOf(runner, 'req-large')?.withoutPreemption ?? false, reserved, `${memoryGb} GB`);
   }
 });
 
-test('smaller tasks of the team do not take the GPUs of its limit that an overdue one waits for', () => {
+test('smaller tasks of the team do not take the GPUs of its quota that an overdue one waits for', () => {
   const shardQuota = { ...UNLIMITED, gpus: 7 };
   const fresh = new CycleRunner(2, { capacity: CAPACITY, shardQuota });
   fresh.addJob('req-large', { gpus: 8 });
--- a/test/scheduling/starvation.test.ts
+++ b/test/scheduling/starvation.test.ts
@@ -1,4 +1,4 @@
-/** No job is left waiting while a machine that fits has room and its team is under its limit. */
+/** No job is left waiting while a machine that fits has capacity and its team is within its quota. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { InstanceType } from '../../src/cloud/wire.js';
@@ -41,12 +41,12 @@
   return { shard, zone, expiresAt: NOW + 9000, machines } as unknown as FreeCapacity;
 };
 
-/** A part in the east with so many machines there, and one job whose tasks are entrusted as given. */
+/** A shard in the east with so many machines there, and one job whose tasks are assigned as given. */
 function shardWith(
   machines: number,
   spec: Parameters<typeof buildJobSpec>[0],
   assignments: readonly (readonly [number, number, number, string | null])[],
-): { part: Shard; job: ShardJob } {
+): { shard: Shard; job: ShardJob } {
   const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
   shard.reconciled = true;
   for (let i = 0; i < machines; i += 1) {
@@ -69,7 +69,7 @@
     done: RangeSet.empty(),
   } as never;
   syncJob(shard, record, 1 as never, 0 as SteadyMs, false);
-  return { part: shard, job: [...shard.jobs.values()][0] as ShardJob };
+  return { shard, job: [...shard.jobs.values()][0] as ShardJob };
 }
 
 const core = (capacities: readonly FreeCapacity[]): Core =>
@@ -84,7 +84,7 @@
     random: seededRandom(1),
   }) as unknown as Core;
 
-test('tasks are pinned only to zones in which the cloud has machines that can take them', () => {
+test('tasks are assigned only to zones in which the cloud has machines that can take them', () => {
   const types = [machineTypeIn('common', 'east', 'west'), machineTypeIn('rare', 'west')];
   const ctx = {
     now: NOW,
@@ -113,7 +113,7 @@
 });
 
 test('many tasks that wait for a full zone keep no task from starting in the other', () => {
-  const { part: shard } = shardWith(2, { tasks: 600, spread: true }, [
+  const { shard } = shardWith(2, { tasks: 600, spread: true }, [
     [0, 300, 0, 'west'],
     [300, 600, 0, 'east'],
   ]);
@@ -139,8 +139,8 @@
   assert.ok(shown.some((i) => i < 300) && shown.some((i) => i >= 300), 'both zones are asked for elsewhere');
 });
 
-test('tasks for which no peer has capacity in their zone keep no others of the job from being handed over', () => {
-  const { part: shard, job } = shardWith(0, { tasks: 4, spread: true }, [
+test('tasks for which no peer has capacity in their zone keep no others of the job from being transferred', () => {
+  const { shard, job } = shardWith(0, { tasks: 4, spread: true }, [
     [0, 2, 0, 'east'],
     [2, 4, 0, 'west'],
   ]);
@@ -153,11 +153,11 @@
 test('tasks that wait for another zone, or back off, do not hide this shard’s free capacity from peers', () => {
   const ask = buildJobSpec({ id: 'req-2' });
   const elsewhere = shardWith(2, { tasks: 50, spread: true }, [[0, 50, 0, 'west']]);
-  assert.equal(taskCapacity(freeCapacityOf(core([]), elsewhere.part), ask, null), 8);
+  assert.equal(taskCapacity(freeCapacityOf(core([]), elsewhere.shard), ask, null), 8);
   const here = shardWith(2, { tasks: 50, spread: true }, [[0, 50, 0, 'east']]);
-  assert.equal(taskCapacity(freeCapacityOf(core([]), here.part), ask, null), 0);
+  assert.equal(taskCapacity(freeCapacityOf(core([]), here.shard), ask, null), 0);
   here.job.backoffUntil = (NOW + 20_000) as SteadyMs;
-  assert.equal(taskCapacity(freeCapacityOf(core([]), here.part), ask, null), 8);
+  assert.equal(taskCapacity(freeCapacityOf(core([]), here.shard), ask, null), 8);
 });
 
 test('waiting tasks change their zone only where the job may have more, none is running, and after a while', () => {
@@ -185,8 +185,8 @@
   ]).job;
   const moved = choose(apart, east);
   assert.deepEqual([moved?.tasks.ranges(), moved?.zone, moved?.shard], [[[0, 1]], EAST, 0]);
-  assert.equal(choose(apart, east, ZONE_REASSIGNMENT_DELAY_MS - 1), null, 'its zone may have room soon');
-  assert.equal(choose(apart, ctx(freeCapacity(0, 'east', 1))), null, 'no room there');
+  assert.equal(choose(apart, east, ZONE_REASSIGNMENT_DELAY_MS - 1), null, 'its zone may have capacity soon');
+  assert.equal(choose(apart, ctx(freeCapacity(0, 'east', 1))), null, 'no capacity there');
   apart.waiting.removeRange(0, 2);
   assert.equal(choose(apart, east), null, 'on a machine, or perhaps');
   const full = shardWith(0, { tasks: 4, spread: true }, [
@@ -202,11 +202,11 @@
     [0, 1, 0, 'west'],
     [1, 3, 1, 'west'],
   ]).job;
-  assert.equal(choose(split, east), null, 'the others may run on the other part');
+  assert.equal(choose(split, east), null, 'the others may run on the other shard');
   const reunited = choose(split, east, ZONE_REASSIGNMENT_DELAY_MS, 2 as ShardId);
   assert.deepEqual([reunited?.tasks.ranges(), reunited?.zone, reunited?.shard], [[[0, 1]], WEST, 0]);
-  const pinnedJob = shardWith(0, { tasks: 3, oneZone: true, zone: 'west' }, [[0, 3, 0, 'west']]).job;
-  assert.equal(choose(pinnedJob, east), null, 'the owner named the zone');
+  const jobWithZone = shardWith(0, { tasks: 3, oneZone: true, zone: 'west' }, [[0, 3, 0, 'west']]).job;
+  assert.equal(choose(jobWithZone, east), null, 'the user requires the zone');
 });
 
 async function startCluster(...zones: string[]): Promise<SimulatedCluster> {
@@ -261,7 +261,7 @@
 /** What the task says: the largest jobs of each class begin within this time, in milliseconds. */
 const MAX_START_MS = 240_000;
 
-/** More work than room: small jobs of both teams and ranks all the time; the large ones come amid them. */
+/** More work than capacity: small jobs of both teams and priorities all the time; the large ones arrive amid them. */
 async function overload(
   cluster: SimulatedCluster,
   forMs: number,
@@ -290,7 +290,7 @@
 }
 
 test('more work than capacity, urgent and not, over slow links: the largest start in time, nobody starves', async () => {
-  // Each task costs more time over slow links: as much more work than room in both.
+  // Each task costs more time over slow links: as much more work than capacity in both.
   for (const [linkMs, intervalMs] of [
     [1, 600],
     [300, 670],
@@ -328,7 +328,7 @@
 const RED = 'red' as TeamId;
 
 test('an overdue task that needs more of its team’s quota than is free reserves it against smaller tasks of the team', () => {
-  const { part: shard, job } = shardWith(3, { id: 'req-small', tasks: 20, cpus: 2 }, [[0, 20, 0, null]]);
+  const { shard, job } = shardWith(3, { id: 'req-small', tasks: 20, cpus: 2 }, [[0, 20, 0, null]]);
   (job as { acceptedAt: SteadyMs }).acceptedAt = NOW;
   const record = {
     spec: buildJobSpec({ id: 'req-large', cpus: 8 }),
@@ -383,7 +383,7 @@
   assert.deepEqual(await shardQuotas(), [8, 8], 'both have tasks that wait: neither gives');
   second.quotaReservations = first.quotaReservations = new Map([[RED, { cpus: 9, gpus: 0, memoryGb: 1 }]]);
   transferService.requestQuota(second, RED, ask);
-  assert.deepEqual(await shardQuotas(), [8, 8], 'the first gathers itself');
+  assert.deepEqual(await shardQuotas(), [8, 8], 'the first shard collects quota itself');
   transferService.requestQuota(first, RED, ask);
   assert.deepEqual(await shardQuotas(), [9, 7]);
 });
--- a/test/support/cycle-runner.ts
+++ b/test/support/cycle-runner.ts
@@ -1,4 +1,4 @@
-/** Placement rounds of one part, with what they decided as text. */
+/** Scheduling cycles of one shard, with their decisions as text. */
 import type { InstanceType } from '../../src/cloud/wire.js';
 import type { JobRecord } from '../../src/jobs/record.js';
 import type { JobSpec } from '../../src/jobs/spec.js';
@@ -25,15 +25,15 @@
   readonly capacity?: Resources;
   /** Of the teams red and blue. */
   readonly team?: Parameters<typeof buildTeam>[0];
-  /** The part's share of either team's limit. */
+  /** The quota of either team on the shard. */
   readonly shardQuota?: Resources;
-  /** When the machines came; the first round is at 1,002,000 ms. */
+  /** When the machines were added; the first cycle is at 1,002,000 ms. */
   readonly machinesSince?: number;
 }
 
 export class CycleRunner {
   readonly shard: Shard;
-  /** What either team uses on other parts. */
+  /** What either team uses on other shards. */
   usedElsewhere: Resources = ZERO;
   private now = 1_000_000;
   private readonly activeJobs = new Map<string, JobRecord>();
@@ -127,7 +127,7 @@
     return this.now;
   }
 
-  /** One round, all of it carried out at once, two seconds later than the one before. */
+  /** One cycle, all of it carried out at once, two seconds later than the one before. */
   runCycle(): string {
     this.now += 2000;
     for (const machine of this.shard.machines.values()) machine.lastHeardAt = this.now as never;
