--- a/src/autoscaling/pending-machines.ts
+++ b/src/autoscaling/pending-machines.ts
@@ -47,6 +47,7 @@
     this.core.unregisteredOwnMachines.delete(id);
   }
 
+  /** Was the machine requested here and is not registered yet? */
   has(id: MachineId): boolean {
     return this.machines.has(id);
   }
--- a/src/autoscaling/scale-out-plan.ts
+++ b/src/autoscaling/scale-out-plan.ts
@@ -1,4 +1,7 @@
-/** Decides which machines to request for tasks that find no capacity: the cheapest that fit, less those on their way. Pure. */
+/**
+ * Decides which machines to request for tasks that find no capacity: the cheapest that fit, less those on their way.
+ * Pure.
+ */
 import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import { Priority } from '../jobs/spec.js';
--- a/src/overflow/assignment.ts
+++ b/src/overflow/assignment.ts
@@ -1,4 +1,7 @@
-/** Assigns the tasks of a new job to shards, and those of a constrained job to zones. Pure but for the capacity it reserves. */
+/**
+ * Assigns the tasks of a new job to shards, and those of a constrained job to zones. Pure but for the free capacity that
+ * it takes off what peers have announced.
+ */
 import type { InstanceType } from '../cloud/wire.js';
 import type { Assignment } from '../jobs/record.js';
 import { Priority, type JobSpec } from '../jobs/spec.js';
--- a/src/scheduling/job-placement.ts
+++ b/src/scheduling/job-placement.ts
@@ -47,6 +47,7 @@
     this.reservationsBefore = cycle.plan.reservations.length;
   }
 
+  /** Tries one waiting task after the other. */
   run(): void {
     const { job } = this;
     const { starts, unplaced } = this.cycle.plan;
--- a/src/scheduling/preemption.ts
+++ b/src/scheduling/preemption.ts
@@ -79,7 +79,10 @@
   return mayOverflow ? CRITICAL_PREEMPTION_DELAY_MS : 0;
 }
 
-/** The cheapest preemption; what fails is remembered, except for critical work, which tries again in each cycle. */
+/**
+ * The cheapest preemption. A failed search is remembered, unless it was for a critical job, which searches again in
+ * each cycle, or only among machines with the image.
+ */
 function searchPreemption(
   cycle: SchedulingCycle,
   job: ShardJob,
--- a/src/scheduling/scheduling-cycle.ts
+++ b/src/scheduling/scheduling-cycle.ts
@@ -101,10 +101,12 @@
     this.usage.set(team, usage);
   }
 
+  /** Counts the amount as used by the team on this shard. */
   addTeamUsage(team: TeamId, amount: Resources): void {
     this.usage.set(team, add(this.teamUsage(team), amount));
   }
 
+  /** Counts one task of the job as used. */
   addTaskUsage(spec: JobSpec): void {
     this.addTeamUsage(spec.team, spec);
   }
