--- a/src/workers/clients.ts
+++ b/src/workers/clients.ts
@@ -1,19 +1,24 @@
-/** Connections to workers' own addresses: one client an address, closed when no machine has it any more. */
+/**
+ * Connections to workers' own addresses: one client an address, opened on the first call and closed once no machine of
+ * this controller's shards has the address.
+ */
+import type { CallOutcome } from '../http/client.js';
 import type { Caller } from '../store/client.js';
 import type { Address } from '../model/units.js';
 import { millis } from '../model/units.js';
-import { decodeHeartbeat, type Heartbeat } from './wire.js';
+import { decodeHeartbeat, WorkerStatus, type Heartbeat } from './wire.js';
 
 /**
- * Share of our sockets: calls to workers at once, and as many again that are kept open after a call. The rest is for
- * those who come to us: a controller that is left alone has a connection of every machine.
+ * Share of a controller's sockets for calls to workers at once, and as many again for connections that are kept open
+ * after a call. The rest is for incoming ones: a controller without living peers has one from every machine.
  */
 export const DIRECT_CALL_SHARE = 0.1;
 
 const STATUS_CALL = { method: 'GET', path: '/status', timeout: millis(1000) } as const;
 
-/** A way to one worker's own address. */
+/** Client of one worker's own address. */
 export interface WorkerClient extends Caller {
+  /** Ends its connections; calls in flight end without an answer. */
   close(): void;
 }
 
@@ -33,7 +38,7 @@
     return client;
   }
 
-  /** Closes the clients whose address is not wanted. */
+  /** Closes the clients of all other addresses. */
   closeExcept(wanted: ReadonlySet<Address>): void {
     for (const [address, client] of this.clients) {
       if (wanted.has(address)) continue;
@@ -43,18 +48,23 @@
   }
 
   /**
-   * Does the machine answer at its own address? What reports and cannot be reached takes no orders; and a late copy
-   * of a report from a machine that was deleted, perhaps before this process began, finds nobody there.
+   * Whether the machine replies at its own address.
+   *
+   * Prevents: a machine that is heard and cannot be reached is registered, and takes no commands; and a delayed heartbeat
+   * of a machine that was deleted, perhaps before this process began, registers it again.
    */
   async isReachable(heartbeat: Heartbeat): Promise<boolean> {
     const outcome = await this.clientFor(heartbeat.address).call(STATUS_CALL);
-    if (outcome.kind !== 'answer' || outcome.status !== 200) return false;
-    return decodeHeartbeat(outcome.body)?.machine === heartbeat.machine;
+    return isStatus(outcome) && decodeHeartbeat(outcome.body)?.machine === heartbeat.machine;
   }
 
-  /** How many of these addresses answer a status call. */
+  /** How many of these addresses reply to a status call. */
   async countReachable(addresses: readonly Address[]): Promise<number> {
     const outcomes = await Promise.all(addresses.map((address) => this.clientFor(address).call(STATUS_CALL)));
-    return outcomes.filter((outcome) => outcome.kind === 'answer' && outcome.status === 200).length;
+    return outcomes.filter(isStatus).length;
   }
 }
+
+function isStatus(outcome: CallOutcome): outcome is Extract<CallOutcome, { kind: 'answer' }> {
+  return outcome.kind === 'answer' && outcome.status === WorkerStatus.ok;
+}
--- a/src/workers/commands.ts
+++ b/src/workers/commands.ts
@@ -1,52 +1,52 @@
-/** Which orders a worker should get now. Every order may be repeated, except a launch after its clear. */
-import type { SteadyMs, Seconds } from '../model/units.js';
-import type { Allocation, ExitedTask, Machine, Shard } from '../shards/model.js';
+/**
+ * Chooses the commands that a worker should get now, for the answer to its heartbeat or for a direct request, and marks
+ * launches as sent. Every command may be repeated, except a launch after its removal: `release-rules.ts` prevents that.
+ */
+import type { Seconds } from '../model/units.js';
+import type { Allocation, Machine, Shard } from '../shards/model.js';
+import { mayForget } from './release-rules.js';
 import type { WorkerCommand } from './wire.js';
 
-/** Keeps an answer's one line well under 64 KiB. */
+/** Commands of one kind in a message: keeps its one line well under 64 KiB. */
 const MAX_COMMANDS = 400;
 
-const startCommand = (allocation: Allocation): WorkerCommand => ({
-  op: 'start',
-  job: allocation.job,
-  index: allocation.index,
-  attempt: allocation.attempt,
-});
-const stopCommand = (allocation: Allocation): WorkerCommand => ({
-  op: 'stop',
-  job: allocation.job,
-  index: allocation.index,
-  attempt: allocation.attempt,
-  grace: (allocation.stop?.grace ?? 0) as Seconds,
+/** The content of one direct request. */
+export interface CommandBatch {
+  readonly commands: readonly WorkerCommand[];
+  /** Allocations whose launch is among the commands. */
+  readonly launches: readonly Allocation[];
+}
+
+/** Without commands a request still carries the fencing token. */
+export const FENCING_TOKEN_ONLY: CommandBatch = { commands: [], launches: [] };
+
+const startCommand = ({ job, index, attempt }: Allocation): WorkerCommand => ({
+  kind: 'start',
+  job,
+  index,
+  attempt,
 });
 
-/**
- * An exited task may be removed from the worker once its end is in the job's record, and never while a launch
- * of the same attempt may still arrive: the worker would start it anew.
- */
-export function mayForget(shard: Shard, exitedTask: ExitedTask): boolean {
-  if (exitedTask.unacknowledged) return false;
-  const job = shard.jobs.get(exitedTask.job);
-  return exitedTask.cause !== 'done' || !job || !job.finished.has(exitedTask.index);
-}
+const stopCommand = ({ job, index, attempt, stop }: Allocation): WorkerCommand => ({
+  kind: 'stop',
+  job,
+  index,
+  attempt,
+  grace: (stop?.grace ?? 0) as Seconds,
+});
 
 function forgetCommands(shard: Shard, machine: Machine): WorkerCommand[] {
   const commands: WorkerCommand[] = [];
   for (const exitedTask of machine.exitedTasks.values()) {
-    const inFlight = machine.allocations.get(exitedTask.id);
-    if (inFlight && inFlight.attempt === exitedTask.attempt) continue;
-    if (mayForget(shard, exitedTask))
-      commands.push({
-        op: 'forget',
-        job: exitedTask.job,
-        index: exitedTask.index,
-        attempt: exitedTask.attempt,
-      });
+    const { id, job, index, attempt } = exitedTask;
+    const isLaunchedAgain = machine.allocations.get(id)?.attempt === attempt;
+    if (!isLaunchedAgain && mayForget(shard, exitedTask))
+      commands.push({ kind: 'forget', job, index, attempt });
   }
   return commands;
 }
 
-/** For the answer to a report: everything that the worker does not show yet. */
+/** For the answer to a heartbeat: all that the worker does not show yet. Marks launches as sent in this answer. */
 export function commandsInReply(shard: Shard, machine: Machine): WorkerCommand[] {
   const commands = forgetCommands(shard, machine);
   for (const allocation of machine.allocations.values()) {
@@ -61,39 +61,36 @@
   return commands.slice(0, MAX_COMMANDS);
 }
 
-/** For a direct request: what is due and not yet sent. Marks it as on its way. */
-export function takeDirectCommands(
-  shard: Shard,
-  machine: Machine,
-  now: SteadyMs,
-): { commands: WorkerCommand[]; launches: Allocation[] } {
+/** For a direct request: what is due and not yet sent, which is marked as sent. Exits ride along with that only. */
+export function takeDirectCommands(shard: Shard, machine: Machine): CommandBatch {
   const stops: WorkerCommand[] = [];
   const launches: Allocation[] = [];
   for (const allocation of machine.allocations.values()) {
     if (stops.length + launches.length >= MAX_COMMANDS) break;
-    if (allocation.stop) {
-      if (allocation.stop.direct === 'due') {
-        allocation.stop.direct = 'sent';
-        stops.push(stopCommand(allocation));
-      }
-    } else if (
-      allocation.phase === 'ordered' &&
-      allocation.launchPending &&
-      !allocation.launchInFlight &&
-      allocation.answeredSequence === null
-    ) {
+    if (allocation.stop?.direct === 'due') {
+      allocation.stop.direct = 'sent';
+      stops.push(stopCommand(allocation));
+    } else if (isDirectLaunchDue(allocation)) {
       allocation.launchInFlight = true;
       allocation.launchPending = false;
       launches.push(allocation);
     }
   }
-  if (stops.length + launches.length === 0) return { commands: [], launches };
-  void now;
-  return {
-    commands: [...stops, ...forgetCommands(shard, machine), ...launches.map(startCommand)].slice(
-      0,
-      MAX_COMMANDS * 2,
-    ),
-    launches,
-  };
+  if (stops.length + launches.length === 0) return FENCING_TOKEN_ONLY;
+  const commands = [...stops, ...forgetCommands(shard, machine), ...launches.map(startCommand)];
+  return { commands: commands.slice(0, MAX_COMMANDS * 2), launches };
+}
+
+/**
+ * Prevents: a launch that is in the answer to a heartbeat is sent directly as well, so that the absence of the task from
+ * the next heartbeat no longer proves that it will not start.
+ */
+function isDirectLaunchDue(allocation: Allocation): boolean {
+  return (
+    allocation.stop === null &&
+    allocation.phase === 'ordered' &&
+    allocation.launchPending &&
+    !allocation.launchInFlight &&
+    allocation.answeredSequence === null
+  );
 }
--- a/src/workers/direct-commands.ts
+++ b/src/workers/direct-commands.ts
@@ -1,98 +1,99 @@
-/** Sends orders straight to workers, where waiting for their next report would be too slow. */
-import type { Core } from '../core.js';
+/**
+ * Sends commands straight to workers, where waiting for their next heartbeat would be too slow: at most one request
+ * a machine and a bounded number in all. Relies on `commands.ts` for the content, and on the leadership's command
+ * deadline, which is checked again when a request is written.
+ */
 import type { CallOutcome } from '../http/client.js';
+import type { Log } from '../logging/log.js';
+import type { Settings } from '../settings/settings.js';
 import type { Allocation, UnacknowledgedLaunch, Machine, Shard } from '../shards/model.js';
-import type { SteadyMs } from '../model/units.js';
+import type { Clock, Millis, SteadyMs } from '../model/units.js';
 import { millis, plus } from '../model/units.js';
 import { DIRECT_CALL_SHARE, type WorkerClients } from './clients.js';
-import { takeDirectCommands } from './commands.js';
+import { FENCING_TOKEN_ONLY, takeDirectCommands, type CommandBatch } from './commands.js';
 import type { ShardUpdates } from './shard-updates.js';
 import { reconcileHeartbeat } from './reconciliation.js';
-import { decodeHeartbeat, encodeDirectCommands, type WorkerCommand } from './wire.js';
-
-const CALL_TIMEOUT = millis(2000);
-/** How often a machine that we could not reach is tried again. */
-const RETRY_INTERVAL_MS = 2000;
-/** After a claim the whole part waits for the answer: shorter, and asked again sooner. */
-const FAILOVER_CALL_TIMEOUT = millis(1000);
-const FAILOVER_RETRY_INTERVAL_MS = 250;
+import { hasUnacknowledgedLaunch } from './release-rules.js';
+import { decodeHeartbeat, encodeDirectCommands, WorkerStatus, type Heartbeat } from './wire.js';
+
+/** A request and its next try; shorter after a failover, when the whole shard waits for the reply. */
+interface CallTiming {
+  readonly timeout: Millis;
+  readonly retryInterval: Millis;
+}
+const USUAL_TIMING: CallTiming = { timeout: millis(2000), retryInterval: millis(2000) };
+const FAILOVER_TIMING: CallTiming = { timeout: millis(1000), retryInterval: millis(250) };
 const MIN_CONCURRENT_CALLS = 16;
 
-/** What one call carries. */
-interface Delivery {
-  readonly commands: readonly WorkerCommand[];
-  readonly launches: readonly Allocation[];
+/** What direct commands use of the controller. */
+export interface DirectCommandsDependencies {
+  readonly clock: Clock;
+  readonly log: Log;
+  readonly settings: Pick<Settings, 'maxConnections'>;
+  mayCommand(now: SteadyMs): boolean;
+  exclusive<T>(work: () => T): Promise<T>;
 }
 
-/** Orders without content still carry our token. */
-const TOKEN_ONLY: Delivery = { commands: [], launches: [] };
+/** `idle`: nothing is due until something changes. `wait`: something is, later. */
+type NextCall =
+  | { readonly kind: 'idle' }
+  | { readonly kind: 'wait' }
+  | { readonly kind: 'send'; readonly batch: CommandBatch };
+
+const IDLE: NextCall = { kind: 'idle' };
+const WAIT: NextCall = { kind: 'wait' };
+const SEND_FENCING_TOKEN: NextCall = { kind: 'send', batch: FENCING_TOKEN_ONLY };
+
+/** By what a worker tells whether it may still execute a launch. */
+type LaunchIdentity = Pick<UnacknowledgedLaunch, 'fencingToken' | 'agentEpoch'>;
 
 /** Bounded calls to workers, one at a time for each machine. */
 export class DirectCommands {
   private activeCalls = 0;
 
   constructor(
-    private readonly core: Core,
+    private readonly controller: DirectCommandsDependencies,
     private readonly clients: WorkerClients,
     private readonly shardUpdates: ShardUpdates,
   ) {}
 
-  /** Sends what is due on every machine, one request a machine at a time. */
+  /** Sends what is due on every machine of a shard, as far as calls are free; the rest follows with the next dispatch. */
   dispatch(shard: Shard): void {
-    const now = this.core.clock.now();
-    if (!this.core.mayCommand(now)) return;
+    const now = this.controller.clock.now();
+    if (!this.controller.mayCommand(now)) return;
     for (const machine of shard.machinesWithPendingCommands) {
-      // Bounded: after a takeover there are hundreds to talk to, and each costs a connection.
+      // After a failover there are hundreds of machines to call, and each call takes a connection.
       if (this.activeCalls >= this.maxConcurrentCalls) return;
-      if (!this.sendPending(shard, machine, now)) shard.machinesWithPendingCommands.delete(machine);
-    }
-  }
-
-  /** Sends what is due on one machine; false: there is nothing to say, until something changes. */
-  private sendPending(shard: Shard, machine: Machine, now: SteadyMs): boolean {
-    if (machine.scalingIn) return false;
-    if (machine.directRequestInFlight || machine.address === '') return true;
-    const behind = shard.fencingToken > machine.fencingToken;
-    if (!machine.reconciled && behind) {
-      if (now >= machine.quarantinedUntil) void this.deliver(shard, machine, TOKEN_ONLY);
-      return true;
-    }
-    if (machine.unreachableSince !== null) {
-      if (now < machine.quarantinedUntil) return true;
-      void this.deliver(shard, machine, takeDirectCommands(shard, machine, now));
-      return true;
+      const next = nextCall(shard, machine, now);
+      if (next.kind === 'idle') shard.machinesWithPendingCommands.delete(machine);
+      // Not awaited: the outcome is applied under the lock, and the dispatch goes on with the other machines.
+      if (next.kind === 'send') void this.send(shard, machine, next.batch);
     }
-    if (machine.lastHeardAt === null) return false;
-    const pending = takeDirectCommands(shard, machine, now);
-    if (pending.commands.length > 0) void this.deliver(shard, machine, pending);
-    else if (!behind || !hasUnacknowledgedLaunch(machine)) return false;
-    else if (now >= machine.quarantinedUntil) void this.deliver(shard, machine, TOKEN_ONLY);
-    return true;
   }
 
   private get maxConcurrentCalls(): number {
-    return Math.max(MIN_CONCURRENT_CALLS, Math.floor(this.core.settings.maxConnections * DIRECT_CALL_SHARE));
+    const share = Math.floor(this.controller.settings.maxConnections * DIRECT_CALL_SHARE);
+    return Math.max(MIN_CONCURRENT_CALLS, share);
   }
 
-  private async deliver(shard: Shard, machine: Machine, { commands, launches }: Delivery): Promise<void> {
+  private async send(shard: Shard, machine: Machine, { commands, launches }: CommandBatch): Promise<void> {
     machine.directRequestInFlight = true;
     this.activeCalls += 1;
-    const token = shard.fencingToken;
-    const agentEpoch = machine.agentEpoch;
-    const body = encodeDirectCommands(token, agentEpoch, commands);
+    const sent = { fencingToken: shard.fencingToken, agentEpoch: machine.agentEpoch };
     const outcome = await this.clients.clientFor(machine.address).call({
       method: 'POST',
       path: '/orders',
-      body,
-      timeout: machine.reconciled ? CALL_TIMEOUT : FAILOVER_CALL_TIMEOUT,
-      // The connection may take so long that we are not entitled any more when it is there.
-      mayStillSend: () => this.core.mayCommand(this.core.clock.now()),
+      body: encodeDirectCommands(sent.fencingToken, sent.agentEpoch, commands),
+      timeout: timingFor(machine).timeout,
+      // Prevents: a connection takes so long to open that the command deadline passes, a successor starts the task
+      // elsewhere, and the launch is written then.
+      mayStillSend: () => this.controller.mayCommand(this.controller.clock.now()),
     });
-    await this.core.exclusive(() => {
+    await this.controller.exclusive(() => {
       machine.directRequestInFlight = false;
       this.activeCalls -= 1;
       shard.machinesWithPendingCommands.add(machine);
-      this.applyOutcome(shard, machine, launches, outcome, { fencingToken: token, agentEpoch });
+      this.applyOutcome(shard, machine, launches, outcome, sent);
       this.shardUpdates.onShardChanged(shard);
     });
   }
@@ -102,39 +103,75 @@
     machine: Machine,
     launches: readonly Allocation[],
     outcome: CallOutcome,
-    sent: Pick<UnacknowledgedLaunch, 'fencingToken' | 'agentEpoch'>,
+    sent: LaunchIdentity,
   ): void {
-    const now = this.core.clock.now();
+    const now = this.controller.clock.now();
     for (const launch of launches) launch.launchInFlight = false;
-    const answered = outcome.kind === 'answer' && (outcome.status === 200 || outcome.status === 409);
-    const heartbeat = answered ? decodeHeartbeat(outcome.body) : null;
+    const heartbeat = decodeReply(outcome);
     if (heartbeat && heartbeat.machine === machine.id) {
       machine.unreachableSince = null;
       machine.missedDirectRequests = 0;
       reconcileHeartbeat(shard, machine, heartbeat, 'direct', this.shardUpdates.reconciliationContext(now));
       return;
     }
-    machine.missedDirectRequests += 1;
-    machine.quarantinedUntil = plus(
-      now,
-      millis(machine.reconciled ? RETRY_INTERVAL_MS : FAILOVER_RETRY_INTERVAL_MS),
-    );
-    machine.unreachableSince ??= now;
-    const unsent = outcome.kind === 'unsent' || (outcome.kind === 'answer' && outcome.status === 400);
-    this.core.log.debug(
+    recordMissedRequest(machine, now);
+    this.controller.log.debug(
       { machine: machine.id, outcome: outcome.kind, launches: launches.length },
-      'direct order',
+      'direct command',
     );
-    // What did not arrive is due again: the tasks of a gang must be told to stop within seconds of each other.
-    for (const allocation of machine.allocations.values())
-      if (allocation.stop?.direct === 'sent') allocation.stop.direct = 'due';
-    // Sent and not answered: it may be carried out minutes from now, as long as token and session match.
-    if (!unsent) for (const launch of launches) launch.unacknowledged = { ...sent, sentAt: now };
+    repeatStops(machine);
+    if (!isCertainlyNotExecuted(outcome)) markUnacknowledged(launches, sent, now);
   }
 }
 
-function hasUnacknowledgedLaunch(machine: Machine): boolean {
-  for (const allocation of machine.allocations.values()) if (allocation.unacknowledged) return true;
-  for (const exitedTask of machine.exitedTasks.values()) if (exitedTask.unacknowledged) return true;
-  return false;
+/** What to send to a machine now; what a batch contains is marked as sent. */
+function nextCall(shard: Shard, machine: Machine, now: SteadyMs): NextCall {
+  if (machine.scalingIn) return IDLE;
+  if (machine.directRequestInFlight || machine.address === '') return WAIT;
+  const tokenIsOutdated = shard.fencingToken > machine.fencingToken;
+  const mayRetry = now >= machine.quarantinedUntil;
+  if (!machine.reconciled && tokenIsOutdated) return mayRetry ? SEND_FENCING_TOKEN : WAIT;
+  if (machine.unreachableSince !== null)
+    return mayRetry ? { kind: 'send', batch: takeDirectCommands(shard, machine) } : WAIT;
+  if (machine.lastHeardAt === null) return IDLE;
+  const batch = takeDirectCommands(shard, machine);
+  if (batch.commands.length > 0) return { kind: 'send', batch };
+  if (!tokenIsOutdated || !hasUnacknowledgedLaunch(machine, () => true)) return IDLE;
+  return mayRetry ? SEND_FENCING_TOKEN : WAIT;
+}
+
+const timingFor = (machine: Machine): CallTiming => (machine.reconciled ? USUAL_TIMING : FAILOVER_TIMING);
+
+/** A worker replies with its status, also when it refuses an old fencing token or another agent epoch. */
+function decodeReply(outcome: CallOutcome): Heartbeat | null {
+  if (outcome.kind !== 'answer') return null;
+  const hasStatus = outcome.status === WorkerStatus.ok || outcome.status === WorkerStatus.stale;
+  return hasStatus ? decodeHeartbeat(outcome.body) : null;
+}
+
+/** Nothing new is placed on the machine until it replies. */
+function recordMissedRequest(machine: Machine, now: SteadyMs): void {
+  machine.missedDirectRequests += 1;
+  machine.quarantinedUntil = plus(now, timingFor(machine).retryInterval);
+  machine.unreachableSince ??= now;
+}
+
+/** What may not have arrived is due again: the tasks of a gang must be told to stop within seconds of each other. */
+function repeatStops(machine: Machine): void {
+  for (const allocation of machine.allocations.values())
+    if (allocation.stop?.direct === 'sent') allocation.stop.direct = 'due';
+}
+
+function isCertainlyNotExecuted(outcome: CallOutcome): boolean {
+  return (
+    outcome.kind === 'unsent' || (outcome.kind === 'answer' && outcome.status === WorkerStatus.malformed)
+  );
+}
+
+/**
+ * Prevents: a launch without a reply is taken for lost, its task is started elsewhere, and the worker executes the
+ * launch minutes later, as it may while fencing token and agent epoch are the same.
+ */
+function markUnacknowledged(launches: readonly Allocation[], sent: LaunchIdentity, now: SteadyMs): void {
+  for (const launch of launches) launch.unacknowledged = { ...sent, sentAt: now };
 }
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,89 +1,130 @@
-/** Answers workers' reports: only the owner of a machine's pool, while it is entitled to, renews its lease. */
-import type { Core } from '../core.js';
+/**
+ * Answers workers' heartbeats, and with that renews their leases: only as the leader of the machine's shard, and only
+ * before the command deadline. Relies on `reconciliation.ts` for what a heartbeat changes.
+ */
 import type { HttpResponse } from '../http/server.js';
+import type { Settings } from '../settings/settings.js';
 import type { Machine, Shard } from '../shards/model.js';
-import type { ShardLeadership } from '../leadership/leadership.js';
-import { decodeMachineRecord, machineKey } from '../shards/codec.js';
-import type { ShardId, SteadyMs } from '../model/units.js';
-import { millis, steady } from '../model/units.js';
+import { decodeMachineRecord, machineKey, type ShardRecord } from '../shards/codec.js';
+import type { StoreCache } from '../store/cache.js';
+import type { Clock, ControllerId, MachineId, Millis, ShardId, SteadyMs } from '../model/units.js';
+import { elapsed, millis } from '../model/units.js';
+import type { FencingTokenIssuer } from './lease-expiry.js';
 import type { MachineRegistration } from './registration.js';
 import { commandsInReply } from './commands.js';
 import type { ShardUpdates } from './shard-updates.js';
 import { reconcileHeartbeat } from './reconciliation.js';
-import { encodeRedirect, encodeReply, parseHeartbeat, type Heartbeat } from './wire.js';
+import { encodeRedirect, encodeReply, parseHeartbeat, WorkerStatus, type Heartbeat } from './wire.js';
 
 /** A worker waits 4 s for its answer. */
 const MAX_ANSWER_DELAY_MS = 2500;
-/** The token is not raised again sooner, however many workers have seen a higher one. */
+/** The fencing token is not raised again sooner, however many workers have seen a higher one. */
 const TOKEN_RAISE_INTERVAL_MS = 3000;
-/** Workers are redirected only to an owner that we heard from within this time. */
+/** Workers are redirected only to a leader that was heard within this time. */
 const LEADER_LIVENESS_TIMEOUT = millis(2500);
-const MAY_NOT_COMMAND: HttpResponse = { status: 503, body: { error: 'not entitled now' }, retryAfterS: 1 };
+/** Answers without an effect are taken not to arrive after so many heartbeat intervals, and this time on top. */
+const UNANSWERED_INTERVALS = 3;
+const UNANSWERED_MARGIN_MS = 4000;
 
-/** Answers reports with 200 and orders, 421 and the owner, or 503. */
+const MAY_NOT_COMMAND: HttpResponse = {
+  status: WorkerStatus.unavailable,
+  body: { error: 'not entitled now' },
+  retryAfterS: 1,
+};
+const MALFORMED: HttpResponse = { status: WorkerStatus.malformed, body: { error: 'not a report' } };
+
+/** What the heartbeat handler uses of the controller. */
+export interface HeartbeatHandlerDependencies {
+  readonly clock: Clock;
+  readonly settings: Pick<Settings, 'node'>;
+  readonly shards: ReadonlyMap<ShardId, Shard>;
+  readonly storeCache: Pick<StoreCache, 'loaded' | 'get'>;
+  readonly heartbeatIntervalMs: number;
+  mayCommand(now: SteadyMs): boolean;
+  exclusive<T>(work: () => T): Promise<T>;
+  shardRecord(shard: ShardId): ShardRecord | null;
+  heardWithin(node: ControllerId, within: Millis): boolean;
+}
+
+/** What the heartbeat handler uses of the shard leadership. */
+export interface HeartbeatLeadership extends FencingTokenIssuer {
+  /** A machine of another controller's shard has sent its heartbeat here. */
+  recordRedirectedHeartbeat(shard: ShardId, machine: MachineId): void;
+}
+
+/** Answers heartbeats with 200 and commands, with 421 and the leader, or with 503. */
 export class HeartbeatHandler {
-  private tokenRaisedAt = steady(-1e12);
+  private tokenRaisedAt: SteadyMs | null = null;
 
   constructor(
-    private readonly core: Core,
-    private readonly leadership: ShardLeadership,
+    private readonly controller: HeartbeatHandlerDependencies,
+    private readonly leadership: HeartbeatLeadership,
     private readonly registration: MachineRegistration,
     private readonly shardUpdates: ShardUpdates,
   ) {}
 
-  /** Handles a report, given as the request's body. */
+  /** Handles a heartbeat, given as the request's body. */
   async handle(body: Buffer): Promise<HttpResponse> {
     const heartbeat = parseHeartbeat(body);
-    if (!heartbeat) return { status: 400, body: { error: 'not a report' } };
-    if (!this.core.storeCache.loaded) return MAY_NOT_COMMAND;
-    const receivedAt = this.core.clock.now();
-    const shardId = await this.shardOf(heartbeat);
-    // Named too late for this answer to reach the worker: its lease would run out under what we start there.
-    if (shardId === null || this.core.clock.now() - receivedAt > MAX_ANSWER_DELAY_MS) return MAY_NOT_COMMAND;
-    return this.core.exclusive(() => this.reply(heartbeat, shardId));
+    if (!heartbeat) return MALFORMED;
+    const { controller } = this;
+    if (!controller.storeCache.loaded) return MAY_NOT_COMMAND;
+    const receivedAt = controller.clock.now();
+    const shardId = await this.findShard(heartbeat);
+    // Prevents: registration takes so long that the worker has given up on this answer; tasks are started on the
+    // strength of a lease that the answer does not renew.
+    const isTooLate = elapsed(controller.clock.now(), receivedAt) > MAX_ANSWER_DELAY_MS;
+    if (shardId === null || isTooLate) return MAY_NOT_COMMAND;
+    return controller.exclusive(() => this.answer(heartbeat, shardId));
   }
 
-  private async shardOf(heartbeat: Heartbeat): Promise<ShardId | null> {
-    for (const shard of this.core.shards.values()) if (shard.machines.has(heartbeat.machine)) return shard.id;
-    const entry = this.core.storeCache.get(machineKey(heartbeat.machine));
+  private async findShard(heartbeat: Heartbeat): Promise<ShardId | null> {
+    for (const shard of this.controller.shards.values())
+      if (shard.machines.has(heartbeat.machine)) return shard.id;
+    const entry = this.controller.storeCache.get(machineKey(heartbeat.machine));
     const record = entry ? decodeMachineRecord(entry.value) : null;
     return record ? record.shard : this.registration.registerOnHeartbeat(heartbeat);
   }
 
-  private reply(heartbeat: Heartbeat, shardId: ShardId): HttpResponse {
-    const shard = this.core.shards.get(shardId);
+  /** Without waits, so that the command deadline holds for the answer. */
+  private answer(heartbeat: Heartbeat, shardId: ShardId): HttpResponse {
+    const shard = this.controller.shards.get(shardId);
     const machine = shard?.machines.get(heartbeat.machine);
     if (!shard || !machine) return this.redirect(heartbeat, shardId);
-    const now = this.core.clock.now();
-    // Its worker has seen a higher token: somebody else commands it. A 200 would be dropped, and would keep the
-    // worker here while its lease runs out.
+    const now = this.controller.clock.now();
+    // Another controller commands this worker: it would drop a 200, and go on coming here until its lease expires.
     if (heartbeat.fencingToken > shard.fencingToken) {
-      this.onHigherToken(shard, now);
-      return { status: 421, body: encodeRedirect(null) };
+      this.raiseFencingToken(shard, now);
+      return { status: WorkerStatus.notLeader, body: encodeRedirect(null) };
     }
-    if (!this.core.mayCommand(now)) return MAY_NOT_COMMAND;
-    if (this.isUnreachable(shard, machine, heartbeat, now)) {
+    if (!this.controller.mayCommand(now)) return MAY_NOT_COMMAND;
+    if (this.missesAnswers(shard, machine, heartbeat, now)) {
       machine.refusedUnreachableAt = now;
       return MAY_NOT_COMMAND;
     }
-    if (
-      !reconcileHeartbeat(shard, machine, heartbeat, 'report', this.shardUpdates.reconciliationContext(now))
-    )
-      return MAY_NOT_COMMAND;
+    return this.renewLease(shard, machine, heartbeat, now);
+  }
+
+  private renewLease(shard: Shard, machine: Machine, heartbeat: Heartbeat, now: SteadyMs): HttpResponse {
+    const context = this.shardUpdates.reconciliationContext(now);
+    if (!reconcileHeartbeat(shard, machine, heartbeat, 'heartbeat', context)) return MAY_NOT_COMMAND;
     const commands = commandsInReply(shard, machine);
     if (!machine.reconciled) {
       shard.machinesWithPendingCommands.add(machine);
       machine.answeredUnreconciledAt ??= now;
     }
     this.shardUpdates.onShardChanged(shard);
-    return { status: 200, body: encodeReply(shard.fencingToken, commands) };
+    return { status: WorkerStatus.ok, body: encodeReply(shard.fencingToken, commands) };
   }
 
   /**
-   * It reports and never shows the token that our answers carry: they do not reach it. Each further answer might
-   * renew its lease, and the part would wait for it for ever; refused, its lease ends for certain.
+   * Whether the worker's heartbeats arrive and the answers to them do not: it never shows the fencing token that these
+   * carry.
+   *
+   * Prevents: after a failover each further answer may renew the worker's lease, so that it never certainly expires, and
+   * the shard is never reconciled. Refused, the lease ends.
    */
-  private isUnreachable(shard: Shard, machine: Machine, heartbeat: Heartbeat, now: SteadyMs): boolean {
+  private missesAnswers(shard: Shard, machine: Machine, heartbeat: Heartbeat, now: SteadyMs): boolean {
     if (
       heartbeat.fencingToken >= shard.fencingToken ||
       machine.reconciled ||
@@ -91,23 +132,27 @@
       shard.reconciled
     )
       return false;
-    return now - machine.answeredUnreconciledAt > 3 * this.core.heartbeatIntervalMs + 4000;
+    const limitMs = UNANSWERED_INTERVALS * this.controller.heartbeatIntervalMs + UNANSWERED_MARGIN_MS;
+    return elapsed(now, machine.answeredUnreconciledAt) > limitMs;
   }
 
-  /** If the store still says that the part is ours, a new token goes above what the worker has seen. */
-  private onHigherToken(shard: Shard, now: SteadyMs): void {
-    if (now - this.tokenRaisedAt < TOKEN_RAISE_INTERVAL_MS) return;
+  /**
+   * If the store still shows this controller as the leader, a new token goes above what the worker has seen. Not
+   * awaited: the worker is sent on at once, and comes back.
+   */
+  private raiseFencingToken(shard: Shard, now: SteadyMs): void {
+    if (this.tokenRaisedAt !== null && elapsed(now, this.tokenRaisedAt) < TOKEN_RAISE_INTERVAL_MS) return;
     this.tokenRaisedAt = now;
     void this.leadership.raiseFencingToken(shard);
   }
 
   private redirect(heartbeat: Heartbeat, shardId: ShardId): HttpResponse {
     this.leadership.recordRedirectedHeartbeat(shardId, heartbeat.machine);
-    const leader = this.core.shardRecord(shardId)?.leader ?? null;
-    const reachable =
+    const leader = this.controller.shardRecord(shardId)?.leader ?? null;
+    const isReachable =
       leader !== null &&
-      leader !== this.core.settings.node &&
-      this.core.heardWithin(leader, LEADER_LIVENESS_TIMEOUT);
-    return { status: 421, body: encodeRedirect(reachable ? leader : null) };
+      leader !== this.controller.settings.node &&
+      this.controller.heardWithin(leader, LEADER_LIVENESS_TIMEOUT);
+    return { status: WorkerStatus.notLeader, body: encodeRedirect(isReachable ? leader : null) };
   }
 }
--- a/src/workers/lease-expiry.ts
+++ b/src/workers/lease-expiry.ts
@@ -1,75 +1,117 @@
-/** Ends what only time ends: leases that certainly ran out, and direct launches that nobody answered. */
-import type { Core } from '../core.js';
-import type { UnacknowledgedLaunch, Machine, Shard } from '../shards/model.js';
-import type { ShardLeadership } from '../leadership/leadership.js';
-import type { AgentEpoch, SteadyMs } from '../model/units.js';
+/**
+ * Periodic review of a shard's machines for what only time ends: expired leases, and unacknowledged launches that
+ * a higher fencing token must settle. The rules themselves are in `release-rules.ts`.
+ */
+import type { Log } from '../logging/log.js';
+import type { Settings } from '../settings/settings.js';
+import type { Machine, Shard, UnacknowledgedLaunch } from '../shards/model.js';
+import type { StoreCache } from '../store/cache.js';
+import type { AgentEpoch, Clock, SteadyMs } from '../model/units.js';
+import { elapsed, millis } from '../model/units.js';
 import type { ShardUpdates } from './shard-updates.js';
-import { endAgentEpoch } from './reconciliation.js';
+import {
+  hasUnacknowledgedLaunch,
+  isLeaseExpired,
+  previousLeaderTimeout,
+  releaseAll,
+  type LeaseTerms,
+} from './release-rules.js';
 
-/** A direct launch without an answer is settled by a higher token after this time. */
+/** A direct launch without a reply is settled by a higher fencing token after this time. */
 const UNACKNOWLEDGED_LAUNCH_TIMEOUT_MS = 3000;
+/** A machine from which no heartbeat came for so many intervals would not see a higher token either. */
+const MAX_SILENT_INTERVALS = 2;
 
-/** Looks through a pool's machines at intervals. */
+/** What lease expiry uses of the controller. */
+export interface LeaseExpiryDependencies {
+  readonly clock: Clock;
+  readonly log: Log;
+  readonly settings: Pick<Settings, 'cancelS'>;
+  readonly storeCache: Pick<StoreCache, 'confirmedAt'>;
+  readonly heartbeatIntervalMs: number;
+  readonly leaseDurationMs: number;
+}
+
+/** Raises the fencing token of a shard that this controller leads; the promise ends with the attempt, done or not. */
+export interface FencingTokenIssuer {
+  raiseFencingToken(shard: Shard): Promise<void>;
+}
+
+/** Expires leases and has the fencing token raised where a launch stays unacknowledged. */
 export class LeaseExpiry {
   constructor(
-    private readonly core: Core,
-    private readonly leadership: ShardLeadership,
+    private readonly controller: LeaseExpiryDependencies,
+    private readonly tokenIssuer: FencingTokenIssuer,
     private readonly shardUpdates: ShardUpdates,
   ) {}
 
-  /** Leases that certainly ran out, and unresolved launches that only a higher token can end. */
+  /** Reviews all machines of a shard. */
   expire(shard: Shard): void {
-    const now = this.core.clock.now();
-    for (const machine of shard.machines.values()) this.expireLease(shard, machine, now);
+    const now = this.controller.clock.now();
+    const terms = this.leaseTerms();
+    for (const machine of shard.machines.values()) this.expireLease(shard, machine, now, terms);
+    this.renewFencingToken(shard, now);
+    this.shardUpdates.onShardChanged(shard);
+  }
+
+  private leaseTerms(): LeaseTerms {
+    const { settings, storeCache, leaseDurationMs } = this.controller;
+    return {
+      leaseDuration: millis(leaseDurationMs),
+      previousLeaderTimeout: previousLeaderTimeout(settings.cancelS),
+      confirmedAt: storeCache.confirmedAt,
+    };
+  }
+
+  private expireLease(shard: Shard, machine: Machine, now: SteadyMs, terms: LeaseTerms): void {
+    if (hasNothingToRelease(machine) || !isLeaseExpired(shard, machine, now, terms)) return;
+    this.controller.log.info(
+      { machine: machine.id, shard: shard.id, allocations: machine.allocations.size },
+      'lease expired',
+    );
+    releaseAll(shard, machine, this.controller.log);
+    machine.minimumAgentEpoch = Math.max(machine.minimumAgentEpoch, machine.agentEpoch + 1) as AgentEpoch;
+    shard.markReconciled(machine);
+  }
+
+  /** Not awaited: the outcome shows in the shard's fencing token, and the next review asks again if need be. */
+  private renewFencingToken(shard: Shard, now: SteadyMs): void {
     if (this.hasOverdueLaunch(shard, now)) {
-      this.core.log.info({ part: shard.id }, 'raising the token to settle direct orders without an answer');
-      void this.leadership.raiseFencingToken(shard);
+      this.controller.log.info(
+        { shard: shard.id },
+        'raising the fencing token to settle unacknowledged launches',
+      );
+      void this.tokenIssuer.raiseFencingToken(shard);
     }
-    if (shard.needsNewFencingToken) void this.leadership.raiseFencingToken(shard);
-    this.shardUpdates.onShardChanged(shard);
+    if (shard.needsNewFencingToken) void this.tokenIssuer.raiseFencingToken(shard);
   }
 
+  /**
+   * Only of machines that are heard and have not seen a higher token: one silent machine must not have the token raised
+   * over and over.
+   */
   private hasOverdueLaunch(shard: Shard, now: SteadyMs): boolean {
+    const isOverdue = (launch: UnacknowledgedLaunch): boolean =>
+      launch.fencingToken >= shard.fencingToken &&
+      elapsed(now, launch.sentAt) > UNACKNOWLEDGED_LAUNCH_TIMEOUT_MS;
     for (const machine of shard.machines.values()) {
-      const silent =
-        machine.lastHeardAt === null || now - machine.lastHeardAt > this.core.heartbeatIntervalMs * 2;
-      if (silent || machine.fencingToken > shard.fencingToken) continue;
-      for (const allocation of machine.allocations.values())
-        if (isOverdue(allocation.unacknowledged, shard, now)) return true;
-      for (const exitedTask of machine.exitedTasks.values())
-        if (isOverdue(exitedTask.unacknowledged, shard, now)) return true;
+      if (this.isSilent(machine, now) || machine.fencingToken > shard.fencingToken) continue;
+      if (hasUnacknowledgedLaunch(machine, isOverdue)) return true;
     }
     return false;
   }
 
-  private expireLease(shard: Shard, machine: Machine, now: SteadyMs): void {
-    // Registered since our claim and not heard of: it holds nothing.
-    if (machine.lastHeartbeatAt === null && machine.reconciled && machine.agentEpochSeenAt === null) return;
-    // Until then an owner before us may have answered it: that one stops when its view is too old. A machine that
-    // answers calls and whose reports do not arrive has shown our token, and not when its lease was last renewed.
-    const reported = machine.reconciled && machine.lastHeartbeatAt !== null;
-    const earliestEnd = reported ? 0 : shard.acquiredAt + this.core.settings.cancelS * 1001;
-    // A direct answer may have shown a new session before any report of it: that one has a lease of its own, and what
-    // was started in it since does not end with the old one.
-    const renewedAt = Math.max(machine.lastHeartbeatAt ?? 0, machine.agentEpochSeenAt ?? 0);
-    const leaseEnd = Math.max(earliestEnd, renewedAt + this.core.leaseDurationMs);
-    // Not before we know that we were still the owner then: a successor may be renewing that lease.
-    if (now < leaseEnd || this.core.storeCache.confirmedAt < leaseEnd) return;
-    if (machine.reconciled && machine.allocations.size === 0 && machine.exitedTasks.size === 0) return;
-    this.core.log.info(
-      { machine: machine.id, part: shard.id, bound: machine.allocations.size },
-      'lease certainly over',
+  private isSilent({ lastHeardAt }: Machine, now: SteadyMs): boolean {
+    return (
+      lastHeardAt === null ||
+      elapsed(now, lastHeardAt) > this.controller.heartbeatIntervalMs * MAX_SILENT_INTERVALS
     );
-    endAgentEpoch(shard, machine, this.core);
-    machine.minimumAgentEpoch = Math.max(machine.minimumAgentEpoch, machine.agentEpoch + 1) as AgentEpoch;
-    shard.markReconciled(machine);
   }
 }
 
-function isOverdue(launch: UnacknowledgedLaunch | null, shard: Shard, now: SteadyMs): boolean {
-  return (
-    launch !== null &&
-    launch.fencingToken >= shard.fencingToken &&
-    now - launch.sentAt > UNACKNOWLEDGED_LAUNCH_TIMEOUT_MS
-  );
+/** Nothing can be released on a reconciled machine that was never heard, or that has no task left. */
+function hasNothingToRelease(machine: Machine): boolean {
+  if (!machine.reconciled) return false;
+  if (machine.lastHeartbeatAt === null && machine.agentEpochSeenAt === null) return true;
+  return machine.allocations.size === 0 && machine.exitedTasks.size === 0;
 }
--- a/src/workers/service.ts
+++ b/src/workers/service.ts
@@ -1,25 +1,41 @@
-/** The workers of the pools owned here: their reports, the orders sent to them, and their machines' coming and going. */
+/**
+ * Composes the workers' slice: heartbeats, commands sent to workers, lease expiry, and machines that come and go. The
+ * rest of the controller uses this class alone.
+ */
 import type { Core } from '../core.js';
 import type { HttpResponse } from '../http/server.js';
 import type { Machine, Shard } from '../shards/model.js';
 import { newMachine } from '../shards/model.js';
-import type { ShardLeadership } from '../leadership/leadership.js';
 import { decodeMachineRecord, MACHINES_PREFIX, type MachineRecord } from '../shards/codec.js';
-import type { RuntimeEstimator } from '../scheduling/runtime-estimator.js';
+import type { StoreCache } from '../store/cache.js';
 import type { Address, MachineId, ShardId, Revision } from '../model/units.js';
 import { WorkerClients, type WorkerClient } from './clients.js';
-import { DirectCommands } from './direct-commands.js';
-import { LeaseExpiry } from './lease-expiry.js';
-import { MachineRegistration } from './registration.js';
-import { ShardUpdates } from './shard-updates.js';
-import { HeartbeatHandler } from './heartbeat-handler.js';
-import { endAgentEpoch } from './reconciliation.js';
+import { DirectCommands, type DirectCommandsDependencies } from './direct-commands.js';
+import { LeaseExpiry, type LeaseExpiryDependencies } from './lease-expiry.js';
+import { MachineRegistration, type RegistrationDependencies } from './registration.js';
+import { ShardUpdates, type RuntimeSamples, type ShardUpdatesDependencies } from './shard-updates.js';
+import {
+  HeartbeatHandler,
+  type HeartbeatHandlerDependencies,
+  type HeartbeatLeadership,
+} from './heartbeat-handler.js';
+import { isRegisteredSinceAcquisition, releaseAll } from './release-rules.js';
 
 /** Retired machines that are remembered, the latest ones: at least so many, and as many as are registered. */
 const MIN_RETIRED = 5000;
-/** Workers asked whether a part's workers answer us. */
+/** Workers that are called to find out whether those of a shard are reachable. */
 const MAX_PROBED_WORKERS = 5;
 
+/** What the workers' slice uses of the controller: the sum of what its classes use, and what it keeps up to date. */
+export type WorkerServiceDependencies = HeartbeatHandlerDependencies &
+  DirectCommandsDependencies &
+  LeaseExpiryDependencies &
+  RegistrationDependencies &
+  ShardUpdatesDependencies & { readonly storeCache: Pick<StoreCache, 'entriesUnder'> } & Pick<
+    Core,
+    'imageHints' | 'registeredMachines' | 'retiredMachines'
+  >;
+
 /** What the rest of the controller asks of the workers' slice. */
 export class WorkerService {
   private readonly clients: WorkerClients;
@@ -30,71 +46,84 @@
   private readonly registration: MachineRegistration;
 
   constructor(
-    private readonly core: Core,
-    leadership: ShardLeadership,
-    runtimeEstimator: RuntimeEstimator,
+    private readonly controller: WorkerServiceDependencies,
+    leadership: HeartbeatLeadership,
+    runtimeSamples: RuntimeSamples,
     dial: (address: Address) => WorkerClient,
   ) {
     this.clients = new WorkerClients(dial);
-    this.shardUpdates = new ShardUpdates(core, runtimeEstimator);
-    this.registration = new MachineRegistration(core, (heartbeat) => this.clients.isReachable(heartbeat));
-    this.heartbeatHandler = new HeartbeatHandler(core, leadership, this.registration, this.shardUpdates);
-    this.directCommands = new DirectCommands(core, this.clients, this.shardUpdates);
-    this.leaseExpiry = new LeaseExpiry(core, leadership, this.shardUpdates);
+    this.shardUpdates = new ShardUpdates(controller, runtimeSamples);
+    this.registration = new MachineRegistration(controller, (heartbeat) =>
+      this.clients.isReachable(heartbeat),
+    );
+    this.heartbeatHandler = new HeartbeatHandler(
+      controller,
+      leadership,
+      this.registration,
+      this.shardUpdates,
+    );
+    this.directCommands = new DirectCommands(controller, this.clients, this.shardUpdates);
+    this.leaseExpiry = new LeaseExpiry(controller, leadership, this.shardUpdates);
   }
 
-  /** Answers a worker's report, given as the request's body. */
+  /** Answers a worker's heartbeat, given as the request's body. */
   handleHeartbeat(body: Buffer): Promise<HttpResponse> {
     return this.heartbeatHandler.handle(body);
   }
 
-  /** The view shows a machine of a part that we own, or its removal. */
+  /** Follows a machine's record in the watch cache; null: it was removed. */
   onMachineChanged(id: MachineId, record: MachineRecord | null, version: Revision): void {
-    const now = this.core.clock.now();
-    for (const shard of this.core.shards.values()) {
+    for (const shard of this.controller.shards.values()) {
       const machine = shard.machines.get(id);
       if (record?.shard === shard.id) {
-        if (machine) continue;
-        // Named after our claim: commanded by nobody before, so nothing of ours is on it.
-        const reconciled = version > shard.acquiredVersion;
-        shard.addMachine(
-          newMachine(id, record.address, record.type, record.zone, record.spot, now, reconciled),
-        );
+        if (!machine) this.addMachine(shard, id, record, version);
       } else if (machine) this.removeMachine(shard, machine);
     }
-    if (record) return;
-    this.core.imageHints.delete(id);
-    this.core.retiredMachines.add(id);
-    if (this.core.retiredMachines.size > Math.max(MIN_RETIRED, this.core.registeredMachines.size))
-      this.core.retiredMachines.delete(this.core.retiredMachines.keys().next().value as MachineId);
+    if (!record) this.recordRetired(id);
+  }
+
+  private addMachine(shard: Shard, id: MachineId, record: MachineRecord, version: Revision): void {
+    const now = this.controller.clock.now();
+    const { address, type, zone, spot } = record;
+    const reconciled = isRegisteredSinceAcquisition(shard, version);
+    shard.addMachine(newMachine(id, address, type, zone, spot, now, reconciled));
+  }
+
+  /** Ids are never used again; the oldest are forgotten, so that memory stays bounded. */
+  private recordRetired(id: MachineId): void {
+    const { imageHints, registeredMachines, retiredMachines } = this.controller;
+    imageHints.delete(id);
+    retiredMachines.add(id);
+    if (retiredMachines.size > Math.max(MIN_RETIRED, registeredMachines.size))
+      retiredMachines.delete(retiredMachines.keys().next().value as MachineId);
   }
 
-  /** The machine is certainly gone, and all that was on it. */
+  /** To be called when the machine has certainly gone, with all that was on it. */
   removeMachine(shard: Shard, machine: Machine): void {
-    endAgentEpoch(shard, machine, this.core);
+    releaseAll(shard, machine, this.controller.log);
     shard.removeMachine(machine);
     this.shardUpdates.onShardChanged(shard);
   }
 
-  /** Does a machine report that is not registered yet, because others are before it? */
+  /** Whether a machine sends heartbeats and waits for its turn to be registered. */
   isCandidate(id: MachineId): boolean {
     return this.registration.isCandidate(id);
   }
 
-  /** Sends what is due on every machine of a part. */
+  /** Sends what is due on every machine of a shard. */
   dispatchCommands(shard: Shard): void {
     this.directCommands.dispatch(shard);
   }
 
-  /** To be called for every part at intervals. */
+  /** To be called for every shard at intervals. */
   expireLeases(shard: Shard): void {
     this.leaseExpiry.expire(shard);
   }
 
-  /** Do workers of a part answer us at all? Asked before we take a part back. */
+  /** Whether workers of a shard reply to this controller at all; asked before it acquires a shard again. */
   async areWorkersReachable(shard: ShardId): Promise<boolean> {
     const addresses: Address[] = [];
-    for (const entry of this.core.storeCache.entriesUnder(MACHINES_PREFIX)) {
+    for (const entry of this.controller.storeCache.entriesUnder(MACHINES_PREFIX)) {
       const machine = decodeMachineRecord(entry.value);
       if (machine && machine.shard === shard && machine.address !== '') addresses.push(machine.address);
     }
@@ -103,10 +132,10 @@
     return (await this.clients.countReachable(probed)) * 2 > probed.length;
   }
 
-  /** Closes connections to workers whose machines are not ours any more. */
+  /** Closes connections to workers that are in none of this controller's shards any more. */
   closeUnusedClients(): void {
     const addresses = new Set<Address>();
-    for (const shard of this.core.shards.values())
+    for (const shard of this.controller.shards.values())
       for (const machine of shard.machines.values()) addresses.add(machine.address);
     this.clients.closeExcept(addresses);
   }
--- a/src/workers/shard-updates.ts
+++ b/src/workers/shard-updates.ts
@@ -1,38 +1,61 @@
-/** What follows when a worker's message or its silence changes a pool: shared by reports, direct orders and leases. */
-import type { Core } from '../core.js';
+/**
+ * The consequences outside a shard of a change in it: requeued tasks, a scheduling cycle, learnt run times. Shared by
+ * heartbeats, direct commands and lease expiry.
+ */
+import type { JobSpec } from '../jobs/spec.js';
+import type { Log } from '../logging/log.js';
 import { requeueAccountedTasks } from '../shards/unaccounted-tasks.js';
 import type { Allocation, Shard } from '../shards/model.js';
-import type { RuntimeEstimator } from '../scheduling/runtime-estimator.js';
-import type { SteadyMs } from '../model/units.js';
-import { millis } from '../model/units.js';
+import type { JobId, SteadyMs } from '../model/units.js';
+import { elapsed, millis } from '../model/units.js';
 import type { ReconciliationContext } from './reconciliation.js';
 
-/** Effects of changes to a pool outside of it. */
+/** A worker is taken to have missed an answer after so many heartbeat intervals, and this time on top. */
+const HEARTBEAT_TIMEOUT_INTERVALS = 1.25;
+const HEARTBEAT_TIMEOUT_MARGIN_MS = 3000;
+
+/** What these updates use of the controller. */
+export interface ShardUpdatesDependencies {
+  readonly log: Log;
+  readonly recentlyEndedJobs: ReadonlyMap<JobId, JobSpec>;
+  readonly heartbeatIntervalMs: number;
+  requestCycle(): void;
+}
+
+/** Learns how long tasks of a job class run, in seconds, compared with their users' estimates. */
+export interface RuntimeSamples {
+  addSample(jobClass: JobSpec['jobClass'], estimateS: JobSpec['estimateS'], actualS: number): void;
+}
+
+/** Effects of a change of machines or allocations outside their shard. */
 export class ShardUpdates {
   constructor(
-    private readonly core: Core,
-    private readonly runtimeEstimator: RuntimeEstimator,
+    private readonly controller: ShardUpdatesDependencies,
+    private readonly runtimeSamples: RuntimeSamples,
   ) {}
 
-  /** What applying a report at this time needs to know, and whom it tells of finished tasks. */
+  /** What reconciling a heartbeat at this time needs to know, and whom it tells of finished tasks. */
   reconciliationContext(now: SteadyMs): ReconciliationContext {
+    const { log, recentlyEndedJobs, heartbeatIntervalMs } = this.controller;
     return {
       now,
-      log: this.core.log,
-      endedJobSpec: (task) => this.core.recentlyEndedJobs.get(task.job) ?? null,
-      onTaskDone: (allocation) => this.learnRuntime(allocation, now),
-      heartbeatTimeout: millis(1.25 * this.core.heartbeatIntervalMs + 3000),
+      log,
+      endedJobSpec: (job) => recentlyEndedJobs.get(job) ?? null,
+      onTaskDone: (allocation) => this.recordRuntime(allocation, now),
+      heartbeatTimeout: millis(
+        HEARTBEAT_TIMEOUT_INTERVALS * heartbeatIntervalMs + HEARTBEAT_TIMEOUT_MARGIN_MS,
+      ),
     };
   }
 
-  /** To be called after every change of the pool's machines or allocations. */
+  /** To be called after every change of the shard's machines or allocations. */
   onShardChanged(shard: Shard): void {
-    if (requeueAccountedTasks(shard)) this.core.log.info({ part: shard.id }, 'part accounted for');
-    this.core.requestCycle();
+    if (requeueAccountedTasks(shard)) this.controller.log.info({ shard: shard.id }, 'shard reconciled');
+    this.controller.requestCycle();
   }
 
-  private learnRuntime({ spec, runningSince }: Allocation, now: SteadyMs): void {
+  private recordRuntime({ spec, runningSince }: Allocation, now: SteadyMs): void {
     if (spec && runningSince !== null)
-      this.runtimeEstimator.addSample(spec.jobClass, spec.estimateS, (now - runningSince) / 1000);
+      this.runtimeSamples.addSample(spec.jobClass, spec.estimateS, elapsed(now, runningSince) / 1000);
   }
 }
--- /dev/null
+++ b/src/workers/task-exits.ts
@@ -0,0 +1,178 @@
+/**
+ * Reconciles the tasks that a worker lists as exited: what their ends say about the task, its job, its gang and the
+ * machine. Relies on `release` for the accounts of the shard; durable records of the ends are written elsewhere.
+ */
+import type { Log } from '../logging/log.js';
+import type { ExitCause } from '../model/exit-cause.js';
+import type { SteadyMs, TaskId } from '../model/units.js';
+import { millis, plus, seconds, taskId, toMillis } from '../model/units.js';
+import {
+  isAssignedTo,
+  release,
+  type Allocation,
+  type ExitedTask,
+  type Machine,
+  type Shard,
+  type ShardJob,
+} from '../shards/model.js';
+import type { ExitedTaskStatus, Heartbeat } from './wire.js';
+
+/** What handling the end of a task uses of the controller. */
+export interface TaskExitContext {
+  readonly now: SteadyMs;
+  readonly onTaskDone: (allocation: Allocation) => void;
+  readonly log: Log;
+}
+
+/** No new tasks on a machine that has just refused one for want of capacity. */
+const REFUSAL_QUARANTINE = millis(2000);
+/** No new start of a job that a worker did not know. */
+const UNKNOWN_JOB_BACKOFF = millis(1000);
+/** A job without a success that fails on so many machines is at fault itself. */
+const MIN_MACHINES_TO_BLAME_JOB = 3;
+const MAX_JOB_BACKOFF_S = 60;
+/** The largest power of two of the back-off, in seconds; `MAX_JOB_BACKOFF_S` cuts it short. */
+const MAX_JOB_BACKOFF_EXPONENT = 6;
+const MAX_RECENT_FAILURES = 20;
+const FIRST_FAILURE_QUARANTINE_S = 5;
+const REPEATED_FAILURE_QUARANTINE_S = 45;
+/** Exits after which a gang's attempt had certainly not started: the task was never among those that wait. */
+const NEVER_STARTED_CAUSES: readonly ExitCause[] = ['no-room', 'busy', 'unknown', 'alone'];
+
+/**
+ * Releases the allocations whose tasks have exited, adds these to `seen`, and returns all exited tasks that the worker
+ * still remembers. An unacknowledged launch of the same attempt stays known, so that the exit is not removed early.
+ */
+export function reconcileExitedTasks(
+  shard: Shard,
+  machine: Machine,
+  heartbeat: Heartbeat,
+  seen: Set<TaskId>,
+  context: TaskExitContext,
+): Map<TaskId, ExitedTask> {
+  const exitedTasks = new Map<TaskId, ExitedTask>();
+  for (const task of heartbeat.tasks) {
+    if (task.state !== 'exited') continue;
+    const id = taskId(task.job, task.index);
+    const previous = machine.exitedTasks.get(id);
+    const current = machine.allocations.get(id);
+    const allocation = current?.attempt === task.attempt ? current : null;
+    exitedTasks.set(id, newExitedTask(id, task, allocation, previous));
+    if (allocation) {
+      seen.add(id);
+      onTaskExited(shard, machine, allocation, task, context);
+    } else if (!previous && task.cause === 'done') markFinished(shard, task);
+  }
+  return exitedTasks;
+}
+
+function newExitedTask(
+  id: TaskId,
+  { job, index, attempt, cause }: ExitedTaskStatus,
+  allocation: Allocation | null,
+  previous: ExitedTask | undefined,
+): ExitedTask {
+  const unacknowledged =
+    allocation?.unacknowledged ?? (previous?.attempt === attempt ? previous.unacknowledged : null);
+  return { id, job, index, attempt, cause, unacknowledged };
+}
+
+function onTaskExited(
+  shard: Shard,
+  machine: Machine,
+  allocation: Allocation,
+  task: ExitedTaskStatus,
+  context: TaskExitContext,
+): void {
+  release(shard, machine, allocation);
+  const job = shard.jobs.get(allocation.job);
+  context.log.debug(
+    { task: allocation.id, machine: machine.id, attempt: allocation.attempt, cause: task.cause },
+    'exited',
+  );
+  if (job) recordGangExit(job, machine, task);
+  if (task.cause === 'done') {
+    machine.taskFailures = [];
+    if (job) job.successes += 1;
+    context.onTaskDone(allocation);
+    markFinished(shard, task);
+  } else if (task.cause === 'error') recordFailure(machine, allocation, job, context);
+  else if (task.cause === 'no-room' || task.cause === 'busy')
+    machine.quarantinedUntil = plus(context.now, REFUSAL_QUARANTINE);
+  else if (task.cause === 'unknown' && job) job.backoffUntil = plus(context.now, UNKNOWN_JOB_BACKOFF);
+}
+
+/** What the end of a gang's task says about its attempt. */
+function recordGangExit(
+  { gangHistory }: ShardJob,
+  machine: Machine,
+  { attempt, cause }: ExitedTaskStatus,
+): void {
+  if (!gangHistory) return;
+  gangHistory.leftMachines.add(machine.id);
+  if (cause === 'peers') gangHistory.started = attempt;
+  if (cause === 'alone') gangHistory.failed = attempt;
+  if (NEVER_STARTED_CAUSES.includes(cause)) gangHistory.mayHaveStarted = false;
+}
+
+function markFinished(shard: Shard, task: ExitedTaskStatus): void {
+  const job = shard.jobs.get(task.job);
+  if (!job || job.spec.kind === 'service' || job.record.done.has(task.index)) return;
+  if (!isAssignedTo(shard, task.job, task.index)) return;
+  if (job.gangHistory) return markGangFinished(shard, job);
+  if (shard.allocations.has(taskId(task.job, task.index))) return;
+  job.finished.add(task.index);
+  shard.jobsWithUnrecordedEnds.add(job);
+  job.waiting.remove(task.index);
+  job.unaccounted.remove(task.index);
+}
+
+/** The tasks of a gang complete together: one that is done says that all are. */
+function markGangFinished(shard: Shard, job: ShardJob): void {
+  job.finished.addRange(0, job.spec.tasks);
+  job.finished.removeAll(job.record.done);
+  shard.jobsWithUnrecordedEnds.add(job);
+  job.waiting.removeRange(0, job.spec.tasks);
+  job.unaccounted.removeRange(0, job.spec.tasks);
+}
+
+/** Many jobs that fail on one machine put it in quarantine; one job that fails on many machines is delayed itself. */
+function recordFailure(
+  machine: Machine,
+  allocation: Allocation,
+  job: ShardJob | undefined,
+  context: TaskExitContext,
+): void {
+  if (job) {
+    job.errors += 1;
+    job.failedMachines.add(machine.id);
+    if (failsEverywhere(job)) return delayFailingJob(job, context);
+  }
+  quarantineFailingMachine(machine, allocation, context);
+}
+
+function failsEverywhere(job: ShardJob): boolean {
+  return job.successes === 0 && job.failedMachines.size >= MIN_MACHINES_TO_BLAME_JOB;
+}
+
+function delayFailingJob(job: ShardJob, { now, log }: TaskExitContext): void {
+  const machines = job.failedMachines.size;
+  const exponent = Math.min(MAX_JOB_BACKOFF_EXPONENT, machines - (MIN_MACHINES_TO_BLAME_JOB - 1));
+  const backoffS = Math.min(MAX_JOB_BACKOFF_S, 2 ** exponent);
+  job.backoffUntil = plus(now, toMillis(seconds(backoffS)));
+  log.info({ job: job.id, machines, backoffS }, 'job fails wherever it starts');
+}
+
+function quarantineFailingMachine(
+  machine: Machine,
+  allocation: Allocation,
+  { now, log }: TaskExitContext,
+): void {
+  machine.taskFailures.push({ at: now, job: allocation.job });
+  machine.taskFailures = machine.taskFailures.slice(-MAX_RECENT_FAILURES);
+  const faults = machine.taskFailures.length;
+  const jobs = new Set(machine.taskFailures.map((failure) => failure.job)).size;
+  const quarantineS = faults > 1 ? REPEATED_FAILURE_QUARANTINE_S : FIRST_FAILURE_QUARANTINE_S;
+  machine.quarantinedUntil = plus(now, toMillis(seconds(quarantineS)));
+  log.info({ machine: machine.id, faults, jobs, avoidS: quarantineS }, 'tasks fail on machine');
+}
--- a/src/workers/wire.ts
+++ b/src/workers/wire.ts
@@ -1,4 +1,7 @@
-/** Workers' messages, between their words and ours. */
+/**
+ * Maps the messages of the worker protocol to types of this project and back. The only module of the slice that knows
+ * the protocol's names; malformed bodies decode to null and never throw.
+ */
 import type { ExitCause } from '../model/exit-cause.js';
 import * as v from 'valibot';
 import type {
@@ -17,14 +20,40 @@
 } from '../model/units.js';
 import { splitTaskId, taskId } from '../model/units.js';
 
-export interface TaskStatus {
+/** Status codes of the worker protocol, in answers to heartbeats and in replies to direct commands. */
+export const WorkerStatus = {
+  ok: 200,
+  /** The request could not be decoded; nothing was executed. */
+  malformed: 400,
+  /** From a worker: nothing was executed, for the fencing token or the agent epoch is not the present one. */
+  stale: 409,
+  /** To a worker: another controller leads its shard. */
+  notLeader: 421,
+  /** To a worker: nobody here may command it now. */
+  unavailable: 503,
+} as const;
+
+interface TaskIdentity {
   readonly job: JobId;
   readonly index: TaskIndex;
   readonly attempt: Attempt;
-  readonly state: 'fetching' | 'gathering' | 'running' | 'saving' | 'exited';
-  readonly cause: ExitCause | null;
 }
 
+/** A task that is on the machine; `gathering`: it waits for the other tasks of its gang. */
+export interface ActiveTaskStatus extends TaskIdentity {
+  readonly state: 'fetching' | 'gathering' | 'running' | 'saving';
+}
+
+/** A task that has ended and that the worker remembers until it is told to forget it. */
+export interface ExitedTaskStatus extends TaskIdentity {
+  readonly state: 'exited';
+  readonly cause: ExitCause;
+}
+
+/** One task in a worker's status. */
+export type TaskStatus = ActiveTaskStatus | ExitedTaskStatus;
+
+/** A worker's status: the body of its heartbeats and of its replies to direct commands. */
 export interface Heartbeat {
   readonly machine: MachineId;
   readonly address: Address;
@@ -38,19 +67,15 @@
   readonly tasks: readonly TaskStatus[];
 }
 
+/** What a worker is told to do with one attempt of a task; each may be repeated, except a start after its forget. */
 export type WorkerCommand =
-  | { readonly op: 'start'; readonly job: JobId; readonly index: TaskIndex; readonly attempt: Attempt }
-  | {
-      readonly op: 'stop';
-      readonly job: JobId;
-      readonly index: TaskIndex;
-      readonly attempt: Attempt;
-      readonly grace: Seconds;
-    }
-  | { readonly op: 'forget'; readonly job: JobId; readonly index: TaskIndex; readonly attempt: Attempt };
+  | (TaskIdentity & { readonly kind: 'start' })
+  /** `grace`: how long the task may take to save its progress. */
+  | (TaskIdentity & { readonly kind: 'stop'; readonly grace: Seconds })
+  | (TaskIdentity & { readonly kind: 'forget' });
 
 const whole = v.pipe(v.number(), v.integer(), v.minValue(0));
-// A state we do not know is taken for running: it holds room, and may be stopped.
+// An unknown state counts as running: the task uses capacity, and may be stopped.
 const TASK_STATES: Record<string, TaskStatus['state']> = {
   pulling: 'fetching',
   gathering: 'gathering',
@@ -94,18 +119,21 @@
   ),
 });
 
+/** Decodes a status from its parsed JSON; null when it has another form. */
 export function decodeHeartbeat(body: unknown): Heartbeat | null {
   const result = v.safeParse(heartbeatSchema, body);
   if (!result.success) return null;
   const fields = result.output;
   const tasks: TaskStatus[] = [];
   for (const task of fields.legs ?? []) {
-    const name = splitTaskId(task.leg);
-    if (!name) return null;
+    const identity = splitTaskId(task.leg);
+    if (!identity) return null;
+    const attempt = task.sailing as Attempt;
     const state = TASK_STATES[task.status] ?? 'running';
-    // A cause we do not know ends the task like an error: it is not running, and not done.
-    const cause = state === 'exited' ? (EXIT_CAUSES[task.cause ?? ''] ?? 'error') : null;
-    tasks.push({ ...name, attempt: task.sailing as Attempt, state, cause });
+    // An unknown cause ends the task like an error: it is not running, and not done.
+    if (state === 'exited')
+      tasks.push({ ...identity, attempt, state, cause: EXIT_CAUSES[task.cause ?? ''] ?? 'error' });
+    else tasks.push({ ...identity, attempt, state });
   }
   return {
     machine: fields.berth as MachineId,
@@ -121,6 +149,7 @@
   };
 }
 
+/** Decodes a heartbeat from the body of its request; null when it has another form. */
 export function parseHeartbeat(body: Buffer): Heartbeat | null {
   try {
     return decodeHeartbeat(JSON.parse(body.toString('utf8')));
@@ -131,27 +160,28 @@
 
 function encodeCommand(command: WorkerCommand): unknown {
   const task = { leg: taskId(command.job, command.index), sailing: command.attempt };
-  if (command.op === 'start') return { order: 'launch', ...task };
-  if (command.op === 'stop') return { order: 'kill', ...task, ebbS: command.grace };
+  if (command.kind === 'start') return { order: 'launch', ...task };
+  if (command.kind === 'stop') return { order: 'kill', ...task, ebbS: command.grace };
   return { order: 'clear', ...task };
 }
 
-/** The answer to a report. */
-export const encodeReply = (token: FencingToken, commands: readonly WorkerCommand[]): unknown => ({
-  helm: token,
+/** The body of the answer to a heartbeat. */
+export const encodeReply = (fencingToken: FencingToken, commands: readonly WorkerCommand[]): unknown => ({
+  helm: fencingToken,
   orders: commands.map(encodeCommand),
 });
 
-/** Orders sent straight to a worker. */
+/** The body of a direct request to a worker. */
 export const encodeDirectCommands = (
-  token: FencingToken,
+  fencingToken: FencingToken,
   agentEpoch: AgentEpoch,
   commands: readonly WorkerCommand[],
 ): unknown => ({
-  helm: token,
+  helm: fencingToken,
   watch: agentEpoch,
   orders: commands.map(encodeCommand),
 });
 
+/** The body of an answer that sends a worker to its leader, or on to any other controller when that is null. */
 export const encodeRedirect = (leader: ControllerId | null): unknown =>
   leader === null ? {} : { harbormaster: leader };
--- a/test/scheduling/cycle-cost.test.ts
+++ b/test/scheduling/cycle-cost.test.ts
@@ -109,7 +109,7 @@
       onTaskDone: () => undefined,
       heartbeatTimeout: 5000,
     } as unknown as ReconciliationContext;
-    assert.equal(reconcileHeartbeat(runner.shard, machine, heartbeat, 'report', context), true);
+    assert.equal(reconcileHeartbeat(runner.shard, machine, heartbeat, 'heartbeat', context), true);
     assert.deepEqual([...seen], ['m-77']);
     assert.equal(machine.allocations.size, 0, 'what the report does not show is gone');
   }
--- a/test/scheduling/dominant-resource.test.ts
+++ b/test/scheduling/dominant-resource.test.ts
@@ -20,7 +20,7 @@
 import { StoreCache } from '../../src/store/cache.js';
 import type { ShardId, SteadyMs, TeamId, InstanceTypeId } from '../../src/model/units.js';
 import { RegisteredMachines } from '../../src/shards/registered-machines.js';
-import { chooseShard } from '../../src/workers/registration.js';
+import { chooseShard } from '../../src/workers/shard-choice.js';
 import { CycleRunner, type CycleRunnerOptions } from '../support/cycle-runner.js';
 import { buildJobSpec, buildTeam } from '../support/job-specs.js';
 import { assertTraceMatches } from '../support/recorded-trace.js';
--- a/test/workers/gang-heartbeats.test.ts
+++ b/test/workers/gang-heartbeats.test.ts
@@ -45,7 +45,7 @@
   });
   assert.ok(decoded);
   const known = shard.machines.get(machine as never) as Machine;
-  assert.equal(reconcileHeartbeat(shard, known, decoded, 'report', context), true);
+  assert.equal(reconcileHeartbeat(shard, known, decoded, 'heartbeat', context), true);
   return known;
 }
 
--- a/test/workers/heartbeat-reconciliation.test.ts
+++ b/test/workers/heartbeat-reconciliation.test.ts
@@ -69,7 +69,7 @@
     syncJob(this.shard, record, 2 as never, 0 as never, afterFailover);
     if (!afterFailover) requeueAccountedTasks(this.shard);
     // Tasks are only started on machines that have been heard.
-    if (!afterFailover) this.receiveHeartbeat('report', '');
+    if (!afterFailover) this.receiveHeartbeat('heartbeat', '');
   }
 
   addAllocation(changes: Partial<Allocation> = {}): Allocation {
@@ -96,7 +96,7 @@
 
   /** Tasks as `index:attempt:state[:cause]`. */
   receiveHeartbeat(
-    channel: 'report' | 'direct',
+    channel: 'heartbeat' | 'direct',
     tasks: string,
     changes: Partial<Record<keyof Heartbeat, number>> = {},
     machine = this.machine,
@@ -149,7 +149,7 @@
 
   pendingCommands(): string {
     return commandsInReply(this.shard, this.machine)
-      .map((changes) => `${changes.op} ${changes.index}@${changes.attempt}`)
+      .map((command) => `${command.kind} ${command.index}@${command.attempt}`)
       .join(', ');
   }
 }
@@ -158,16 +158,16 @@
   const fixture = new ShardFixture();
   fixture.addAllocation();
   assert.equal(
-    fixture.receiveHeartbeat('report', '0:5:running', { sequence: 9 }),
+    fixture.receiveHeartbeat('heartbeat', '0:5:running', { sequence: 9 }),
     'taken; bound 0@5 waiting 1',
   );
-  assert.equal(fixture.receiveHeartbeat('report', '', { sequence: 8 }), 'older; bound 0@5 waiting 1');
+  assert.equal(fixture.receiveHeartbeat('heartbeat', '', { sequence: 8 }), 'older; bound 0@5 waiting 1');
   assert.equal(
-    fixture.receiveHeartbeat('report', '', { agentEpoch: 2, sequence: 1 }),
+    fixture.receiveHeartbeat('heartbeat', '', { agentEpoch: 2, sequence: 1 }),
     'taken; bound - waiting 0,1',
   );
   assert.equal(
-    fixture.receiveHeartbeat('report', '0:5:running', { agentEpoch: 1, sequence: 99 }),
+    fixture.receiveHeartbeat('heartbeat', '0:5:running', { agentEpoch: 1, sequence: 99 }),
     'older; bound - waiting 0,1',
   );
 });
@@ -177,7 +177,7 @@
   fixture.addAllocation();
   assert.equal(fixture.pendingCommands(), 'start 0@5');
   assert.equal(fixture.receiveHeartbeat('direct', ''), 'taken; bound 0@5 waiting 1');
-  assert.equal(fixture.receiveHeartbeat('report', ''), 'taken; bound - waiting 0,1');
+  assert.equal(fixture.receiveHeartbeat('heartbeat', ''), 'taken; bound - waiting 0,1');
 });
 
 test('an unacknowledged direct launch stays allocated, and its exit is not cleared, until a higher fencing token is seen', () => {
@@ -188,11 +188,11 @@
   } as unknown as Allocation['unacknowledged'];
   const fixture = new ShardFixture();
   fixture.addAllocation({ unacknowledged });
-  assert.equal(fixture.receiveHeartbeat('report', ''), 'taken; bound 0@5 waiting 1');
-  assert.equal(fixture.receiveHeartbeat('report', '0:5:exited:stopped'), 'taken; bound - waiting 0,1');
+  assert.equal(fixture.receiveHeartbeat('heartbeat', ''), 'taken; bound 0@5 waiting 1');
+  assert.equal(fixture.receiveHeartbeat('heartbeat', '0:5:exited:stopped'), 'taken; bound - waiting 0,1');
   assert.equal(fixture.pendingCommands(), '', 'a clear now, and the late launch would start it anew');
   assert.equal(
-    fixture.receiveHeartbeat('report', '0:5:exited:stopped', { fencingToken: 8 }),
+    fixture.receiveHeartbeat('heartbeat', '0:5:exited:stopped', { fencingToken: 8 }),
     'taken; bound - waiting 0,1',
   );
   assert.equal(fixture.pendingCommands(), 'forget 0@5');
@@ -206,7 +206,7 @@
     16,
     'a machine not heard from may be full of any team',
   );
-  assert.equal(fixture.receiveHeartbeat('report', '', { fencingToken: 6 }), 'taken; bound - waiting -');
+  assert.equal(fixture.receiveHeartbeat('heartbeat', '', { fencingToken: 6 }), 'taken; bound - waiting -');
   assert.equal(requeueAccountedTasks(fixture.shard), false, 'the owner before us may still command it');
   assert.equal(fixture.receiveHeartbeat('direct', '1:4:running'), 'taken; bound 1@4 waiting -');
   assert.equal(requeueAccountedTasks(fixture.shard), true);
@@ -229,13 +229,13 @@
   assert.equal(requeueAccountedTasks(fixture.shard), false);
   assert.equal(fixture.describeState(), 'bound - waiting -', 'it may be on the ordinary machine');
   assert.equal(
-    fixture.receiveHeartbeat('report', '1:4:running', { fencingToken: 7 }),
+    fixture.receiveHeartbeat('heartbeat', '1:4:running', { fencingToken: 7 }),
     'taken; bound 1@4 waiting -',
   );
   assert.equal(requeueAccountedTasks(fixture.shard), false, 'the spot machine has not spoken');
   assert.equal(fixture.describeState(), 'bound 1@4 waiting 0', 'its job does not allow spot machines');
   assert.equal(
-    fixture.receiveHeartbeat('report', '', { fencingToken: 7 }),
+    fixture.receiveHeartbeat('heartbeat', '', { fencingToken: 7 }),
     'taken; bound - waiting 0',
     'gone from there: frozen anew',
   );
@@ -256,22 +256,22 @@
   );
   fixture.shard.addMachine(other);
   assert.equal(
-    fixture.receiveHeartbeat('report', '0:3:running', { fencingToken: 6 }),
+    fixture.receiveHeartbeat('heartbeat', '0:3:running', { fencingToken: 6 }),
     'taken; bound 0@3 waiting -',
   );
   assert.equal(
-    fixture.receiveHeartbeat('report', '0:4:running 1:4:running', { fencingToken: 7 }, other),
+    fixture.receiveHeartbeat('heartbeat', '0:4:running 1:4:running', { fencingToken: 7 }, other),
     'taken; bound 0@3,1@4 waiting -',
   );
   // What the machine of the copy says itself: the task is not there, and has not been for long.
-  fixture.receiveHeartbeat('report', '', { fencingToken: 7 });
+  fixture.receiveHeartbeat('heartbeat', '', { fencingToken: 7 });
   requeueAccountedTasks(fixture.shard);
   assert.equal(
     fixture.describeState(),
     'bound 1@4,0@4 waiting -',
     'it is on the other machine, told to stop',
   );
-  fixture.receiveHeartbeat('report', '1:4:running', { fencingToken: 7 }, other);
+  fixture.receiveHeartbeat('heartbeat', '1:4:running', { fencingToken: 7 }, other);
   assert.equal(fixture.describeState(), 'bound 1@4 waiting 0');
 });
 
@@ -279,14 +279,14 @@
   const fixture = new ShardFixture();
   fixture.addAllocation();
   assert.equal(
-    fixture.receiveHeartbeat('report', '0:5:running 1:3:running'),
+    fixture.receiveHeartbeat('heartbeat', '0:5:running 1:3:running'),
     'taken; bound 0@5,1@3 waiting -',
   );
   const otherFixture = new ShardFixture();
   otherFixture.shard.jobs.delete('req-1' as never);
-  assert.equal(otherFixture.receiveHeartbeat('report', '0:3:running'), 'taken; bound 0@3 waiting -');
+  assert.equal(otherFixture.receiveHeartbeat('heartbeat', '0:3:running'), 'taken; bound 0@3 waiting -');
   assert.equal(otherFixture.pendingCommands(), 'stop 0@3');
-  assert.equal(otherFixture.receiveHeartbeat('report', '0:3:exited:stopped'), 'taken; bound - waiting -');
+  assert.equal(otherFixture.receiveHeartbeat('heartbeat', '0:3:exited:stopped'), 'taken; bound - waiting -');
   assert.equal(otherFixture.pendingCommands(), 'forget 0@3');
 });
 
