--- a/src/workers/clients.ts
+++ b/src/workers/clients.ts
@@ -6,7 +6,7 @@
 import type { Caller } from '../store/client.js';
 import type { Address } from '../model/units.js';
 import { millis } from '../model/units.js';
-import { decodeHeartbeat, WorkerStatus, type Heartbeat } from './wire.js';
+import { decodeHeartbeat, WorkerPath, WorkerStatus, type Heartbeat } from './wire.js';
 
 /**
  * Share of a controller's sockets for calls to workers at once, and as many again for connections that are kept open
@@ -14,7 +14,7 @@
  */
 export const DIRECT_CALL_SHARE = 0.1;
 
-const STATUS_CALL = { method: 'GET', path: '/status', timeout: millis(1000) } as const;
+const STATUS_CALL = { method: 'GET', path: WorkerPath.status, timeout: millis(1000) } as const;
 
 /** Client of one worker's own address. */
 export interface WorkerClient extends Caller {
--- a/src/workers/direct-commands.ts
+++ b/src/workers/direct-commands.ts
@@ -14,7 +14,7 @@
 import type { ShardUpdates } from './shard-updates.js';
 import { reconcileHeartbeat } from './reconciliation.js';
 import { hasUnacknowledgedLaunch } from './release-rules.js';
-import { decodeHeartbeat, encodeDirectCommands, WorkerStatus, type Heartbeat } from './wire.js';
+import { decodeHeartbeat, encodeDirectCommands, WorkerPath, WorkerStatus, type Heartbeat } from './wire.js';
 
 /** A request and its next try; shorter after a failover, when the whole shard waits for the reply. */
 interface CallTiming {
@@ -53,7 +53,7 @@
 
   constructor(
     private readonly controller: DirectCommandsDependencies,
-    private readonly clients: WorkerClients,
+    private readonly clients: Pick<WorkerClients, 'clientFor'>,
     private readonly shardUpdates: ShardUpdates,
   ) {}
 
@@ -82,7 +82,7 @@
     const sent = { fencingToken: shard.fencingToken, agentEpoch: machine.agentEpoch };
     const outcome = await this.clients.clientFor(machine.address).call({
       method: 'POST',
-      path: '/orders',
+      path: WorkerPath.commands,
       body: encodeDirectCommands(sent.fencingToken, sent.agentEpoch, commands),
       timeout: timingFor(machine).timeout,
       // Prevents: a connection takes so long to open that the command deadline passes, a successor starts the task
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -59,7 +59,7 @@
   constructor(
     private readonly controller: HeartbeatHandlerDependencies,
     private readonly leadership: HeartbeatLeadership,
-    private readonly registration: MachineRegistration,
+    private readonly registration: Pick<MachineRegistration, 'registerOnHeartbeat'>,
     private readonly shardUpdates: ShardUpdates,
   ) {}
 
@@ -137,8 +137,8 @@
   }
 
   /**
-   * If the store still shows this controller as the leader, a new token goes above what the worker has seen. Not
-   * awaited: the worker is sent on at once, and comes back.
+   * If the store still shows this controller as the leader, a new fencing token goes above what the worker has seen.
+   * Not awaited: the worker is sent on at once, and comes back.
    */
   private raiseFencingToken(shard: Shard, now: SteadyMs): void {
     if (this.tokenRaisedAt !== null && elapsed(now, this.tokenRaisedAt) < TOKEN_RAISE_INTERVAL_MS) return;
--- a/src/workers/lease-expiry.ts
+++ b/src/workers/lease-expiry.ts
@@ -42,7 +42,7 @@
   constructor(
     private readonly controller: LeaseExpiryDependencies,
     private readonly tokenIssuer: FencingTokenIssuer,
-    private readonly shardUpdates: ShardUpdates,
+    private readonly shardUpdates: Pick<ShardUpdates, 'onShardChanged'>,
   ) {}
 
   /** Reviews all machines of a shard. */
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Only of machines that are heard and have not seen a higher token: one silent machine must not have the token raised
-   * over and over.
+   * Only of machines that are heard and have not seen a higher token: one silent machine must not have it raised over and
+   * over.
    */
   private hasOverdueLaunch(shard: Shard, now: SteadyMs): boolean {
     const isOverdue = (launch: UnacknowledgedLaunch): boolean =>
--- a/src/workers/release-rules.ts
+++ b/src/workers/release-rules.ts
@@ -24,7 +24,8 @@
  * Whether a status is older than what is known of the machine, by agent epoch and then sequence number.
  *
  * Prevents: a network fault holds a heartbeat back for minutes; a task starts meanwhile; the delayed heartbeat, written
- * before that start, does not list the task; the task is released and started a second time elsewhere.
+ * before that start, does not list the task; the task is released and started a second time elsewhere. And: a lease
+ * has expired, its tasks are started elsewhere, and a delayed heartbeat of that agent epoch lists them as running.
  */
 export function isOutdated(machine: Machine, heartbeat: Heartbeat): boolean {
   return (
@@ -165,7 +166,7 @@
 
 /**
  * Before this time a leader before this one may have renewed the lease. A machine that replies to calls and whose
- * heartbeats do not arrive has shown this leader's token, and not when its lease was last renewed.
+ * heartbeats do not arrive has shown this leader's fencing token, and not when its lease was last renewed.
  */
 function earliestLeaseEnd(shard: Shard, machine: Machine, terms: LeaseTerms): number {
   const renewedHere = machine.reconciled && machine.lastHeartbeatAt !== null;
--- a/src/workers/wire.ts
+++ b/src/workers/wire.ts
@@ -33,6 +33,9 @@
   unavailable: 503,
 } as const;
 
+/** Paths at a worker's own address. */
+export const WorkerPath = { status: '/status', commands: '/orders' } as const;
+
 interface TaskIdentity {
   readonly job: JobId;
   readonly index: TaskIndex;
--- /dev/null
+++ b/test/workers/direct-commands.test.ts
@@ -0,0 +1,99 @@
+/** What the outcome of a direct request to a worker leaves behind. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+
+import type { Call, CallOutcome } from '../../src/http/client.js';
+import { silentLog } from '../../src/logging/log.js';
+import { DirectCommands } from '../../src/workers/direct-commands.js';
+import { ShardUpdates } from '../../src/workers/shard-updates.js';
+import { ShardFixture, SHARD_FENCING_TOKEN } from '../support/shard-fixture.js';
+
+class DirectCommandsFixture extends ShardFixture {
+  readonly calls: Call[] = [];
+  mayCommand = true;
+  private readonly controller = {
+    clock: { now: () => this.now, after: () => ({ cancel: () => undefined }) },
+    log: silentLog(),
+    settings: { maxConnections: 100 },
+    recentlyEndedJobs: new Map<never, never>(),
+    heartbeatIntervalMs: 1000,
+    requestCycle: () => undefined,
+    mayCommand: () => this.mayCommand,
+    exclusive: <T>(work: () => T): Promise<T> => Promise.resolve(work()),
+  };
+  private readonly client = {
+    call: (call: Call): Promise<CallOutcome> => {
+      this.calls.push(call);
+      return Promise.resolve(this.outcome);
+    },
+    close: () => undefined,
+  };
+  private readonly directCommands = new DirectCommands(
+    this.controller,
+    { clientFor: () => this.client },
+    new ShardUpdates(this.controller, { addSample: () => undefined }),
+  );
+
+  constructor(private readonly outcome: CallOutcome) {
+    super();
+  }
+
+  /** Sends what is due, and waits for its outcome to be applied. */
+  async dispatch(): Promise<void> {
+    this.directCommands.dispatch(this.shard);
+    await new Promise((resolve) => setImmediate(resolve));
+  }
+}
+
+const NO_REPLY: CallOutcome = { kind: 'unknown' };
+
+test('a launch that may have arrived without a reply is unacknowledged, and its machine unreachable', async () => {
+  const fixture = new DirectCommandsFixture(NO_REPLY);
+  const allocation = fixture.addAllocation({ launchPending: true });
+  await fixture.dispatch();
+  assert.equal(fixture.calls.length, 1);
+  assert.equal(allocation.launchInFlight, false);
+  assert.deepEqual(allocation.unacknowledged, {
+    fencingToken: SHARD_FENCING_TOKEN,
+    agentEpoch: 1,
+    sentAt: fixture.now,
+  });
+  assert.equal(fixture.machine.unreachableSince, fixture.now);
+  assert.equal(
+    fixture.receiveHeartbeat('heartbeat', ''),
+    'applied; allocated 0@5 waiting 1',
+    'it may still be executed',
+  );
+});
+
+test('a launch that was certainly not executed is released by the next heartbeat that does not show it', async () => {
+  const outcomes: CallOutcome[] = [{ kind: 'unsent' }, { kind: 'answer', status: 400, body: null }];
+  for (const outcome of outcomes) {
+    const fixture = new DirectCommandsFixture(outcome);
+    const allocation = fixture.addAllocation({ launchPending: true });
+    await fixture.dispatch();
+    assert.equal(allocation.unacknowledged, null);
+    assert.equal(fixture.receiveHeartbeat('heartbeat', ''), 'applied; allocated - waiting 0,1');
+  }
+});
+
+test('a stop without a reply is due again', async () => {
+  const fixture = new DirectCommandsFixture(NO_REPLY);
+  const allocation = fixture.addAllocation({ phase: 'running', stop: { grace: 0, direct: 'due' } });
+  await fixture.dispatch();
+  assert.equal(fixture.calls.length, 1);
+  assert.deepEqual(allocation.stop, { grace: 0, direct: 'due' });
+});
+
+test('nothing is sent beyond the command deadline, which is checked again when a request is written', async () => {
+  const fixture = new DirectCommandsFixture(NO_REPLY);
+  fixture.addAllocation({ launchPending: true });
+  fixture.mayCommand = false;
+  await fixture.dispatch();
+  assert.equal(fixture.calls.length, 0);
+  fixture.mayCommand = true;
+  await fixture.dispatch();
+  assert.equal(fixture.calls[0]?.mayStillSend?.(), true);
+  fixture.mayCommand = false;
+  assert.equal(fixture.calls[0]?.mayStillSend?.(), false);
+});
