--- a/src/workers/direct-commands.ts
+++ b/src/workers/direct-commands.ts
@@ -7,7 +7,7 @@
 import type { Log } from '../logging/log.js';
 import type { Settings } from '../settings/settings.js';
 import type { Allocation, UnacknowledgedLaunch, Machine, Shard } from '../shards/model.js';
-import type { Clock, Millis, SteadyMs } from '../model/units.js';
+import type { Clock, SteadyMs } from '../model/units.js';
 import { millis, plus } from '../model/units.js';
 import { DIRECT_CALL_SHARE, type WorkerClients } from './clients.js';
 import { FENCING_TOKEN_ONLY, takeDirectCommands, type CommandBatch } from './commands.js';
@@ -16,13 +16,12 @@
 import { hasUnacknowledgedLaunch } from './release-rules.js';
 import { decodeHeartbeat, encodeDirectCommands, WorkerPath, WorkerStatus, type Heartbeat } from './wire.js';
 
-/** A request and its next try; shorter after a failover, when the whole shard waits for the reply. */
-interface CallTiming {
-  readonly timeout: Millis;
-  readonly retryInterval: Millis;
-}
-const USUAL_TIMING: CallTiming = { timeout: millis(2000), retryInterval: millis(2000) };
-const FAILOVER_TIMING: CallTiming = { timeout: millis(1000), retryInterval: millis(250) };
+const CALL_TIMEOUT = millis(2000);
+/** A machine that did not reply is called again after this time. */
+const RETRY_INTERVAL = millis(2000);
+/** After a failover the whole shard waits for the reply: called for a shorter time, and sooner again. */
+const FAILOVER_CALL_TIMEOUT = millis(1000);
+const FAILOVER_RETRY_INTERVAL = millis(250);
 const MIN_CONCURRENT_CALLS = 16;
 
 /** What direct commands use of the controller. */
@@ -84,7 +83,7 @@
       method: 'POST',
       path: WorkerPath.commands,
       body: encodeDirectCommands(sent.fencingToken, sent.agentEpoch, commands),
-      timeout: timingFor(machine).timeout,
+      timeout: machine.reconciled ? CALL_TIMEOUT : FAILOVER_CALL_TIMEOUT,
       // Prevents: a connection takes so long to open that the command deadline passes, a successor starts the task
       // elsewhere, and the launch is written then.
       mayStillSend: () => this.controller.mayCommand(this.controller.clock.now()),
@@ -140,8 +139,6 @@
   return mayRetry ? SEND_FENCING_TOKEN : WAIT;
 }
 
-const timingFor = (machine: Machine): CallTiming => (machine.reconciled ? USUAL_TIMING : FAILOVER_TIMING);
-
 /** A worker replies with its status, also when it refuses an old fencing token or another agent epoch. */
 function decodeReply(outcome: CallOutcome): Heartbeat | null {
   if (outcome.kind !== 'answer') return null;
@@ -152,7 +149,7 @@
 /** Nothing new is placed on the machine until it replies. */
 function recordMissedRequest(machine: Machine, now: SteadyMs): void {
   machine.missedDirectRequests += 1;
-  machine.quarantinedUntil = plus(now, timingFor(machine).retryInterval);
+  machine.quarantinedUntil = plus(now, machine.reconciled ? RETRY_INTERVAL : FAILOVER_RETRY_INTERVAL);
   machine.unreachableSince ??= now;
 }
 
--- a/test/workers/gang-heartbeats.test.ts
+++ b/test/workers/gang-heartbeats.test.ts
@@ -1,109 +1,108 @@
-/** Reports about gangs that make no sense: nothing that may still run is freed, and nothing ends. */
+/** Heartbeats about gangs that make no sense: nothing that may still run is released, and nothing ends. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { silentLog } from '../../src/logging/log.js';
-import type { Machine, Shard } from '../../src/shards/model.js';
+import { millis, steady, type AgentEpoch, type JobId, type MachineId } from '../../src/model/units.js';
+import type { Allocation, Machine, Shard } from '../../src/shards/model.js';
 import { reconcileHeartbeat, type ReconciliationContext } from '../../src/workers/reconciliation.js';
 import { decodeHeartbeat } from '../../src/workers/wire.js';
 import { CycleRunner } from '../support/cycle-runner.js';
 
-interface Leg {
-  readonly leg: string;
-  readonly sailing: number;
-  readonly status: string;
-  readonly cause?: string;
-}
+const GANG = 'req-g' as JobId;
+const ARRAY = 'req-a' as JobId;
+const FIRST_MACHINE = 'm-0' as MachineId;
+const AGENT_EPOCH = 1 as AgentEpoch;
 
-const context = {
-  now: 1_100_000,
+const context: ReconciliationContext = {
+  now: steady(1_100_000),
   log: silentLog(),
   endedJobSpec: () => null,
   onTaskDone: () => undefined,
-  heartbeatTimeout: 5000,
-} as unknown as ReconciliationContext;
+  heartbeatTimeout: millis(5000),
+};
+
+/** One task of a heartbeat, by its names on the wire; state and cause may be any text. */
+const wireTask = (task: string, attempt: number, status: string, cause?: string) => ({
+  leg: task,
+  sailing: attempt,
+  status,
+  cause,
+});
 
 let sequence = 0;
 
-/** Its reports below belong to the session in which the tasks were started. */
+/** The heartbeats below belong to the agent epoch in which the tasks were started. */
 function withAgentEpoch(shard: Shard): Shard {
-  for (const machine of shard.machines.values()) machine.agentEpoch = 1 as never;
+  for (const machine of shard.machines.values()) machine.agentEpoch = AGENT_EPOCH;
   return shard;
 }
 
-function receiveHeartbeat(shard: Shard, machine: string, taskStatuses: readonly Leg[]): Machine {
+function receiveHeartbeat(shard: Shard, id: MachineId, ...tasks: ReturnType<typeof wireTask>[]): Machine {
   sequence += 1;
-  const decoded = decodeHeartbeat({
-    berth: machine,
+  const heartbeat = decodeHeartbeat({
+    berth: id,
     endpoint: '10.0.0.1:1',
     hull: 't',
     harbor: 'east',
     driftboats: false,
-    watch: 1,
+    watch: AGENT_EPOCH,
     logNo: sequence,
     helm: 7,
-    legs: taskStatuses,
+    legs: tasks,
   });
-  assert.ok(decoded);
-  const known = shard.machines.get(machine as never) as Machine;
-  assert.equal(reconcileHeartbeat(shard, known, decoded, 'heartbeat', context), true);
-  return known;
+  assert.ok(heartbeat);
+  const machine = shard.machines.get(id);
+  assert.ok(machine);
+  assert.equal(reconcileHeartbeat(shard, machine, heartbeat, 'heartbeat', context), true);
+  return machine;
 }
 
-/** A gang of two on two machines of two CPUs each. */
-function shardWithGang(): { part: Shard; attempt: number } {
+/** A gang of two on two machines of two CPUs each, and the allocation of its first task. */
+function shardWithGang(): { shard: Shard; first: Allocation; attempt: number } {
   const runner = new CycleRunner(2, { capacity: { cpus: 2, gpus: 0, memoryGb: 8 } });
-  runner.addJob('req-g', { kind: 'gang', tasks: 2, cpus: 2 });
+  runner.addJob(GANG, { kind: 'gang', tasks: 2, cpus: 2 });
   assert.equal(runner.runCycle().split('start').length - 1, 2);
   const shard = withAgentEpoch(runner.shard);
-  return { part: shard, attempt: [...shard.allocations.values()][0]?.attempt ?? 0 };
+  const first = [...shard.allocations.values()].find((allocation) => allocation.index === 0);
+  assert.ok(first);
+  return { shard, first, attempt: first.attempt };
 }
 
-const waiting = (shard: Shard): number => shard.jobs.get('req-g' as never)?.waiting.size ?? -1;
-const finished = (shard: Shard): number => shard.jobs.get('req-g' as never)?.finished.size ?? -1;
+const waiting = (shard: Shard): number => shard.jobs.get(GANG)?.waiting.size ?? -1;
+const finished = (shard: Shard): number => shard.jobs.get(GANG)?.finished.size ?? -1;
 
 test('a task that belongs to no gang and is said to wait for its gang stays where it is', () => {
   const runner = new CycleRunner(1);
-  runner.addJob('req-a', { tasks: 1, cpus: 2 });
+  runner.addJob(ARRAY, { tasks: 1, cpus: 2 });
   runner.runCycle();
   const shard = withAgentEpoch(runner.shard);
   const attempt = [...shard.allocations.values()][0]?.attempt ?? 0;
-  const machine = receiveHeartbeat(shard, 'm-0', [{ leg: 'req-a/0', sailing: attempt, status: 'gathering' }]);
+  const machine = receiveHeartbeat(shard, FIRST_MACHINE, wireTask('req-a/0', attempt, 'gathering'));
   assert.equal(machine.used.cpus, 2);
-  assert.equal(shard.jobs.get('req-a' as never)?.waiting.size, 0);
+  assert.equal(shard.jobs.get(ARRAY)?.waiting.size, 0);
 });
 
 test('an unknown state keeps its allocation; an unknown cause ends the task, and does not complete it', () => {
-  const { part: shard, attempt } = shardWithGang();
-  const first = [...shard.allocations.values()].find((b) => b.index === 0);
-  const machine = receiveHeartbeat(shard, first?.machine ?? '', [
-    { leg: 'req-g/0', sailing: attempt, status: 'dancing' },
-  ]);
+  const { shard, first, attempt } = shardWithGang();
+  const machine = receiveHeartbeat(shard, first.machine, wireTask('req-g/0', attempt, 'dancing'));
   assert.equal(machine.used.cpus, 2);
   assert.equal(waiting(shard), 0);
-  receiveHeartbeat(shard, machine.id, [
-    { leg: 'req-g/0', sailing: attempt, status: 'exited', cause: 'whim' },
-  ]);
+  receiveHeartbeat(shard, first.machine, wireTask('req-g/0', attempt, 'exited', 'whim'));
   assert.equal(finished(shard), 0);
   assert.equal(waiting(shard), 1);
 });
 
 test('an attempt that disagrees, or is larger than any that was issued, keeps its allocation and is stopped', () => {
-  const { part: shard, attempt } = shardWithGang();
-  const first = [...shard.allocations.values()].find((b) => b.index === 0);
-  const machine = receiveHeartbeat(shard, first?.machine ?? '', [
-    { leg: 'req-g/0', sailing: attempt + 1_000_000, status: 'running' },
-  ]);
+  const { shard, first, attempt } = shardWithGang();
+  const machine = receiveHeartbeat(shard, first.machine, wireTask('req-g/0', attempt + 1_000_000, 'running'));
   assert.equal(machine.used.cpus, 2);
   assert.equal(waiting(shard), 0, 'the task is not started elsewhere');
-  assert.ok([...machine.allocations.values()].every((b) => b.stop !== null));
+  assert.ok([...machine.allocations.values()].every((allocation) => allocation.stop !== null));
 });
 
 test('one task that is done completes the gang; the others are neither waiting nor lost', () => {
-  const { part: shard, attempt } = shardWithGang();
-  const first = [...shard.allocations.values()].find((b) => b.index === 0);
-  receiveHeartbeat(shard, first?.machine ?? '', [
-    { leg: 'req-g/0', sailing: attempt, status: 'exited', cause: 'done' },
-  ]);
+  const { shard, first, attempt } = shardWithGang();
+  receiveHeartbeat(shard, first.machine, wireTask('req-g/0', attempt, 'exited', 'done'));
   assert.equal(finished(shard), 2);
   assert.equal(waiting(shard), 0);
   assert.equal(shard.allocations.size, 1, 'the other is still on its machine');
--- a/test/workers/heartbeat-reconciliation.test.ts
+++ b/test/workers/heartbeat-reconciliation.test.ts
@@ -4,7 +4,7 @@
 
 import type { JobSpec } from '../../src/jobs/spec.js';
 import { mayRunOn } from '../../src/model/constraints.js';
-import { steady, type AgentEpoch } from '../../src/model/units.js';
+import { steady, type AgentEpoch, type InstanceTypeId, type ZoneId } from '../../src/model/units.js';
 import { usageOf } from '../../src/shards/model.js';
 import { requeueAccountedTasks } from '../../src/shards/unaccounted-tasks.js';
 import { ShardFixture, SHARD_FENCING_TOKEN, TWO_TASK_SPEC as spec } from '../support/shard-fixture.js';
@@ -161,20 +161,20 @@
     type: string,
     zone: string,
     spot: boolean,
-    pin: string | null,
+    requiredZone: string | null,
   ): boolean =>
     mayRunOn(
       { ...spec, types: null, zone: null, spot: false, ...changes },
-      type as never,
-      zone as never,
+      type as InstanceTypeId,
+      zone as ZoneId,
       spot,
-      pin as never,
+      requiredZone as ZoneId | null,
     );
   assert.equal(may({}, 't', 'east', false, null), true);
   assert.equal(may({}, 't', 'east', true, null), false);
   assert.equal(may({ spot: true }, 't', 'east', true, null), true);
-  assert.equal(may({ types: ['u'] as never }, 't', 'east', false, null), false);
-  assert.equal(may({ zone: 'west' as never }, 't', 'east', false, null), false);
+  assert.equal(may({ types: ['u' as InstanceTypeId] }, 't', 'east', false, null), false);
+  assert.equal(may({ zone: 'west' as ZoneId }, 't', 'east', false, null), false);
   assert.equal(may({}, 't', 'east', false, 'west'), false);
   assert.equal(may({}, 't', 'east', false, 'east'), true);
 });
