--- /dev/null
+++ b/src/quota/codec.ts
@@ -0,0 +1,47 @@
+/**
+ * Maps shard quotas to the record that the store keeps for a team, and names its key. Versions of the software read each
+ * other's records during an upgrade: the key and the field names stay as they are here, whatever the code calls them.
+ */
+import * as v from 'valibot';
+import type { Team } from '../settings/settings.js';
+import type { StoreKey, TeamId } from '../model/units.js';
+import { evenQuotas, shardQuotasFrom, type ShardQuotas } from './shard-quota.js';
+
+const QUOTA_PREFIX = 'c/quota/';
+
+/** Where the quotas of a team's shards stand in the store. */
+export const quotaKey = (team: TeamId): StoreKey => `${QUOTA_PREFIX}${encodeURIComponent(team)}` as StoreKey;
+
+const quotaRecordSchema = v.object({
+  /** The team's quota of CPUs and GPUs when the record was written. */
+  max: v.tuple([v.number(), v.number()]),
+  /** By shard. */
+  cpus: v.array(v.number()),
+  gpus: v.array(v.number()),
+});
+
+/** JSON has no infinity: what is unlimited is written as 0, as in the settings. */
+const encodeAmount = (amount: number): number => (amount === Infinity ? 0 : amount);
+
+/** The value of `quotaKey`. */
+export function encodeQuotas(team: Team, quotas: ShardQuotas): unknown {
+  return {
+    max: [encodeAmount(team.quota.cpus), encodeAmount(team.quota.gpus)],
+    cpus: quotas.map((quota) => encodeAmount(quota.cpus)),
+    gpus: quotas.map((quota) => encodeAmount(quota.gpus)),
+  };
+}
+
+/**
+ * The quotas in the value of `quotaKey`. Even quotas when there is no readable record, or when it was written for
+ * another quota of the team or another number of shards.
+ */
+export function decodeQuotas(value: unknown, team: Team, shardCount: number): ShardQuotas {
+  const result = v.safeParse(quotaRecordSchema, value);
+  if (!result.success) return evenQuotas(team, shardCount);
+  const { max, cpus, gpus } = result.output;
+  const sameQuota = max[0] === encodeAmount(team.quota.cpus) && max[1] === encodeAmount(team.quota.gpus);
+  if (!sameQuota || cpus.length !== shardCount || gpus.length !== shardCount)
+    return evenQuotas(team, shardCount);
+  return shardQuotasFrom(team, shardCount, (kind) => (kind === 'cpus' ? cpus : gpus));
+}
--- a/src/quota/guaranteed-jobs.ts
+++ b/src/quota/guaranteed-jobs.ts
@@ -1,64 +1,83 @@
-/** Which jobs are within their team's guarantee: those that fit into it with the team's earlier unfinished jobs. */
+/**
+ * Which jobs are within their team's guaranteed quota: those that fit into it together with the team's earlier
+ * unfinished jobs. It follows from the job records and the settings alone, so every controller comes to the same answer.
+ */
 import type { JobRecord } from '../jobs/record.js';
 import { addTo, fits, mapResources, ZERO, type MutableResources } from '../model/resources.js';
 import type { Team } from '../settings/settings.js';
 import type { JobId, TeamId } from '../model/units.js';
+import type { LimitedKind } from './shard-quota.js';
 
-/** What asks only for resources without a guarantee is not guaranteed; what asks for nothing always is. */
-function requestsGuaranteedResources({ spec }: JobRecord, { guaranteed: guarantee }: Team): boolean {
-  const limitable = ['cpus', 'gpus'] as const;
-  if (limitable.every((kind) => spec[kind] === 0)) return limitable.some((kind) => guarantee[kind] > 0);
-  return limitable.some((kind) => guarantee[kind] > 0 && spec[kind] > 0);
+const LIMITED_KINDS = ['cpus', 'gpus'] as const satisfies readonly LimitedKind[];
+
+/** A job that requests only resources without a guarantee is not; one that requests none is, if the team has any. */
+function requestsGuaranteedResources({ spec }: JobRecord, { guaranteed }: Team): boolean {
+  if (LIMITED_KINDS.every((kind) => spec[kind] === 0))
+    return LIMITED_KINDS.some((kind) => guaranteed[kind] > 0);
+  return LIMITED_KINDS.some((kind) => guaranteed[kind] > 0 && spec[kind] > 0);
 }
 
-/** A resource with a guarantee of 0 has none, and is not counted. Every controller comes to the same answer. */
+/** In the order in which the jobs were accepted, near enough, and the same on every controller. */
+const byAcceptance = (a: JobRecord, b: JobRecord): number =>
+  a.acceptedRevision - b.acceptedRevision || (a.spec.id < b.spec.id ? -1 : 1);
+
+/** The guaranteed jobs of one team. A guarantee of 0 means that there is none; the resource is not counted. */
 export function selectGuaranteedJobs(records: readonly JobRecord[], team: Team): Set<JobId> {
-  const guaranteed = new Set<JobId>();
+  const guaranteedJobs = new Set<JobId>();
   const counted = mapResources((kind) => team.guaranteed[kind] || Infinity);
   const sum: MutableResources = { ...ZERO };
-  for (const record of [...records].sort(
-    (a, b) => a.acceptedRevision - b.acceptedRevision || (a.spec.id < b.spec.id ? -1 : 1),
-  )) {
+  for (const record of [...records].sort(byAcceptance)) {
     addTo(sum, record.spec, record.spec.tasks - record.done.size);
-    if (fits(sum, counted) && requestsGuaranteedResources(record, team)) guaranteed.add(record.spec.id);
+    if (fits(sum, counted) && requestsGuaranteedResources(record, team)) guaranteedJobs.add(record.spec.id);
   }
-  return guaranteed;
+  return guaranteedJobs;
 }
 
+/** The active jobs of one team. */
 interface TeamJobs {
   readonly records: Map<JobId, JobRecord>;
-  /** null: to be found anew when somebody asks. */
-  guaranteed: ReadonlySet<JobId> | null;
+  /** null: not known since the last change. */
+  guaranteedJobs: ReadonlySet<JobId> | null;
 }
 
-/** Follows the live records team by team; a change costs the next question about that team one pass over it. */
+/** Follows the active jobs team by team; a change costs the next question about its team one pass over the team's jobs. */
 export class GuaranteedJobs {
-  private readonly byTeam = new Map<TeamId, TeamJobs>();
-  private readonly teamOf = new Map<JobId, TeamId>();
+  private readonly jobsByTeam = new Map<TeamId, TeamJobs>();
+  private readonly teamByJob = new Map<JobId, TeamId>();
 
   constructor(private readonly teams: ReadonlyMap<TeamId, Team>) {}
 
+  /** A job's record has changed; null: the job has ended. */
   update(id: JobId, record: JobRecord | null): void {
-    const teamId = record?.spec.team ?? this.teamOf.get(id);
+    const teamId = record?.spec.team ?? this.teamByJob.get(id);
     if (teamId === undefined) return;
-    const team = this.byTeam.get(teamId) ?? { records: new Map<JobId, JobRecord>(), guaranteed: null };
-    this.byTeam.set(teamId, team);
-    team.guaranteed = null;
+    const teamJobs = this.jobsOf(teamId);
+    teamJobs.guaranteedJobs = null;
     if (record) {
-      team.records.set(id, record);
-      this.teamOf.set(id, teamId);
+      teamJobs.records.set(id, record);
+      this.teamByJob.set(id, teamId);
     } else {
-      team.records.delete(id);
-      this.teamOf.delete(id);
+      teamJobs.records.delete(id);
+      this.teamByJob.delete(id);
     }
   }
 
+  private jobsOf(team: TeamId): TeamJobs {
+    const known = this.jobsByTeam.get(team);
+    if (known) return known;
+    const teamJobs: TeamJobs = { records: new Map(), guaranteedJobs: null };
+    this.jobsByTeam.set(team, teamJobs);
+    return teamJobs;
+  }
+
+  /** Is the job guaranteed? Jobs that are not active and jobs of unknown teams are not. */
   has(id: JobId): boolean {
-    const teamId = this.teamOf.get(id);
-    const team = teamId === undefined ? undefined : this.byTeam.get(teamId);
-    const limits = teamId === undefined ? undefined : this.teams.get(teamId);
-    if (!team || !limits) return false;
-    team.guaranteed ??= selectGuaranteedJobs([...team.records.values()], limits);
-    return team.guaranteed.has(id);
+    const teamId = this.teamByJob.get(id);
+    if (teamId === undefined) return false;
+    const teamJobs = this.jobsByTeam.get(teamId);
+    const team = this.teams.get(teamId);
+    if (!teamJobs || !team) return false;
+    teamJobs.guaranteedJobs ??= selectGuaranteedJobs([...teamJobs.records.values()], team);
+    return teamJobs.guaranteedJobs.has(id);
   }
 }
--- a/src/quota/shard-quota.ts
+++ b/src/quota/shard-quota.ts
@@ -1,22 +1,21 @@
-/** Each team's limit, split among the parts: a part starts tasks only within its share. */
-import * as v from 'valibot';
+/**
+ * How a team's quota is divided among the shards. Each shard starts the team's tasks within its own share only, so the
+ * quota holds without any shard knowing what the others run. Pure: the record of the shares is mapped in `codec.ts`.
+ */
 import { add, mapResources, subtract, UNLIMITED, type Resources } from '../model/resources.js';
 import type { Team } from '../settings/settings.js';
-import type { ShardId, StoreKey, TeamId } from '../model/units.js';
+import type { ShardId } from '../model/units.js';
 
-/** Shares by part; they never add up to more than the team's limit. Of what is unlimited every part has no end. */
+/**
+ * One team's quota by shard. The amounts never add up to more than the team's quota; of an unlimited resource every
+ * shard has an infinite amount.
+ */
 export type ShardQuotas = readonly Resources[];
 
-export const QUOTA_PREFIX = 'c/quota/';
-export const quotaKey = (team: TeamId): StoreKey => `${QUOTA_PREFIX}${encodeURIComponent(team)}` as StoreKey;
-
-const quotaRecordSchema = v.object({
-  max: v.tuple([v.number(), v.number()]),
-  cpus: v.array(v.number()),
-  gpus: v.array(v.number()),
-});
+/** The resources that a team's quota can limit. Memory has no quota yet. */
+export type LimitedKind = 'cpus' | 'gpus';
 
-/** `total` in whole units as far as they go. */
+/** `total` in `shardCount` amounts that are whole units, but for a fraction of one unit in `total` itself. */
 function splitEvenly(total: number, shardCount: number): number[] {
   const perShard = Math.floor(total / shardCount);
   const remainder = total - perShard * shardCount;
@@ -26,14 +25,14 @@
   );
 }
 
-/** Shares by kind of resource; the limit alone says what is unlimited. */
-function assembleQuotas(
+/** Quotas by shard from amounts by resource. What is unlimited follows from the team's quota, not from the amounts. */
+export function shardQuotasFrom(
   team: Team,
   shardCount: number,
-  amountsOf: (kind: 'cpus' | 'gpus') => readonly number[],
+  amountsByShard: (kind: LimitedKind) => readonly number[],
 ): ShardQuotas {
-  const limited = (kind: 'cpus' | 'gpus', shard: number): number =>
-    team.quota[kind] === Infinity ? Infinity : (amountsOf(kind)[shard] ?? 0);
+  const limited = (kind: LimitedKind, shard: number): number =>
+    team.quota[kind] === Infinity ? Infinity : (amountsByShard(kind)[shard] ?? 0);
   return Array.from({ length: shardCount }, (_, shard) => ({
     ...UNLIMITED,
     cpus: limited('cpus', shard),
@@ -41,52 +40,31 @@
   }));
 }
 
-/** Before anybody has moved anything, all parts have the same. */
+/** The division before any transfer: all shards have the same. */
 export const evenQuotas = (team: Team, shardCount: number): ShardQuotas =>
-  assembleQuotas(team, shardCount, (kind) => splitEvenly(team.quota[kind], shardCount));
-
-/** JSON has no infinity: what is unlimited is written as 0, as in the settings. Memory has no limit yet. */
-const encodeAmount = (amount: number): number => (amount === Infinity ? 0 : amount);
-
-export function encodeQuotas(team: Team, shares: ShardQuotas): unknown {
-  return {
-    max: [encodeAmount(team.quota.cpus), encodeAmount(team.quota.gpus)],
-    cpus: shares.map((share) => encodeAmount(share.cpus)),
-    gpus: shares.map((share) => encodeAmount(share.gpus)),
-  };
-}
-
-/** What the record says, or even shares when there is none for this limit and number of parts. */
-export function decodeQuotas(value: unknown, team: Team, shardCount: number): ShardQuotas {
-  const result = v.safeParse(quotaRecordSchema, value);
-  if (!result.success) return evenQuotas(team, shardCount);
-  const { max, cpus, gpus } = result.output;
-  const sameLimit = max[0] === encodeAmount(team.quota.cpus) && max[1] === encodeAmount(team.quota.gpus);
-  if (!sameLimit || cpus.length !== shardCount || gpus.length !== shardCount)
-    return evenQuotas(team, shardCount);
-  return assembleQuotas(team, shardCount, (kind) => (kind === 'cpus' ? cpus : gpus));
-}
+  shardQuotasFrom(team, shardCount, (kind) => splitEvenly(team.quota[kind], shardCount));
 
-export function moveQuota(shares: ShardQuotas, from: ShardId, to: ShardId, amount: Resources): ShardQuotas {
-  return shares.map((share, index) => {
-    if (index === from) return subtract(share, amount);
-    return index === to ? add(share, amount) : share;
+/** The quotas after `amount` has gone from one shard to another; their sum stays the same. */
+export function moveQuota(quotas: ShardQuotas, from: ShardId, to: ShardId, amount: Resources): ShardQuotas {
+  return quotas.map((quota, shard) => {
+    if (shard === from) return subtract(quota, amount);
+    return shard === to ? add(quota, amount) : quota;
   });
 }
 
 /**
- * What a part gives of its share when a peer asks: never what it uses or its own tasks wait for, and nothing of an
- * unlimited resource, of which the peer has no less.
+ * What a shard can give of its quota when another requests some: never what it uses or what its own tasks wait for, and
+ * nothing of an unlimited resource, of which the other has no less.
  */
 export function transferableQuota(
-  share: Resources,
+  quota: Resources,
   used: Resources,
   ownDemand: Resources,
   requested: Resources,
 ): Resources {
   return mapResources((kind) =>
-    share[kind] === Infinity
+    quota[kind] === Infinity
       ? 0
-      : Math.max(0, Math.min(requested[kind], share[kind] - used[kind] - ownDemand[kind])),
+      : Math.max(0, Math.min(requested[kind], quota[kind] - used[kind] - ownDemand[kind])),
   );
 }
--- /dev/null
+++ b/src/quota/transfer-responder.ts
@@ -0,0 +1,115 @@
+/**
+ * Answers a request for quota by giving what a shard of this controller does not use. The transfer is one conditional
+ * write to the record that holds all quotas of the team, so nothing is given twice and the sum never grows. Relies on the
+ * quota ledger, which subtracts the amount before the write is sent.
+ */
+import type { QuotaTransferRequest } from '../peers/messages.js';
+import { RESOURCE_KINDS, ZERO, type Resources } from '../model/resources.js';
+import type { Team } from '../settings/settings.js';
+import type { Shard } from '../shards/model.js';
+import { RequestPriority } from '../store/rate-limiter.js';
+import { millis, type Revision, type StoreKey } from '../model/units.js';
+import { encodeQuotas, quotaKey } from './codec.js';
+import type { QuotaResponderContext } from './dependencies.js';
+import { IdleRemainders } from './idle-remainders.js';
+import type { QuotaDemand } from './quota-demand.js';
+import type { QuotaLedger, VersionedQuotas } from './quota-ledger.js';
+import { moveQuota } from './shard-quota.js';
+
+/** How often the record is read again after a conflict, until it shows a newer version. */
+const MAX_REREADS = 300;
+const REREAD_INTERVAL = millis(100);
+
+/** A request that can be answered, with what the answer rests on. */
+interface Transfer {
+  readonly request: QuotaTransferRequest;
+  /** The shard that gives. */
+  readonly shard: Shard;
+  readonly team: Team;
+  readonly current: VersionedQuotas;
+  readonly amount: Resources;
+}
+
+/** Gives unused quota to other shards. */
+export class QuotaTransferResponder {
+  private readonly idleRemainders: IdleRemainders;
+
+  constructor(
+    private readonly context: QuotaResponderContext,
+    private readonly ledger: QuotaLedger,
+    private readonly demand: QuotaDemand,
+  ) {
+    this.idleRemainders = new IdleRemainders(demand);
+  }
+
+  /** Gives what is unused of the requested amount, if this controller leads the shard; otherwise does nothing. */
+  async handleRequest(request: QuotaTransferRequest): Promise<void> {
+    const transfer = this.planTransfer(request);
+    if (transfer) await this.execute(transfer);
+  }
+
+  /** null: nothing is to be given. */
+  private planTransfer(request: QuotaTransferRequest): Transfer | null {
+    const shard = this.context.shards.get(request.to);
+    const team = this.context.settings.teams.get(request.team);
+    const current = this.ledger.current(request.team);
+    if (!shard || !team || !current) return null;
+    if (this.ledger.hasPendingTransfer(request.to, request.team)) return null;
+    if (request.from === request.to || !current.quotas[request.from]) return null;
+    const amount = this.transferAmount(shard, request);
+    if (RESOURCE_KINDS.every((kind) => amount[kind] <= 0)) return null;
+    return { request, shard, team, current, amount };
+  }
+
+  private transferAmount(shard: Shard, request: QuotaTransferRequest): Resources {
+    if (request.purpose === 'remainder')
+      return this.idleRemainders.transferable(shard, request, this.context.clock.now());
+    return this.demand.transferable(shard, request.team, request, this.ownDemand(shard, request));
+  }
+
+  /** Of two shards that reserve quota for the same team, the one with the lower number goes first. */
+  private ownDemand(shard: Shard, request: QuotaTransferRequest): Resources {
+    if (request.purpose !== 'reservation') return this.demand.demand(shard, request.team);
+    const ownReservation = request.from < shard.id ? undefined : shard.quotaReservations.get(request.team);
+    return ownReservation ?? ZERO;
+  }
+
+  /** One write, on condition that the quotas are still those it was planned on and this controller leads the shard. */
+  private async execute({ request, shard, team, current, amount }: Transfer): Promise<void> {
+    const { context, ledger } = this;
+    ledger.beginTransfer(request.to, request.team, amount);
+    const value = encodeQuotas(team, moveQuota(current.quotas, request.to, request.from, amount));
+    const key = quotaKey(request.team);
+    const result = await context.compareAndSwapUntilCertain(
+      [{ key, version: current.version }, context.leaderCondition(shard)],
+      [{ op: 'put', key, value }],
+      RequestPriority.handOver,
+    );
+    await context.exclusive(() => {
+      if (result.kind === 'done') context.storeCache.apply(key, value, result.revision);
+    });
+    // After a conflict an earlier copy of the write may have been applied: until this controller sees a newer record,
+    // the amount stays subtracted, or tasks would be started here with quota that the other shard has.
+    if (result.kind === 'conflict') await this.awaitNewerQuota(key, current.version, shard);
+    ledger.endTransfer(request.to, request.team);
+    context.log.debug(
+      { team: request.team, from: request.to, to: request.from, amount, result: result.kind },
+      'quota transferred',
+    );
+    context.requestCycle();
+  }
+
+  /** Returns once a newer record is seen, the record did not change after all, or the shard is no longer led here. */
+  private async awaitNewerQuota(key: StoreKey, version: Revision, shard: Shard): Promise<void> {
+    const { context } = this;
+    for (let reread = 0; reread < MAX_REREADS; reread += 1) {
+      if (context.storeCache.version(key) !== version) return;
+      if (context.shards.get(shard.id) !== shard) return;
+      const read = await context.store.get(key, RequestPriority.handOver);
+      if (read.kind === 'found')
+        await context.exclusive(() => context.storeCache.apply(key, read.entry.value, read.entry.version));
+      if (read.kind === 'absent' || (read.kind === 'found' && read.entry.version === version)) return;
+      await context.sleep(REREAD_INTERVAL);
+    }
+  }
+}
--- a/test/cluster/decision-functions.test.ts
+++ b/test/cluster/decision-functions.test.ts
@@ -23,13 +23,8 @@
 import { decideFailover, type FailoverFacts } from '../../src/leadership/leadership.js';
 import { QuotaTransferService } from '../../src/quota/transfer-service.js';
 import { selectGuaranteedJobs } from '../../src/quota/guaranteed-jobs.js';
-import {
-  decodeQuotas,
-  encodeQuotas,
-  evenQuotas,
-  transferableQuota,
-  moveQuota,
-} from '../../src/quota/shard-quota.js';
+import { decodeQuotas, encodeQuotas } from '../../src/quota/codec.js';
+import { evenQuotas, transferableQuota, moveQuota } from '../../src/quota/shard-quota.js';
 import { RangeSet } from '../../src/model/ranges.js';
 import { RateLimiter, RequestPriority } from '../../src/store/rate-limiter.js';
 import { StoreCache } from '../../src/store/cache.js';
--- a/test/cluster/rolling-upgrade.test.ts
+++ b/test/cluster/rolling-upgrade.test.ts
@@ -7,7 +7,8 @@
 import * as machines from '../../src/shards/codec.js';
 import type * as Mesh from '../../src/peers/peer-transport.js';
 import * as mesh from '../../src/peers/peer-transport.js';
-import * as shares from '../../src/quota/shard-quota.js';
+import { encodeQuotas } from '../../src/quota/codec.js';
+import { evenQuotas } from '../../src/quota/shard-quota.js';
 import { RangeSet } from '../../src/model/ranges.js';
 import {
   loadProductionBuild,
@@ -199,7 +200,7 @@
   const oldShardQuotas = await loadProductionModule<ProductionQuotas>('quota/shares.js');
   const team = buildTeam({ cpus: 4, cpusMax: 10 });
   assert.deepEqual(
-    shares.encodeQuotas(team, shares.evenQuotas(team, 3)),
+    encodeQuotas(team, evenQuotas(team, 3)),
     oldShardQuotas.encodeShares(toProductionTeam(team), oldShardQuotas.evenShares(toProductionTeam(team), 3)),
   );
 });
--- a/test/jobs/codecs.test.ts
+++ b/test/jobs/codecs.test.ts
@@ -15,7 +15,7 @@
   activeJobKey,
 } from '../../src/jobs/codec.js';
 import { decodePeerMessage, encodePeerMessage } from '../../src/peers/codec.js';
-import { quotaKey } from '../../src/quota/shard-quota.js';
+import { quotaKey } from '../../src/quota/codec.js';
 import {
   aliveKey,
   CATALOG_KEY,
--- a/test/quota/quota-remainder.test.ts
+++ b/test/quota/quota-remainder.test.ts
@@ -1,4 +1,4 @@
-/** Pieces of a team's limit that are too small for any waiting task come together, and do not go back and forth. */
+/** Remainders of a team's quota that are too small for any waiting task are merged, and do not go back and forth. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { UNLIMITED, type Resources } from '../../src/model/resources.js';
@@ -14,30 +14,30 @@
 const STEP_MS = 500;
 
 interface QuotaSetup {
-  /** By part, of the limited resource. */
+  /** By shard, of the limited resource. */
   readonly shardQuotas: readonly number[];
   readonly usage: readonly number[];
-  /** By part, what a waiting task takes. */
+  /** By shard, what a waiting task takes. */
   readonly taskSizes: readonly number[];
   readonly resource?: 'cpus' | 'gpus';
 }
 
-/** Parts of one controller, all with tasks that wait for their team's limit. */
+/** Shards of one controller, all with tasks that wait for their team's quota. */
 class QuotaFixture {
   private readonly shards: Shard[];
   private readonly resource: 'cpus' | 'gpus';
   private readonly transferService: ReturnType<typeof createQuotaTransferService>;
   private now = 1_000_000;
-  /** How often the shares have changed. */
+  /** How often the shard quotas have changed. */
   transfers = 0;
 
-  constructor({ shardQuotas: quotas, usage: used, taskSizes: size, resource: kind = 'cpus' }: QuotaSetup) {
+  constructor({ shardQuotas: quotas, usage, taskSizes, resource: kind = 'cpus' }: QuotaSetup) {
     this.resource = kind;
     this.shards = quotas.map((_, id) => {
       const shard = new Shard(id as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
       shard.reconciled = true;
-      shard.totals.countTask(this.taskSpec(used[id] ?? 0), 1);
-      this.addWaitingJob(shard, size[id] ?? 0);
+      shard.totals.countTask(this.taskSpec(usage[id] ?? 0), 1);
+      this.addWaitingJob(shard, taskSizes[id] ?? 0);
       return shard;
     });
     const limit = quotas.reduce((sum, n) => sum + n, 0);
@@ -63,7 +63,7 @@
     syncJob(shard, record, 2 as never, this.now as SteadyMs, false);
   }
 
-  /** Each of these parts asks in turn, again and again for so long. */
+  /** Each of these shards requests quota in turn, again and again for so long. */
   async requestQuota(forMs: number, ...shardIds: number[]): Promise<number[]> {
     for (const end = this.now + forMs; this.now < end; this.now += STEP_MS) {
       for (const id of shardIds) {
--- a/test/scheduling/dominant-resource.test.ts
+++ b/test/scheduling/dominant-resource.test.ts
@@ -15,7 +15,7 @@
 import { allocate, newMachine, Shard, syncJob, type Allocation } from '../../src/shards/model.js';
 import { chooseRelocation } from '../../src/scheduling/consolidation.js';
 import { QuotaTransferService } from '../../src/quota/transfer-service.js';
-import { quotaKey } from '../../src/quota/shard-quota.js';
+import { quotaKey } from '../../src/quota/codec.js';
 import { RangeSet } from '../../src/model/ranges.js';
 import { StoreCache } from '../../src/store/cache.js';
 import type { ShardId, SteadyMs, TeamId, InstanceTypeId } from '../../src/model/units.js';
--- a/test/support/quota-transfer-service.ts
+++ b/test/support/quota-transfer-service.ts
@@ -1,9 +1,10 @@
-/** The desk for shares of one team's limit, of a controller that owns some of the parts; each write succeeds at once. */
-import type { Core } from '../../src/core.js';
+/** A quota transfer service of a controller that leads some of the shards, for one team; each write succeeds at once. */
+import { revision, steady, shardId } from '../../src/model/units.js';
 import type { Resources } from '../../src/model/resources.js';
 import type { Shard } from '../../src/shards/model.js';
+import { shardKey } from '../../src/shards/codec.js';
+import { encodeQuotas, quotaKey } from '../../src/quota/codec.js';
 import { QuotaTransferService } from '../../src/quota/transfer-service.js';
-import { encodeQuotas, quotaKey } from '../../src/quota/shard-quota.js';
 import type { Team } from '../../src/settings/settings.js';
 import { StoreCache } from '../../src/store/cache.js';
 
@@ -12,27 +13,30 @@
   shards: readonly Shard[],
   shardCount: number,
   now: () => number,
-  /** Left out: even shares. */
+  /** Left out: even quotas. */
   shardQuotas?: readonly Resources[],
 ): QuotaTransferService {
   const storeCache = new StoreCache(() => undefined);
   const key = quotaKey(team.name);
-  if (shardQuotas) storeCache.apply(key, encodeQuotas(team, shardQuotas), 1 as never);
+  if (shardQuotas) storeCache.apply(key, encodeQuotas(team, shardQuotas), revision(1));
   return new QuotaTransferService({
     settings: {
       teams: new Map([[team.name, team]]),
-      shards: Array.from({ length: shardCount }, (_, shard) => ({ shard })),
+      shards: Array.from({ length: shardCount }, (_, shard) => ({ shard: shardId(shard) })),
     },
     storeCache,
+    store: { get: () => Promise.resolve({ kind: 'failed' }) },
     shards: new Map(shards.map((shard) => [shard.id, shard])),
     shardAnnouncements: new Map(),
-    clock: { now },
+    peerTransport: { send: () => undefined },
+    clock: { now: () => steady(now()) },
     shardRecord: () => null,
-    leaderCondition: () => ({}),
+    leaderCondition: (shard) => ({ key: shardKey(shard.id), version: shard.version }),
     compareAndSwapUntilCertain: () =>
-      Promise.resolve({ kind: 'done', revision: (storeCache.version(key) + 1) as never }),
-    exclusive: (work: () => unknown) => Promise.resolve(work()),
+      Promise.resolve({ kind: 'done', revision: revision(storeCache.version(key) + 1) }),
+    exclusive: (work) => Promise.resolve(work()),
+    sleep: () => Promise.resolve(),
     log: { debug: () => undefined },
     requestCycle: () => undefined,
-  } as unknown as Core);
+  });
 }
