--- a/src/jobs/lookup-batcher.ts
+++ b/src/jobs/lookup-batcher.ts
@@ -1,6 +1,6 @@
 /**
  * Answers what a job's state is now, for many requests at once. No answer rests on a copy of the store that is older than
- * the query: otherwise a user could be told `pending` after another controller has told him `cancelled`. The queries of a
+ * the query: otherwise a user could be told `pending` after another controller has answered `cancelled`. The queries of a
  * short interval share one request to the store.
  */
 import { RequestPriority } from '../store/rate-limiter.js';
@@ -18,8 +18,8 @@
 /** Fraction of this controller's request rate that batches may take. */
 const REQUEST_FRACTION = 0.25;
 /** A user waits 2 s for an answer: whoever's turn would come later than this gets `unknown` at once. */
-const MAX_QUERY_WAIT = millis(1500);
-/** A job that is not active needs two conditions, of which a transaction may have four for each change. */
+const MAX_QUERY_WAIT_MS = 1500;
+/** A job that is not active needs two conditions, and a transaction may hold four conditions for each change. */
 const JOBS_PER_TRANSACTION_OP = 2;
 /** A job whose records keep changing under the batches is read by itself after this many. */
 const MAX_BATCH_TRIES = 4;
@@ -77,7 +77,7 @@
     if (!this.context.storeHealthy()) return Promise.resolve({ kind: 'unknown' });
     const queue = this.activeJobs.has(id) ? this.activeQueries : this.otherQueries;
     // Decided on arrival: a queue of queries whose users have given up would keep every later answer from its user.
-    if (queue === this.otherQueries && !queue.has(id) && this.expectedWait() > MAX_QUERY_WAIT)
+    if (queue === this.otherQueries && !queue.has(id) && this.expectedWait() > MAX_QUERY_WAIT_MS)
       return Promise.resolve({ kind: 'unknown' });
     return new Promise((resolve) => {
       enqueue(queue, { id, resolvers: [resolve], askedAt: this.context.clock.now(), tries: 0 });
@@ -127,7 +127,7 @@
       if (batch.length >= this.batchSize) break;
       this.otherQueries.delete(query.id);
       // The store was slow: no user waits for this answer any more.
-      if (this.context.clock.now() - query.askedAt > MAX_QUERY_WAIT) respond(query, { kind: 'unknown' });
+      if (this.context.clock.now() - query.askedAt > MAX_QUERY_WAIT_MS) respond(query, { kind: 'unknown' });
       else batch.push(query);
     }
     return batch;
--- a/src/jobs/wire.ts
+++ b/src/jobs/wire.ts
@@ -7,6 +7,11 @@
 const MAX_TASKS = 100_000;
 const JOB_ID_PATTERN = /^req-[0-9A-Za-z_-]{1,64}$/;
 
+/** Instance types that one submission may name. */
+const MAX_TYPES = 64;
+/** In characters. */
+const MAX_NAME_LENGTH = 200;
+
 /** Of any resource, size or time. */
 const MAX_AMOUNT = 1e9;
 
@@ -16,7 +21,7 @@
   v.pipe(v.number(expected), v.finite(expected), v.minValue(0, expected), v.maxValue(MAX_AMOUNT, expected));
 const amount = amountSchema(EXPECTED_AMOUNT);
 const wholeAmount = v.pipe(amountSchema(EXPECTED_WHOLE_AMOUNT), v.integer(EXPECTED_WHOLE_AMOUNT));
-const name = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
+const name = v.pipe(v.string(), v.minLength(1), v.maxLength(MAX_NAME_LENGTH));
 /** Absent and null mean the same. */
 const optional = <S extends v.GenericSchema>(schema: S) => v.optional(v.nullable(schema), null);
 
@@ -32,7 +37,7 @@
   memoryGb: amount,
   cargo: name,
   sizeGb: amount,
-  hulls: optional(v.pipe(v.array(name), v.maxLength(64))),
+  hulls: optional(v.pipe(v.array(name), v.maxLength(MAX_TYPES))),
   harbor: optional(name),
   samePlace: v.boolean(),
   apart: v.boolean(),
--- a/src/quota/codec.ts
+++ b/src/quota/codec.ts
@@ -7,7 +7,8 @@
 import type { StoreKey, TeamId } from '../model/units.js';
 import { evenQuotas, shardQuotasFrom, type ShardQuotas } from './shard-quota.js';
 
-const QUOTA_PREFIX = 'c/quota/';
+/** Prefix of the records of all teams' quotas. */
+export const QUOTA_PREFIX = 'c/quota/';
 
 /** Where the quotas of a team's shards stand in the store. */
 export const quotaKey = (team: TeamId): StoreKey => `${QUOTA_PREFIX}${encodeURIComponent(team)}` as StoreKey;
--- a/test/jobs/cancellation-notice.test.ts
+++ b/test/jobs/cancellation-notice.test.ts
@@ -1,4 +1,4 @@
-/** A committed cancellation is told to the peers: one that the state service refuses stops its tasks all the same. */
+/** A committed cancellation is announced to the peers: one that the store refuses stops the job's tasks all the same. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SimulatedCluster } from '../support/simulated-cluster.js';
@@ -8,12 +8,14 @@
     const cluster = new SimulatedCluster();
     cluster.addWorker('large', 'east');
     await cluster.start();
-    // One task of 4 CPUs a job: two run, the others of the same part wait.
+    // One task of 4 CPUs a job: two run, the others of the same shard wait.
     for (const job of [1, 2, 3, 4])
       await cluster.submit(0, `req-${job}`, { cpus: 4, runMs: 60_000, zone: 'east' });
     await cluster.step(1500);
     const runs = (id: string): boolean =>
-      [...cluster.workers.values()].some((m) => m.runningTasks().some((t) => t.taskId.startsWith(`${id}/`)));
+      [...cluster.workers.values()].some((worker) =>
+        worker.runningTasks().some((task) => task.taskId.startsWith(`${id}/`)),
+      );
     const [running, ...rest] = ['req-1', 'req-2', 'req-3', 'req-4'].filter(runs);
     const waiting = ['req-1', 'req-2', 'req-3', 'req-4'].filter((id) => !runs(id));
     assert.ok(running !== undefined && rest.length === 1 && waiting.length === 2);
@@ -25,7 +27,7 @@
       assert.equal(answer.body['status'], 'cancelled');
     }
     await cluster.step(1500);
-    assert.ok(!runs(running), 'it is stopped without the state service');
+    assert.ok(!runs(running), 'it is stopped without the store');
     await cluster.step(6000);
     assert.deepEqual(cluster.invariantChecker.startsAfterCancellation, []);
     assert.deepEqual(cluster.violations, []);
@@ -42,7 +44,7 @@
   for (const node of cluster.nodes) node.receiveFromPeer?.(notice);
   await cluster.step(1000);
   const poll = await cluster.sendUserRequest(0, 'GET', '/v2/runs/req-1');
-  assert.equal(poll.body['status'], 'running', 'older than what the view shows');
+  assert.equal(poll.body['status'], 'running', 'older than what the store cache shows');
   await cluster.sendUserRequest(1, 'POST', '/v2/runs/req-1/abort');
   for (const node of cluster.nodes) node.receiveFromPeer?.(notice);
   await cluster.step(3000);
--- a/test/jobs/job-records.test.ts
+++ b/test/jobs/job-records.test.ts
@@ -1,3 +1,4 @@
+/** Job records: earlier and unknown forms, division of the tasks among shards, and the size limit of a value. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeRecord, encodeRecord } from '../../src/jobs/codec.js';
@@ -5,21 +6,21 @@
 import { reassign } from '../../src/jobs/record.js';
 import type { JobSpec } from '../../src/jobs/spec.js';
 import { RangeSet } from '../../src/model/ranges.js';
-import type { ShardId } from '../../src/model/units.js';
+import { revision, shardId, type ClusterMs } from '../../src/model/units.js';
 import { assertTraceMatches } from '../support/recorded-trace.js';
 import { SimulatedCluster } from '../support/simulated-cluster.js';
 
 const spec = { id: 'req-1', tasks: 100, kind: 'array' } as JobSpec;
 const record = {
   spec,
-  homeShard: 0 as ShardId,
-  acceptedRevision: 3 as never,
-  acceptedAt: 7 as never,
-  assignments: [{ from: 0, to: 100, shard: 0 as ShardId, zone: null }],
+  homeShard: shardId(0),
+  acceptedRevision: revision(3),
+  acceptedAt: 7 as ClusterMs,
+  assignments: [{ from: 0, to: 100, shard: shardId(0), zone: null }],
   done: RangeSet.empty(),
 };
 
-test('a record of an earlier version, without the order of arrival, is still read', () => {
+test('a record of an earlier version, without revision and time of acceptance, is still read', () => {
   const { born, at, ...old } = encodeRecord(record);
   assert.deepEqual([born, at], [3, 7]);
   assert.equal(decodeRecord(old)?.acceptedRevision, 0);
@@ -41,25 +42,25 @@
     apply: [{ put: 'c/live/req-1', data: { ...(row.data as object), parts: 'new form' } }],
   });
   await cluster.step(3000);
-  assert.equal([...cluster.workers.values()].flatMap((m) => m.runningTasks()).length, 1);
+  assert.equal([...cluster.workers.values()].flatMap((worker) => worker.runningTasks()).length, 1);
   assertTraceMatches(cluster, 'unreadable-record');
 });
 
-test('handing tasks over splits an assignment and joins neighbours again', () => {
-  const moved = reassign(record, RangeSet.of([[10, 20]]), 1 as ShardId, (z) => z);
+test('transferring tasks splits an assignment and joins neighbours again', () => {
+  const moved = reassign(record, RangeSet.of([[10, 20]]), shardId(1), (zone) => zone);
   assert.deepEqual(
-    moved.assignments.map((a) => [a.from, a.to, a.shard]),
+    moved.assignments.map((assignment) => [assignment.from, assignment.to, assignment.shard]),
     [
       [0, 10, 0],
       [10, 20, 1],
       [20, 100, 0],
     ],
   );
-  const back = reassign(moved, RangeSet.of([[10, 20]]), 0 as ShardId, (z) => z);
+  const back = reassign(moved, RangeSet.of([[10, 20]]), shardId(0), (zone) => zone);
   assert.deepEqual(back.assignments, record.assignments);
 });
 
-test('scattered results that do not fit a value wait; the record never outgrows the store', () => {
+test('scattered finished tasks that do not fit a value wait; the record never exceeds the limit of the store', () => {
   const even = RangeSet.of(Array.from({ length: 50 }, (_, i) => [2 * i, 2 * i + 1] as const));
   const some = withFinishedTasks(record, even, 300);
   assert.ok(some.done.size > 0 && some.done.size < 50);
--- a/test/quota/resource-quotas.test.ts
+++ b/test/quota/resource-quotas.test.ts
@@ -1,4 +1,4 @@
-/** CPUs, GPUs and memory count alike, and what has a guarantee or limit of 0 has none. */
+/** CPUs, GPUs and memory count alike, and a guarantee or quota of 0 means that there is none. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { rejectionReason } from '../../src/jobs/admission.js';
