--- a/test/docs/architecture.test.ts
+++ b/test/docs/architecture.test.ts
@@ -6,7 +6,7 @@
 import { fileURLToPath } from 'node:url';
 import { ACTIVE_JOBS_PREFIX, finalStateKey } from '../../src/jobs/codec.js';
 import type { JobId } from '../../src/model/units.js';
-import { QUOTA_PREFIX } from '../../src/quota/shard-quota.js';
+import { QUOTA_PREFIX } from '../../src/quota/codec.js';
 import {
   ALIVE_PREFIX,
   CATALOG_KEY,
