--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -1,5 +1,5 @@
 /**
- * Admission: which jobs can never run in this deployment, judged by the teams' quotas and the cloud's instance types. The
+ * Admission: which jobs can never run in this deployment, given the teams' quotas and the cloud's instance types. The
  * reasons are for the user: they name the field of the submission and its bound.
  */
 import type { InstanceType } from '../cloud/wire.js';
