--- a/scripts/gang-attempts.mjs
+++ b/scripts/gang-attempts.mjs
@@ -26,7 +26,7 @@
 }
 
 function learnAccepted(entry, at) {
-  if (entry.shape === 'gang' && !gangs.has(entry.job)) gangs.set(entry.job, newGang(entry.tasks, at));
+  if (entry.kind === 'gang' && !gangs.has(entry.job)) gangs.set(entry.job, newGang(entry.tasks, at));
 }
 
 function learnStart(entry) {
