--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -124,17 +124,18 @@
   private async keepAlive(): Promise<boolean> {
     const { store, tuning, settings, incarnation } = this.core;
     if (this.aliveLease === null) {
-      this.aliveLease = await store.grantLease(tuning.membershipTtl);
+      const granted = await store.grantLease(tuning.membershipTtl);
+      this.aliveLease = granted.kind === 'granted' ? granted.lease : null;
       this.aliveKeyWritten = false;
       if (this.aliveLease === null) return false;
     } else {
       const renewed = await store.renewLease(this.aliveLease);
-      if (renewed === 'gone') {
+      if (renewed.kind === 'expired') {
         this.aliveLease = null;
         this.leaseHeldSince = null;
         return false;
       }
-      if (renewed === 'failed') return false;
+      if (renewed.kind === 'failed') return false;
     }
     if (this.aliveKeyWritten) return true;
     const change = {
--- a/test/store/stale-reads.test.ts
+++ b/test/store/stale-reads.test.ts
@@ -35,7 +35,8 @@
   const settings = parseSettings(settingsText(0), 'n0.toml');
   const client = new KeyValueClient(store, store, new SimulatedClock(), settings, () => 0.5);
   const listed = await client.list('c/');
-  assert.equal(listed?.revision, 10);
+  assert.ok(listed.kind === 'listed');
+  assert.equal(listed.revision, 10);
   assert.equal(listed.entries.length, 2);
   // req-1 was dropped at 12, while the second page was read.
   const storeCache = new StoreCache(() => undefined);
