--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -1,6 +1,6 @@
 /**
  * Messages that controllers send each other, as the code uses them. They are hints: nothing unsafe may follow when one
- * is lost, late, doubled or sent by an earlier incarnation. `codec.ts` maps them to what goes over the connection.
+ * is lost, late, duplicated or sent by an earlier incarnation. `codec.ts` maps them to what goes over the connection.
  */
 import type { Resources } from '../model/resources.js';
 import type {
@@ -16,7 +16,7 @@
   ZoneId,
 } from '../model/units.js';
 
-/** Machines of the same type and zone that have the same amount free. */
+/** Machines of the same instance type and zone that have the same amount free. */
 export interface FreeMachines extends Resources {
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
@@ -34,11 +34,11 @@
 /** The images of one machine and their sizes in GB, the least recently used first. */
 export type CachedImages = readonly (readonly [ImageId, number])[];
 
-/** What the leader of a shard tells about it. */
+/** What the leader of a shard tells its peers about it. */
 export interface ShardCapacity {
   readonly shard: ShardId;
   readonly freeMachines: readonly FreeMachines[];
-  /** What each team's tasks take. */
+  /** What each team's tasks use in the shard. */
   readonly used: ReadonlyMap<TeamId, Resources>;
   /** What the shard can give of each team's quota. */
   readonly unusedQuota: ReadonlyMap<TeamId, Resources>;
@@ -47,29 +47,31 @@
   readonly cachedImages: ReadonlyMap<MachineId, CachedImages>;
 }
 
-/** Sent to all peers at every check interval: the state of the controller and of the shards that it leads. */
+/** Sent to all peers at regular intervals: the state of the controller and of the shards that it leads. */
 export interface CapacityAnnouncement {
   readonly kind: 'capacityAnnouncement';
   readonly node: ControllerId;
   readonly incarnation: Incarnation;
+  /** Whether the store answers the sender. */
   readonly storeHealthy: boolean;
   readonly rateUsage: RateUsage;
   /** Running tasks by job. */
   readonly runningTasks: ReadonlyMap<JobId, number>;
-  /** Machines that came to the sender because the leader of their shard does not answer them. */
+  /** How many machines of each shard send their heartbeats to the sender, as the shard's leader does not answer them. */
   readonly redirectedHeartbeats: ReadonlyMap<ShardId, number>;
-  /** Machines that the sender rented and that are not registered yet, with the shard they are meant for. */
+  /** Machines that the sender has rented and that are not registered yet, with the shard that they are meant for. */
   readonly rentedMachines: ReadonlyMap<MachineId, ShardId>;
   readonly shards: readonly ShardCapacity[];
 }
 
 /**
- * `waiting`: for tasks that wait; the giver keeps what its own need. `reservation`: for a task that has waited too long;
- * the giver keeps nothing for its own. `remainder`: for one task, from what the giver can start nothing with.
+ * Why quota is asked for, which decides what the shard that is asked keeps. `waiting`: for pending tasks; it keeps what its
+ * own pending tasks need. `reservation`: for a task that has been pending too long; it keeps nothing for its own pending
+ * tasks. `remainder`: for one task, from an amount that is too small for any task of its own.
  */
 export type QuotaTransferPurpose = 'waiting' | 'reservation' | 'remainder';
 
-/** A shard asks another for a part of its share of a team's quota. */
+/** A shard asks another for an amount of that one's quota of a team. */
 export interface QuotaTransferRequest extends Resources {
   readonly kind: 'quotaTransferRequest';
   readonly from: ShardId;
@@ -86,15 +88,15 @@
 }
 
 /**
- * A shard asks another for machines, since a gang of its own is larger than the shard: what one task takes, on which
- * machines it may run, and how many tasks have no place.
+ * A shard asks another for machines, since one of its gangs is larger than the shard: the resources of one task, the
+ * machines on which it may run, and the number of tasks that cannot be placed.
  */
 export interface MachineRequest extends Resources {
   readonly kind: 'machineRequest';
   readonly from: ShardId;
   readonly to: ShardId;
   readonly tasks: number;
-  /** null: any. */
+  /** The instance types on which a task may run; null: any. */
   readonly types: readonly InstanceTypeId[] | null;
   readonly zone: ZoneId;
   /** Spot machines are allowed. */
