--- a/src/peers/announcement-codec.ts
+++ b/src/peers/announcement-codec.ts
@@ -88,19 +88,19 @@
   return {
     part: capacity.shard,
     machines: capacity.freeMachines.map(encodeFreeMachines),
-    used: cpusOf(used),
-    spare: cpusOf(unusedQuota),
-    ready: cpusOf(criticalCapacity),
+    used: encodeCpus(used),
+    spare: encodeCpus(unusedQuota),
+    ready: encodeCpus(criticalCapacity),
     besides: {
-      used: gpusAndMemoryOf(used),
-      spare: gpusAndMemoryOf(unusedQuota),
-      ready: gpusAndMemoryOf(criticalCapacity),
+      used: encodeGpusAndMemory(used),
+      spare: encodeGpusAndMemory(unusedQuota),
+      ready: encodeGpusAndMemory(criticalCapacity),
     },
-    images: Object.fromEntries([...cachedImages].map(([machine, images]) => [machine, copyOf(images)])),
+    images: Object.fromEntries([...cachedImages].map(([machine, images]) => [machine, copyImages(images)])),
   };
 }
 
-function copyOf(images: CachedImages): [string, number][] {
+function copyImages(images: CachedImages): [string, number][] {
   return images.map(([image, sizeGb]) => [image, sizeGb]);
 }
 
@@ -109,12 +109,12 @@
 }
 
 /** The CPUs of each amount. */
-function cpusOf(amounts: ReadonlyMap<string, Resources>): Record<string, number> {
+function encodeCpus(amounts: ReadonlyMap<string, Resources>): Record<string, number> {
   return Object.fromEntries([...amounts].map(([key, amount]) => [key, amount.cpus]));
 }
 
 /** What each amount has beside its CPUs. */
-function gpusAndMemoryOf(amounts: ReadonlyMap<string, Resources>): GpusAndMemory {
+function encodeGpusAndMemory(amounts: ReadonlyMap<string, Resources>): GpusAndMemory {
   return Object.fromEntries([...amounts].map(([key, { gpus, memoryGb }]) => [key, [gpus, memoryGb]]));
 }
 
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -26,7 +26,7 @@
 }
 
 /** What a controller draws of the store's rate limits: requests and changes a second. */
-export interface RateUsage {
+interface RateUsage {
   readonly requests: number;
   readonly writes: number;
 }
--- a/src/store/cache.ts
+++ b/src/store/cache.ts
@@ -1,7 +1,7 @@
 /**
  * This controller's copy of what the key-value store holds below one prefix. It may be behind the store, and never goes
  * back: every key has the version it was read at, and facts of an older version change nothing. It sends no requests;
- * `StoreWatcher` feeds it, and so does whoever reads or writes a key.
+ * `StoreWatcher` updates it, and so does whoever reads or writes a key.
  */
 import type { Revision, StoreKey, SteadyMs } from '../model/units.js';
 import { NO_REVISION, steady } from '../model/units.js';
@@ -14,7 +14,7 @@
 const NEVER_CONFIRMED = steady(-Infinity);
 
 /** The first two segments of a key with their slashes, like `c/live/`; an empty string for a key without them. */
-const groupOf = (key: StoreKey): string => key.slice(0, key.indexOf('/', key.indexOf('/') + 1) + 1);
+const groupPrefix = (key: StoreKey): string => key.slice(0, key.indexOf('/', key.indexOf('/') + 1) + 1);
 
 /** The latest known entry of every key below one prefix. */
 export class StoreCache {
@@ -79,13 +79,13 @@
     if (value === undefined) {
       this.deletedVersions.set(key, version);
       if (!this.entries.delete(key)) return;
-      this.groups.get(groupOf(key))?.delete(key);
+      this.groups.get(groupPrefix(key))?.delete(key);
     } else {
       this.deletedVersions.delete(key);
       const entry = { key, value, version };
       this.entries.set(key, entry);
-      const group = this.groups.get(groupOf(key)) ?? new Map<StoreKey, Entry>();
-      this.groups.set(groupOf(key), group.set(key, entry));
+      const group = this.groups.get(groupPrefix(key)) ?? new Map<StoreKey, Entry>();
+      this.groups.set(groupPrefix(key), group.set(key, entry));
     }
     this.onChange(key, value, version);
   }
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -49,7 +49,7 @@
 /** Entries a page of a list; the store's own limit is the same. */
 const LIST_PAGE_SIZE = 1000;
 
-/** The requests to the store and their outcomes; also the view of its rate limits that other modules need. */
+/** The requests to the store and their outcomes, and what other modules need to know of its rate limits. */
 export class KeyValueClient {
   private readonly limits: StoreRateLimits;
   private readonly sender: RateLimitedSender;
--- a/src/store/rate-limits.ts
+++ b/src/store/rate-limits.ts
@@ -81,10 +81,10 @@
 
   /** Borrows what the peers, by their own word, leave of the limits: never less than the own share is used. */
   borrowUnused(peerUsages: readonly StoreUsage[]): void {
-    const requestsOfPeers = peerUsages.reduce((total, usage) => total + usage.requests, 0);
-    this.requests.setRate(rateWithBorrowing(this.requestLimit, this.requestRate, requestsOfPeers));
-    const writesOfPeers = peerUsages.reduce((total, usage) => total + usage.writes, 0);
-    this.writes.setRate(rateWithBorrowing(this.writeLimit, this.writeRate, writesOfPeers));
+    const peerRequests = peerUsages.reduce((total, usage) => total + usage.requests, 0);
+    this.requests.setRate(rateWithBorrowing(this.requestLimit, this.requestRate, peerRequests));
+    const peerWrites = peerUsages.reduce((total, usage) => total + usage.writes, 0);
+    this.writes.setRate(rateWithBorrowing(this.writeLimit, this.writeRate, peerWrites));
   }
 
   /** The store refused a request for its rate limit, which `limiter` keeps: spends nothing more of it for a moment. */
--- a/test/store/stale-reads.test.ts
+++ b/test/store/stale-reads.test.ts
@@ -1,4 +1,4 @@
-/** Reads of the state service that are answered late: what they say has been overtaken by what the feed showed since. */
+/** Reads of the store that are answered late: watches have shown newer facts than they tell. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { StoreCache } from '../../src/store/cache.js';
@@ -10,7 +10,7 @@
 import { settingsText, SimulatedCluster } from '../support/simulated-cluster.js';
 
 const KEY = 'c/live/req-1' as StoreKey;
-const at = (node: number): Revision => node as Revision;
+const at = (revision: number): Revision => revision as Revision;
 
 test('a read that is older than the watch brings no deleted key back', () => {
   const seen: unknown[] = [];
@@ -38,21 +38,21 @@
   assert.ok(listed.kind === 'listed');
   assert.equal(listed.revision, 10);
   assert.equal(listed.entries.length, 2);
-  // req-1 was dropped at 12, while the second page was read.
+  // req-1 was deleted at 12, while the second page was read.
   const storeCache = new StoreCache(() => undefined);
   storeCache.loadSnapshot(listed.entries, listed.revision, steady(0));
   storeCache.applyEvents([{ key: KEY, value: undefined, version: at(12) }], at(12), steady(1));
   assert.equal(storeCache.get(KEY), undefined);
 });
 
-/** A job is cancelled through n0, which must look at it again while it ends; the look is answered late. */
+/** A job is cancelled through n0, which must read it again while it ends; that read is answered late. */
 async function cancelAtItsEnd(from: number): Promise<SimulatedCluster> {
   const cluster = new SimulatedCluster();
   for (const zone of ['east', 'west', 'east']) cluster.addWorker('large', zone);
   await cluster.start();
   await cluster.submit(0, 'req-1', { tasks: 1, runMs: 3000, zone: 'east' });
   await cluster.step(from);
-  // Its first try has no answer, and is not carried out while it could be.
+  // The cancellation's first attempt has no answer, and is not carried out while the job lasts.
   cluster.store.transactionFate = (_, body) =>
     body.apply?.some((a) => isCancelled(a.data)) ? { holdMs: 60_000 } : 'normal';
   cluster.store.readDelayMs = (node, path) => (node === 'n0' && path.startsWith('/kv/c/live/') ? 400 : 0);
