--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -211,7 +211,7 @@
       if (version === 0 || core.shards.get(shard.id) !== shard) return;
       const result = await core.store.compareAndSwap(
         [{ key, version }, core.leaderCondition(shard)],
-        [{ op: 'drop', key }],
+        [{ op: 'delete', key }],
         RequestPriority.handOver,
       );
       if (result.kind === 'done')
--- a/src/jobs/final-states.ts
+++ b/src/jobs/final-states.ts
@@ -8,7 +8,7 @@
 
 /** The changes of the transaction that ends a job: its record goes, its final state stays for good. */
 export const endJobChanges = (id: JobId, state: FinalState): Change[] => [
-  { op: 'drop', key: activeJobKey(id) },
+  { op: 'delete', key: activeJobKey(id) },
   { op: 'put', key: finalStateKey(id), value: encodeFinalState(state) },
 ];
 
--- a/src/store/wire.ts
+++ b/src/store/wire.ts
@@ -20,12 +20,12 @@
 }
 
 /**
- * One change of a compare-and-swap. `put` sets a key, which with a `lease` is deleted when that expires; `drop` deletes
+ * One change of a compare-and-swap. `put` sets a key, which with a `lease` is deleted when that expires; `delete` deletes
  * it.
  */
 export type Change =
   | { readonly op: 'put'; readonly key: StoreKey; readonly value: unknown; readonly lease?: LeaseId }
-  | { readonly op: 'drop'; readonly key: StoreKey };
+  | { readonly op: 'delete'; readonly key: StoreKey };
 
 /** One change that a watch saw; `version` is the revision that it made. */
 export interface WatchEvent {
@@ -117,7 +117,7 @@
 });
 
 function encodeChange(change: Change): unknown {
-  if (change.op === 'drop') return { drop: change.key };
+  if (change.op === 'delete') return { drop: change.key };
   const { key, value, lease } = change;
   return { put: key, data: value, ...(lease === undefined ? {} : { mooring: lease }) };
 }
