--- a/src/autoscaling/machine-deletion.ts
+++ b/src/autoscaling/machine-deletion.ts
@@ -65,7 +65,7 @@
       if (version === 0 || core.shards.get(shard.id) !== shard) return;
       const result = await core.store.compareAndSwap(
         [{ key, version }, core.leaderCondition(shard)],
-        [{ op: 'drop', key }],
+        [{ op: 'delete', key }],
         RequestPriority.handOver,
       );
       if (result.kind === 'done')
