--- a/dependency-cruiser.config.js
+++ b/dependency-cruiser.config.js
@@ -23,7 +23,6 @@
 /** Imports that run upwards and are still to be mended: by file, what it may import all the same. */
 const KNOWN_UPWARD = {
   'src/core.ts': ['src/overflow/peer-ranking.ts'],
-  'src/shards/statistics.ts': ['src/scheduling/cycle.ts'],
   'src/leadership/leadership.ts': ['src/core.ts'],
 };
 
--- a/src/scheduling/cycle.ts
+++ b/src/scheduling/cycle.ts
@@ -18,9 +18,12 @@
   type Shard,
   type ShardJob,
 } from '../shards/model.js';
+import { isSchedulable } from '../shards/machine-health.js';
 import type { Team } from '../settings/settings.js';
 import type { Attempt, JobId, MachineId, SteadyMs, TeamId, InstanceTypeId } from '../model/units.js';
 
+export { isSchedulable };
+
 /** Without any start by then it goes before all but critical work, of whatever priority. One start ends that. */
 export const OVERDUE_AFTER_MS = 150_000;
 
@@ -163,22 +166,6 @@
       : 2;
 }
 
-export function isSchedulable(
-  machine: Machine,
-  context: Pick<SchedulingContext, 'now' | 'reportMs'>,
-): boolean {
-  if (machine.unreachableSince !== null) return false;
-  if (
-    !machine.reconciled ||
-    machine.draining ||
-    machine.scalingIn ||
-    machine.interruptedAt !== null ||
-    context.now < machine.quarantinedUntil
-  )
-    return false;
-  return machine.lastHeardAt !== null && context.now - machine.lastHeardAt < context.reportMs * 2 + 1000;
-}
-
 export function newCycleState(shard: Shard): CycleState {
   const usage = usageOf(shard);
   const state: CycleState = {
--- a/src/shards/statistics.ts
+++ b/src/shards/statistics.ts
@@ -1,6 +1,6 @@
 /** What a part's room goes to, for the log: one line that says where capacity is lost. */
 import { addTo, mapResources, ZERO, type MutableResources, type Resources } from '../model/resources.js';
-import { isSchedulable } from '../scheduling/cycle.js';
+import { isSchedulable } from './machine-health.js';
 import type { SteadyMs, TeamId } from '../model/units.js';
 import { freeResources, type Allocation, type Shard } from './model.js';
 
