--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -363,15 +363,15 @@
       const machineRecord = decodeMachineRecord(entry.value);
       if (!machineRecord || machineRecord.shard !== id) continue;
       const machineId = entry.key.slice(MACHINES_PREFIX.length) as never;
-      const machine = newMachine(
-        machineId,
-        machineRecord.address,
-        machineRecord.type,
-        machineRecord.zone,
-        machineRecord.spot,
-        now,
-        false,
-      );
+      const machine = newMachine({
+        id: machineId,
+        address: machineRecord.address,
+        type: machineRecord.type,
+        zone: machineRecord.zone,
+        spot: machineRecord.spot,
+        addedAt: now,
+        reconciled: false,
+      });
       shard.addMachine(machine);
       for (const [image, sizeGb] of core.imageHints.get(machine.id) ?? [])
         shard.recordImage(machine, image, sizeGb);
--- a/src/shards/job.ts
+++ b/src/shards/job.ts
@@ -1,4 +1,8 @@
-/** A part's copy of a job: which of its tasks wait, are held back, or are done. */
+/**
+ * A shard's copy of a job: which of its tasks wait, may be on a machine that has not been heard of, or have finished.
+ * Each unfinished task that is assigned to the shard is in `waiting`, in `unaccounted`, in `handingOver` or in an
+ * allocation; `sync.ts` keeps the copy up to date with the record.
+ */
 import { requiredZoneOf, type Assignment, type JobRecord } from '../jobs/record.js';
 import type { JobSpec } from '../jobs/spec.js';
 import { newGangHistory, type GangHistory } from '../model/gang.js';
@@ -7,7 +11,7 @@
 import { steady } from '../model/units.js';
 import type { JobId, MachineId, Millis, Revision, SteadyMs, ZoneId } from '../model/units.js';
 
-/** A place kept for a task until those stopped for it are gone. */
+/** A machine reserved for a task that fits nowhere yet. */
 export interface Reservation {
   readonly machine: MachineId;
   readonly reservedUntil: SteadyMs;
@@ -15,73 +19,91 @@
   readonly withoutPreemption: boolean;
 }
 
+/** A job of which tasks are assigned to the shard, as its leader knows it. */
 export interface ShardJob {
   readonly id: JobId;
   readonly spec: JobSpec;
+  /** The newest record that was read. */
   record: JobRecord;
+  /** Revision of that record. */
   version: Revision;
-  /** May be started. */
+  /** Tasks that are certainly on no machine and may be started. */
   readonly waiting: RangeSet;
-  /** Entrusted to us before our claim and not seen since: may be on a machine. */
+  /** Tasks that an earlier leader may have started and that have not been seen since: they may be on a machine. */
   readonly unaccounted: RangeSet;
-  /** Done, not yet in the record. */
+  /** Tasks that have finished and are not yet recorded as done. */
   readonly finished: RangeSet;
-  /** Being handed to another part: the write's outcome is open. */
+  /** Tasks being transferred to another shard, while the outcome of the write is unknown. */
   readonly handingOver: RangeSet;
+  /** Machines reserved for its tasks, by index of the task. */
   readonly reservations: Map<number, Reservation>;
-  /** When it was accepted, by our clock; before this process began, perhaps. */
+  /** When it was accepted, by the clock of this process; that may be before the process began. */
   readonly acceptedAt: SteadyMs;
-  /** Since when tasks of it have been waiting for room. */
+  /** Since when tasks of it have been waiting for capacity; null: none is. */
   waitingSince: SteadyMs | null;
+  /** No task of it is started before this time, after errors. */
   backoffUntil: SteadyMs;
-  /** Nobody could be stopped for it: no new search before this time. */
+  /** A search for tasks to preempt found none: no other search before this time. */
   nextPreemptionSearchAt: SteadyMs;
+  /** How many of its tasks have ended in an error. */
   errors: number;
+  /** How many of its tasks have ended well. */
   successes: number;
+  /** Machines on which a task of it has failed. */
   readonly failedMachines: Set<MachineId>;
+  /** When tasks were last assigned to this shard. */
   arrivedAt: SteadyMs;
   /** What is known of the attempts of its tasks together; null: no gang. */
   readonly gangHistory: GangHistory | null;
 }
 
-export function newShardJob(
-  record: JobRecord,
-  version: Revision,
-  now: SteadyMs,
-  unfinished: RangeSet,
-  atAcquisition: boolean,
-  age: Millis,
-): ShardJob {
+/** What a shard's copy of a job starts from. */
+export interface ShardJobOptions {
+  readonly record: JobRecord;
+  readonly version: Revision;
+  readonly addedAt: SteadyMs;
+  /** Tasks that are assigned to the shard and not recorded as done. The copy owns the set from then on. */
+  readonly unfinished: RangeSet;
+  /** An earlier leader of the shard may have started these tasks. */
+  readonly mayBeRunning: boolean;
+  /** Time since the job was accepted. */
+  readonly age: Millis;
+}
+
+/** A copy of a job that nothing is known of but its record. */
+export function newShardJob(options: ShardJobOptions): ShardJob {
+  const { record, version, addedAt, unfinished, mayBeRunning, age } = options;
   return {
     id: record.spec.id,
     spec: record.spec,
     record,
     version,
-    waiting: atAcquisition ? RangeSet.empty() : unfinished,
-    unaccounted: atAcquisition ? unfinished : RangeSet.empty(),
+    waiting: mayBeRunning ? RangeSet.empty() : unfinished,
+    unaccounted: mayBeRunning ? unfinished : RangeSet.empty(),
     finished: RangeSet.empty(),
     handingOver: RangeSet.empty(),
     reservations: new Map(),
-    acceptedAt: steady(now - age),
+    acceptedAt: steady(addedAt - age),
     waitingSince: null,
-    backoffUntil: now,
-    nextPreemptionSearchAt: now,
+    backoffUntil: addedAt,
+    nextPreemptionSearchAt: addedAt,
     errors: 0,
     successes: 0,
     failedMachines: new Set(),
-    arrivedAt: now,
+    arrivedAt: addedAt,
     gangHistory: record.spec.kind === 'gang' ? newGangHistory() : null,
   };
 }
 
-/** What must be had at once for anything of the job to start: of a gang all tasks, else one. */
+/** What must be free at once for anything of the job to start: all tasks of a gang, else one task. */
 export const minimumToStart = (job: ShardJob): Resources =>
   job.gangHistory ? scale(job.spec, job.waiting.size + job.unaccounted.size) : job.spec;
 
+/** The zone in which the task must run by the job's record; null: any. */
 export const requiredZone = (job: ShardJob, index: number): ZoneId | null =>
   requiredZoneOf(job.record, index);
 
-/** Consecutive waiting tasks [from, to) that must be in the same zone; `zone` null: no restriction by the record. */
+/** Consecutive waiting tasks [from, to) that must run in the same zone; `zone` null: in any. */
 export interface WaitingRun {
   readonly from: number;
   readonly to: number;
--- a/src/shards/machine.ts
+++ b/src/shards/machine.ts
@@ -1,129 +1,121 @@
-/** A machine of a part, what is bound to it, and what is free on it. */
+/**
+ * A machine of a shard: what is known of its worker, what is allocated on it, and what is free there. It lives as long
+ * as the leadership under which it was created; a later leader of the shard starts from the machine's record again.
+ */
 import type { InstanceType } from '../cloud/wire.js';
-import type { JobSpec } from '../jobs/spec.js';
 import { subtract, ZERO, type MutableResources } from '../model/resources.js';
-import type { ExitCause } from '../model/exit-cause.js';
 import type {
   Address,
-  Attempt,
+  AgentEpoch,
+  FencingToken,
   ImageId,
+  InstanceTypeId,
   JobId,
   MachineId,
   Sequence,
-  AgentEpoch,
   SteadyMs,
   TaskId,
-  TaskIndex,
-  FencingToken,
-  InstanceTypeId,
   ZoneId,
 } from '../model/units.js';
+import type { Allocation, ExitedTask } from './allocation.js';
 
-/** A direct launch without an answer: it may be carried out as long as token and session match. */
-export interface UnacknowledgedLaunch {
-  readonly fencingToken: FencingToken;
-  readonly agentEpoch: AgentEpoch;
-  readonly sentAt: SteadyMs;
-}
-
-export interface Allocation {
-  readonly id: TaskId;
-  readonly job: JobId;
-  readonly index: TaskIndex;
-  readonly attempt: Attempt;
-  readonly machine: MachineId;
-  /** null: a task seen on a machine whose job is gone; its size is unknown. */
-  readonly spec: JobSpec | null;
-  /** `ordered`: the worker has not shown it yet. `gathering`: it waits for the other tasks of its gang. */
-  phase: 'ordered' | 'fetching' | 'gathering' | 'running' | 'saving';
-  readonly allocatedAt: SteadyMs;
-  runningSince: SteadyMs | null;
-  /** When it was first seen to wait for its gang. */
-  gatheringSince: SteadyMs | null;
-  stop: { grace: number; direct: 'due' | 'sent' } | null;
-  /** A direct request carrying its launch is on its way. */
-  launchInFlight: boolean;
-  /** A direct launch is due. */
-  launchPending: boolean;
-  unacknowledged: UnacknowledgedLaunch | null;
-  /** Number of the report whose answer carried the launch last. */
-  answeredSequence: Sequence | null;
-}
-
-export interface ExitedTask {
-  readonly id: TaskId;
+/** A task that ended in an error on a machine. */
+export interface TaskFailure {
+  readonly at: SteadyMs;
   readonly job: JobId;
-  readonly index: TaskIndex;
-  readonly attempt: Attempt;
-  readonly cause: ExitCause;
-  unacknowledged: UnacknowledgedLaunch | null;
 }
 
+/**
+ * The fields are written by few, named at each: "reconciliation" is workers/reconciliation.ts, "the shard" the functions
+ * of this folder, which keep the totals of the shard up to date with the field. Everybody reads.
+ */
 export interface Machine {
   readonly id: MachineId;
+  /** Where direct commands go, as its last message says. Changed by reconciliation. */
   address: Address;
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
+  /** Of the newest message that was applied, like the next two; 0: none has been yet. Changed by reconciliation. */
   agentEpoch: AgentEpoch;
   sequence: Sequence;
+  /** The fencing token of the leader whom the worker obeys. */
   fencingToken: FencingToken;
-  /** A report of an earlier session than this describes tasks that are certainly gone. */
+  /** A message of an earlier epoch lists tasks that are certainly gone, and is refused. Raised by the lease's expiry. */
   minimumAgentEpoch: AgentEpoch;
+  /** Receipt of the last message, heartbeat or answer to a direct command; null: none yet. Changed by reconciliation. */
   lastHeardAt: SteadyMs | null;
-  /** Since when its reports come without a gap. */
+  /** Since when heartbeats have come without a gap. Changed by reconciliation. */
   continuouslyHeardSince: SteadyMs | null;
-  /** Receipt of the last report that we may have answered. */
+  /** Receipt of the last heartbeat that may have been answered, which renews the lease. Changed by reconciliation. */
   lastHeartbeatAt: SteadyMs | null;
+  /** Sequence number of that heartbeat. Changed by reconciliation. */
   lastHeartbeatSequence: Sequence | null;
-  /** When we first heard of its present session, whose lease began before that. */
+  /** When its present epoch was first heard of; the epoch's lease began before that. Changed by reconciliation. */
   agentEpochSeenAt: SteadyMs | null;
-  /** Since the claim it has reported under our token, or its lease is certainly over. */
+  /**
+   * Since the shard was acquired it has shown this leader's fencing token, or its lease has expired: it holds nothing of
+   * an earlier leader that is not known here. Changed by `Shard.markReconciled` alone.
+   */
   reconciled: boolean;
-  /** When the cloud takes it, once it said so. */
+  /** When the cloud takes the spot instance, once it has given notice. Changed by reconciliation. */
   interruptedAt: SteadyMs | null;
+  /** What is on it or may be, by task. Changed by the shard, like the next four. */
   readonly allocations: Map<TaskId, Allocation>;
-  /** What the bindings take together, kept up to date with them. */
+  /** What the allocations of known size take together. */
   readonly used: MutableResources;
-  /** What bindings below critical take of it, and how many bindings are of unknown size. */
+  /** What those of them below critical priority take. */
   readonly preemptible: MutableResources;
+  /** How many allocations are of unknown size. */
   unknownSizeCount: number;
-  /** How many bindings need each image: it is there, or on its way. */
+  /** How many allocations need each image: it is on the machine, or being fetched. */
   readonly requiredImages: Map<ImageId, number>;
+  /** Tasks that the worker lists as exited. Changed by reconciliation. */
   exitedTasks: Map<TaskId, ExitedTask>;
-  /** Images it should hold, the least recently used first; `Part.sawImage` keeps them within its cache. */
+  /** Images that it should hold, with their GB, the least recently used first. Changed by `Shard.recordImage`. */
   readonly images: Map<ImageId, number>;
+  /** At most one direct request to it at a time. Changed by the direct commands. */
   directRequestInFlight: boolean;
   /**
-   * Since when nothing of ours has certainly arrived there; null while it is reached. Reports prove nothing: a
-   * machine may be heard and not hear us. Nothing new is placed on it until it answers a direct request.
+   * Since when nothing that was sent has certainly arrived there; null while it is reached. Heartbeats prove nothing: in
+   * a fault of one direction a machine is heard and hears nothing. No task is started on it until it answers a direct
+   * request. Set by reconciliation and the direct commands, cleared by the latter.
    */
   unreachableSince: SteadyMs | null;
-  /** Direct requests in a row that it did not answer. */
+  /** Direct requests in a row without an answer. Counted by the direct commands; scale-in sets it back. */
   missedDirectRequests: number;
-  /** When we first answered a report of it that did not show our token yet. */
+  /** When a heartbeat that did not show this leader's fencing token was first answered. Set by the heartbeat handler. */
   answeredUnreconciledAt: SteadyMs | null;
-  /** Receipt of the last report that we refused because our answers do not reach the machine. */
+  /** Receipt of the last heartbeat refused since answers do not reach the machine. Set by the heartbeat handler. */
   refusedUnreachableAt: SteadyMs | null;
-  /** No new tasks before this time: it refused, failed or could not be reached. */
+  /** No new tasks before this: it refused or failed tasks, or did not answer. Set by reconciliation, direct commands. */
   quarantinedUntil: SteadyMs;
-  taskFailures: { at: SteadyMs; job: JobId }[];
-  /** It is to go to another pool and takes no more tasks. */
+  /** The latest failures of tasks on it. Changed by reconciliation. */
+  taskFailures: TaskFailure[];
+  /** It goes to another shard and takes no more tasks. Changed by the transfer of machines. */
   draining: boolean;
+  /** It is returned to the cloud. Set by the autoscaler, for good. */
   scalingIn: boolean;
+  /** Since when nothing has been allocated on it. Changed by scale-in. */
   idleSince: SteadyMs | null;
   readonly addedAt: SteadyMs;
 }
 
-export function newMachine(
-  id: MachineId,
-  address: Address,
-  type: InstanceTypeId,
-  zone: ZoneId,
-  spot: boolean,
-  now: SteadyMs,
-  reconciled: boolean,
-): Machine {
+/** What is known of a machine before its worker has been heard. */
+export interface MachineOptions {
+  readonly id: MachineId;
+  readonly address: Address;
+  readonly type: InstanceTypeId;
+  readonly zone: ZoneId;
+  /** A spot instance. */
+  readonly spot: boolean;
+  readonly addedAt: SteadyMs;
+  /** It was registered after the shard was acquired: no earlier leader can have started anything on it. */
+  readonly reconciled: boolean;
+}
+
+/** A machine that has not been heard of and holds nothing that is known. */
+export function newMachine({ id, address, type, zone, spot, addedAt, reconciled }: MachineOptions): Machine {
   return {
     id,
     address,
@@ -153,19 +145,20 @@
     missedDirectRequests: 0,
     answeredUnreconciledAt: null,
     refusedUnreachableAt: null,
-    quarantinedUntil: now,
+    quarantinedUntil: addedAt,
     taskFailures: [],
     draining: false,
     scalingIn: false,
     idleSince: null,
-    addedAt: now,
+    addedAt,
   };
 }
 
-/** A machine whose tasks, or whose tasks' sizes, we do not know in full. */
-export const hasUnknownUsage = (m: Machine): boolean => !m.reconciled || m.unknownSizeCount > 0;
+/** The machine may hold tasks that are not known here, or tasks of unknown size. */
+export const hasUnknownUsage = (machine: Machine): boolean =>
+  !machine.reconciled || machine.unknownSizeCount > 0;
 
-/** What is free on a machine; nothing while something of unknown size is on it. */
+/** What is free on a machine; nothing while something of unknown size is on it, or its type is not in the catalog. */
 export function freeResources(machine: Machine, type: InstanceType | undefined): MutableResources {
   if (!type || machine.unknownSizeCount > 0) return { ...ZERO };
   return subtract(type, machine.used);
--- a/src/shards/model.ts
+++ b/src/shards/model.ts
@@ -1,5 +1,6 @@
-/** The model of a part, in one place for its users. */
-export { addToMachine, allocate, release } from './allocations.js';
+/** The public face of the shard model: what other folders use of it. */
+export type { Allocation, AllocationPhase, ExitedTask, UnacknowledgedLaunch } from './allocation.js';
+export { addToMachine, allocate, release } from './allocation-changes.js';
 export {
   minimumToStart,
   requiredZone,
@@ -8,14 +9,6 @@
   type Reservation,
   type ShardJob,
 } from './job.js';
-export {
-  hasUnknownUsage,
-  newMachine,
-  freeResources,
-  type Allocation,
-  type UnacknowledgedLaunch,
-  type ExitedTask,
-  type Machine,
-} from './machine.js';
+export { freeResources, hasUnknownUsage, newMachine, type Machine } from './machine.js';
 export { Shard, usageOf, type Usage } from './shard.js';
 export { isAssignedTo, syncJob } from './sync.js';
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -1,9 +1,13 @@
-/** What the owner of a part holds in memory: its machines, what is bound to them, and the tasks entrusted to it. */
+/**
+ * What the leader of a shard holds in memory: its machines, the allocations on them, and its copies of the jobs of which
+ * tasks are assigned to it. It is created when the shard is acquired and dropped when the leadership ends.
+ */
 import type { InstanceType } from '../cloud/wire.js';
-import { type Resources } from '../model/resources.js';
+import type { Resources } from '../model/resources.js';
 import type { RangeSet } from '../model/ranges.js';
 import type { ShardJob } from './job.js';
-import type { Allocation, Machine } from './machine.js';
+import type { Allocation } from './allocation.js';
+import type { Machine } from './machine.js';
 import { ShardTotals } from './totals.js';
 import { UnreconciledMachines } from './unreconciled-machines.js';
 import type {
@@ -20,46 +24,65 @@
   InstanceTypeId,
 } from '../model/units.js';
 
-/** Attempts that one token has room for, and how many of them are left when a new token is due. */
+/** Attempts that can be numbered under one fencing token. */
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
+/** A new fencing token is due when this many are left. */
 const ATTEMPTS_LEFT_AT_RENEWAL = ATTEMPTS_PER_TOKEN / 4;
 
+/** A search for tasks to preempt that found none. */
+export interface FailedSearch {
+  /** What it was to make room for. */
+  readonly need: Resources;
+  /** The search need not be repeated before this time. */
+  readonly until: SteadyMs;
+}
+
+/** A shard under the leadership of this controller. */
 export class Shard {
-  /** Change only through `add` and `drop`. */
+  /** Changed by `addMachine` and `removeMachine` alone. */
   readonly machines = new Map<MachineId, Machine>();
+  /** Changed by `syncJob`, and by the end of a job. */
   readonly jobs = new Map<JobId, ShardJob>();
-  /** Where each started task is. Changed only by `bind`, `attach` and `unbind`, like all sums below. */
+  /** Where each started task is. Changed by `allocate`, `addToMachine` and `release` alone, like all totals below. */
   readonly allocations = new Map<TaskId, Allocation>();
+  /** Also those of tasks that are seen on a machine and should not be there. */
   readonly allocationsByJob = new Map<JobId, Set<Allocation>>();
-  /** Jobs that may have waiting tasks, and jobs with ends that are not in their record; cleaned when read. */
+  /** Jobs that may have waiting tasks; who reads it takes out those that have none. */
   readonly queue = new Set<ShardJob>();
+  /** Jobs with finished tasks that are not yet recorded as done; who records them takes the job out. */
   readonly jobsWithUnrecordedEnds = new Set<ShardJob>();
-  /** Gangs entrusted to the pool; those that are over are dropped when it is read. */
+  /** Gangs that are assigned to the shard; who reads it takes out those that are over. */
   readonly gangs = new Set<ShardJob>();
-  /** Teams whose tasks found no room in the last round, and those that were at this part's share of their limit. */
+  /** Teams whose tasks found no free capacity in the last scheduling cycle. */
   teamsBlockedByCapacity: ReadonlySet<TeamId> = new Set();
+  /** Teams whose tasks exceeded their shard quota in the last scheduling cycle. */
   teamsBlockedByQuota: ReadonlySet<TeamId> = new Set();
-  /** Teams for one task of which this part gathers a share that is large enough, and how much that is. */
+  /** Teams for which quota is reserved until one large task, or gang, fits into it, and how much that is. */
   quotaReservations: ReadonlyMap<TeamId, Resources> = new Map();
-  /** By who may be stopped: a search that found nobody, for how much room, and until when it need not be repeated. */
-  readonly failedSearches = new Map<string, { readonly need: Resources; readonly until: SteadyMs }>();
-  /** Machines that may have something to be told directly. */
+  /** By which tasks the search might have preempted. */
+  readonly failedSearches = new Map<string, FailedSearch>();
+  /** Machines for which a direct command may be due. */
   readonly machinesWithPendingCommands = new Set<Machine>();
-  /** Told to stop and not yet seen gone. */
+  /** Allocations that were told to stop and are not yet certainly gone. */
   readonly stopping = new Set<Allocation>();
-  /** Machines that the cloud has said it will take. */
+  /** Spot instances that the cloud has given notice to interrupt. */
   readonly interruptionNoticed = new Set<Machine>();
   readonly totals = new ShardTotals();
-  /** Every task of the claim has been seen, or cannot be on a machine. */
+  /** No task that an earlier leader may have started is unaccounted. */
   reconciled = false;
   readonly unreconciled = new UnreconciledMachines();
   private attemptCounter = 0;
   private readonly firstFencingToken: FencingToken;
-  /** Revision of our claim: whatever was entrusted to the part up to then, an owner before us may have acted on. */
+  /** Revision at which the shard was acquired: an earlier leader may have acted on whatever was written up to then. */
   readonly acquiredVersion: Revision;
   private readonly machinesWithImageChanges = new Set<Machine>();
   private imageAnnouncementCursor = this.machines.values();
 
+  /**
+   * @param currentFencingToken fencing token under which the shard was acquired
+   * @param version revision of the shard's record, the condition of the leader's writes
+   * @param types the catalog, kept up to date by its owner
+   */
   constructor(
     readonly id: ShardId,
     private currentFencingToken: FencingToken,
@@ -71,6 +94,7 @@
     this.acquiredVersion = version;
   }
 
+  /** A machine that is registered for the shard; nothing is known to be allocated on it. */
   addMachine(machine: Machine): void {
     this.machines.set(machine.id, machine);
     for (const image of machine.images.keys()) this.totals.setImageHolder(image, machine, true);
@@ -85,14 +109,14 @@
     this.reconciled = false;
   }
 
-  /** Learnt of after the claim, and older than it: an owner before us may have started these tasks. */
+  /** Tasks read after the acquisition from a record that is older: an earlier leader may have started them. */
   addUnaccounted(job: ShardJob, tasks: RangeSet): void {
     job.unaccounted.addAll(tasks);
     this.reconciled = false;
-    this.unreconciled.changed = true;
+    this.unreconciled.requestRecheck();
   }
 
-  /** Its bindings have been ended before. */
+  /** The machine is not registered for the shard any more. What was allocated on it has been released before. */
   removeMachine(machine: Machine): void {
     this.machines.delete(machine.id);
     for (const image of machine.images.keys()) this.totals.setImageHolder(image, machine, false);
@@ -103,7 +127,7 @@
     this.interruptionNoticed.delete(machine);
   }
 
-  /** It has reported under our token, or cannot hold anything from before. */
+  /** It has shown this leader's fencing token, or cannot hold any task of an earlier leader. */
   markReconciled(machine: Machine): void {
     if (machine.reconciled) return;
     this.totals.countIfUnaccounted(machine, -1);
@@ -112,12 +136,12 @@
     this.totals.countIfUnaccounted(machine, 1);
   }
 
-  /** The catalog has changed. */
+  /** To be called when the catalog has changed. */
   refreshFreeCapacity(): void {
     for (const machine of this.machines.values()) this.totals.updateFreeCapacity(machine, this.types);
   }
 
-  /** Machines whose images are to be told now: the changed ones, then the next few, so that all are told again. */
+  /** Machines whose images are to be announced now: changed ones first, then the next in turn, so that all recur. */
   nextImageAnnouncements(count: number): Set<Machine> {
     const chosen = new Set<Machine>();
     for (const machine of this.machinesWithImageChanges) {
@@ -133,63 +157,72 @@
     return chosen;
   }
 
-  /** The machine has this image now; what its cache has no room for any more is what it used longest ago. */
+  /** The machine has fetched or used this image. */
   recordImage(machine: Machine, image: ImageId, sizeGb: number): void {
     const alreadyHeld = machine.images.delete(image);
     machine.images.set(image, sizeGb);
     if (alreadyHeld) return;
     this.machinesWithImageChanges.add(machine);
     this.totals.setImageHolder(image, machine, true);
-    const cache = this.types.get(machine.type)?.cacheGb ?? Infinity;
-    let total = 0;
-    for (const size of machine.images.values()) total += size;
-    for (const [evicted, size] of machine.images) {
-      if (total <= cache) return;
+    this.evictImages(machine);
+  }
+
+  /** Forgets images that the machine's cache has no room for: those used longest ago, except those that tasks need. */
+  private evictImages(machine: Machine): void {
+    const cacheGb = this.types.get(machine.type)?.cacheGb ?? Infinity;
+    let totalGb = 0;
+    for (const sizeGb of machine.images.values()) totalGb += sizeGb;
+    for (const [evicted, sizeGb] of machine.images) {
+      if (totalGb <= cacheGb) return;
       if (machine.requiredImages.has(evicted)) continue;
       machine.images.delete(evicted);
       this.totals.setImageHolder(evicted, machine, false);
-      total -= size;
+      totalGb -= sizeGb;
     }
   }
 
-  /** Says to machines who may command them. */
+  /** Sent with every command: a worker obeys the leader with the highest one that it has seen. */
   get fencingToken(): FencingToken {
     return this.currentFencingToken;
   }
 
-  /** A higher token of ours: its attempts are larger than all of the one before. */
+  /** Goes on under a higher fencing token of this leader: its attempts are larger than all before. */
   adoptFencingToken(fencingToken: FencingToken): void {
     if (fencingToken <= this.currentFencingToken) return;
     this.currentFencingToken = fencingToken;
     this.attemptCounter = 0;
   }
 
-  /** The present token has few attempts left: the next ones would be those of somebody else's token. */
+  /** Few attempts are left: beyond them the numbers are those of the next fencing token, another leader's perhaps. */
   get needsNewFencingToken(): boolean {
     return this.attemptCounter >= ATTEMPTS_PER_TOKEN - ATTEMPTS_LEFT_AT_RENEWAL;
   }
 
-  /** Never repeated: the token is ours alone, and the counter goes on. Throws when the token has none left. */
+  /**
+   * A number that no other start of a task has, on any controller: the fencing token is this leader's alone, and the
+   * counter never goes back. Throws when all numbers of the token have been used.
+   */
   nextAttempt(): Attempt {
     if (this.attemptCounter >= ATTEMPTS_PER_TOKEN - 1)
-      throw new Error(`pool ${this.id} has used all attempts of its token`);
+      throw new Error(`shard ${this.id} has used all attempts of its fencing token`);
     this.attemptCounter += 1;
     return (this.fencingToken * ATTEMPTS_PER_TOKEN + this.attemptCounter) as Attempt;
   }
 
-  /** Did this owner start it, since its claim? */
+  /** Was the attempt started by this leader, since it acquired the shard? */
   issuedAttempt(attempt: Attempt): boolean {
     return attempt >= this.firstFencingToken * ATTEMPTS_PER_TOKEN;
   }
 }
 
-/** What each team's tasks may be using at most: bound tasks, and whole machines that we cannot account for. */
+/** What each team's tasks may be using at most: known allocations, and whole machines with unknown usage. */
 export interface Usage {
   readonly byTeam: ReadonlyMap<TeamId, Resources>;
-  /** May be any one team's. */
+  /** Capacity of machines with unknown usage: all of it may be any one team's. */
   readonly unattributed: Resources;
 }
 
+/** The present usage of the shard; `byTeam` goes on changing with it. */
 export const usageOf = (shard: Shard): Usage => ({
   byTeam: shard.totals.usageByTeam,
   unattributed: shard.totals.unaccountedCapacity(shard.types),
--- a/src/shards/sync.ts
+++ b/src/shards/sync.ts
@@ -1,64 +1,107 @@
-/** Brings a part's copies of jobs up to their records. */
+/**
+ * Brings a shard's copies of jobs up to their records in the store. The record says which tasks are assigned to the
+ * shard and which have finished; the copy adds what the leader knows of those that have not.
+ */
 import { assignedTo, type JobRecord } from '../jobs/record.js';
 import type { RangeSet } from '../model/ranges.js';
 import { millis } from '../model/units.js';
-import { newShardJob } from './job.js';
-import type { Shard } from './shard.js';
 import type { JobId, Millis, Revision, SteadyMs } from '../model/units.js';
+import { newShardJob, type ShardJob } from './job.js';
+import type { Shard } from './shard.js';
+
+/** A record as it was read, and what follows from it for the shard. */
+interface JobRevision {
+  readonly record: JobRecord;
+  readonly version: Revision;
+  readonly readAt: SteadyMs;
+  /** Tasks that are assigned to the shard and not recorded as done. */
+  readonly unfinished: RangeSet;
+}
 
-/** Brings a part's copy of a job up to its record; `atClaim` says that its tasks may already be on machines. */
+/**
+ * Brings a shard's copy of a job up to its record, or makes one if any task is assigned to the shard.
+ * @param version revision of the record; one that is not newer than the copy changes nothing
+ * @param atAcquisition the shard is being acquired: an earlier leader may have started the tasks
+ * @param age time since the job was accepted, perhaps by a controller that has ended
+ */
 export function syncJob(
   shard: Shard,
   record: JobRecord,
   version: Revision,
   now: SteadyMs,
   atAcquisition: boolean,
-  /** Since it was accepted, perhaps by a controller that has ended. */
   age: Millis = millis(0),
 ): void {
-  const existing = shard.jobs.get(record.spec.id);
   const unfinished = assignedTo(record, shard.id);
   unfinished.removeAll(record.done);
-  if (!existing) {
-    if (unfinished.isEmpty) return;
-    const predatesAcquisition = !atAcquisition && version <= shard.acquiredVersion;
-    const job = newShardJob(record, version, now, unfinished, atAcquisition || predatesAcquisition, age);
-    if (predatesAcquisition) shard.addUnaccounted(job, unfinished);
-    shard.jobs.set(job.id, job);
-    shard.queue.add(job);
-    if (job.gangHistory) shard.gangs.add(job);
-    return;
-  }
-  if (version <= existing.version) return;
-  const before = assignedTo(existing.record, shard.id);
+  const revision: JobRevision = { record, version, readAt: now, unfinished };
+  const existing = shard.jobs.get(record.spec.id);
+  if (existing) updateJob(shard, existing, revision);
+  else if (!unfinished.isEmpty) addJob(shard, revision, atAcquisition, age);
+}
+
+function addJob(shard: Shard, revision: JobRevision, atAcquisition: boolean, age: Millis): void {
+  const { unfinished } = revision;
+  // Read after the acquisition and written before it: an earlier leader may have started these tasks too.
+  const predatesAcquisition = !atAcquisition && revision.version <= shard.acquiredVersion;
+  const mayBeRunning = atAcquisition || predatesAcquisition;
+  const job = newShardJob({
+    record: revision.record,
+    version: revision.version,
+    addedAt: revision.readAt,
+    unfinished,
+    mayBeRunning,
+    age,
+  });
+  if (predatesAcquisition) shard.addUnaccounted(job, unfinished);
+  shard.jobs.set(job.id, job);
+  shard.queue.add(job);
+  if (job.gangHistory) shard.gangs.add(job);
+}
+
+function updateJob(shard: Shard, job: ShardJob, revision: JobRevision): void {
+  const { record, version, unfinished } = revision;
+  if (version <= job.version) return;
   const added = unfinished.clone();
-  added.removeAll(before);
-  existing.record = record;
-  existing.version = version;
-  if (!added.isEmpty) existing.arrivedAt = now;
-  // Handed to us: its giver knew that none of it is on a machine.
-  if (version > shard.acquiredVersion) existing.waiting.addAll(added);
-  else if (!added.isEmpty) shard.addUnaccounted(existing, added);
-  for (const set of [existing.waiting, existing.unaccounted, existing.handingOver])
-    retainOnly(set, unfinished);
-  retainOnly(existing.finished, unfinished);
-  for (const allocation of shard.allocationsByJob.get(existing.id) ?? [])
-    existing.waiting.remove(allocation.index);
-  existing.waiting.removeAll(existing.finished);
-  if (unfinished.isEmpty && !shard.allocationsByJob.has(existing.id)) shard.jobs.delete(existing.id);
-  else shard.queue.add(existing);
-  if (existing.gangHistory) shard.gangs.add(existing);
+  added.removeAll(assignedTo(job.record, shard.id));
+  job.record = record;
+  job.version = version;
+  if (!added.isEmpty) {
+    job.arrivedAt = revision.readAt;
+    addAssignedTasks(shard, job, added);
+  }
+  retainUnfinished(shard, job, unfinished);
+  if (unfinished.isEmpty && !shard.allocationsByJob.has(job.id)) shard.jobs.delete(job.id);
+  else shard.queue.add(job);
+  if (job.gangHistory) shard.gangs.add(job);
+}
+
+/** Tasks that the record newly assigns to the shard. */
+function addAssignedTasks(shard: Shard, job: ShardJob, added: RangeSet): void {
+  // Transferred to this leader: the shard that gave them up knew that none of them was on a machine.
+  if (job.version > shard.acquiredVersion) job.waiting.addAll(added);
+  else shard.addUnaccounted(job, added);
+}
+
+/** Takes out what has finished or is assigned elsewhere, and lets nothing wait that is on a machine or has ended. */
+function retainUnfinished(shard: Shard, job: ShardJob, unfinished: RangeSet): void {
+  for (const tasks of [job.waiting, job.unaccounted, job.handingOver, job.finished])
+    retainOnly(tasks, unfinished);
+  for (const allocation of shard.allocationsByJob.get(job.id) ?? []) job.waiting.remove(allocation.index);
+  job.waiting.removeAll(job.finished);
 }
 
-function retainOnly(set: RangeSet, allowed: RangeSet): void {
-  const removed = set.clone();
+function retainOnly(tasks: RangeSet, allowed: RangeSet): void {
+  const removed = tasks.clone();
   removed.removeAll(allowed);
-  set.removeAll(removed);
+  tasks.removeAll(removed);
 }
 
-/** Is this task ours to run, by the record we know? */
-export function isAssignedTo(shard: Shard, job: JobId, index: number): boolean {
-  const shardJob = shard.jobs.get(job);
-  if (!shardJob) return false;
-  return shardJob.record.assignments.some((a) => a.shard === shard.id && a.from <= index && index < a.to);
+/** Is the task assigned to this shard, by the newest record that is known? */
+export function isAssignedTo(shard: Shard, jobId: JobId, index: number): boolean {
+  const job = shard.jobs.get(jobId);
+  if (!job) return false;
+  return job.record.assignments.some(
+    ({ shard: id, from, to }) => id === shard.id && from <= index && index < to,
+  );
 }
--- a/src/shards/totals.ts
+++ b/src/shards/totals.ts
@@ -1,6 +1,7 @@
 /**
- * Running totals of one part: what its teams use, which machines cannot be accounted for, which have free room,
- * and which hold an image. Kept up to date with every binding, so that no decision walks over all machines.
+ * Running totals of one shard: what its teams use, how many machines have unknown usage, which machines have free
+ * capacity, and which hold an image. Updated with every change by the functions of this folder, so that no decision walks
+ * over all machines.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import {
@@ -20,40 +21,49 @@
 import type { ImageId, TeamId, InstanceTypeId } from '../model/units.js';
 import { hasUnknownUsage, freeResources, type Machine } from './machine.js';
 
-/** A machine without anything free of a resource is in no level of it. */
+const NO_MACHINES: ReadonlySet<Machine> = new Set();
+
+/** Of a machine that has nothing free of a resource: it is in no set of machines. */
 const NO_LEVEL = -1;
 
 /** Machines by how much they have free of one resource, rounded down. */
 class FreeCapacityIndex {
+  /** By level, the whole amount that is free. */
   private readonly levels: (Set<Machine> | undefined)[] = [];
-  private readonly levelOf = new Map<Machine, number>();
+  private readonly levelByMachine = new Map<Machine, number>();
 
   update(machine: Machine, free: number): void {
     const level = free <= TOLERANCE ? NO_LEVEL : Math.floor(free + TOLERANCE);
-    const before = this.levelOf.get(machine);
+    const before = this.levelByMachine.get(machine);
     if (before === level) return;
     if (before !== undefined) this.levels[before]?.delete(machine);
-    this.levelOf.set(machine, level);
+    this.levelByMachine.set(machine, level);
     if (level !== NO_LEVEL) (this.levels[level] ??= new Set()).add(machine);
   }
 
   remove(machine: Machine): void {
-    const level = this.levelOf.get(machine);
+    const level = this.levelByMachine.get(machine);
     if (level !== undefined) this.levels[level]?.delete(machine);
-    this.levelOf.delete(machine);
+    this.levelByMachine.delete(machine);
   }
 
+  /** Machines with that much free, rounded down, or more. */
   *atLeast(amount: number): Generator<Machine> {
-    for (let i = Math.floor(amount); i < this.levels.length; i += 1) yield* this.levels[i] ?? NO_MACHINES;
+    for (let level = Math.floor(amount); level < this.levels.length; level += 1)
+      yield* this.levels[level] ?? NO_MACHINES;
   }
 }
 
+/** What a team's tasks take, and how many there are. */
 interface TeamUsage extends MutableResources {
   tasks: number;
 }
 
+/** The totals of one shard. Only the functions of this folder change them. */
 export class ShardTotals {
-  readonly usageByTeam = new Map<TeamId, TeamUsage>();
+  private readonly teams = new Map<TeamId, TeamUsage>();
+  /** What the allocations of each team take, on all machines of the shard. */
+  readonly usageByTeam: ReadonlyMap<TeamId, Resources> = this.teams;
   private readonly unaccountedByType = new Map<InstanceTypeId, number>();
   private readonly machinesByImage = new Map<ImageId, Set<Machine>>();
   private readonly free: Readonly<Record<ResourceKind, FreeCapacityIndex>> = {
@@ -62,13 +72,19 @@
     memoryGb: new FreeCapacityIndex(),
   };
 
-  /** Adds or removes a machine that we cannot account for; called around every change that could make it one. */
+  /**
+   * Counts the machine more (1) or less (-1) if its usage is unknown now. To be called with -1 before every change that
+   * may affect this, and with 1 after it.
+   */
   countIfUnaccounted(machine: Machine, sign: 1 | -1): void {
     if (!hasUnknownUsage(machine)) return;
     this.unaccountedByType.set(machine.type, (this.unaccountedByType.get(machine.type) ?? 0) + sign);
   }
 
-  /** Guards the limit after a takeover: a machine not heard from may be full of any one team's tasks. */
+  /**
+   * Capacity of the machines with unknown usage. After a failover a machine that has not been heard of may be full of one
+   * team's tasks: counted as free, the team would exceed its quota.
+   */
   unaccountedCapacity(types: ReadonlyMap<InstanceTypeId, InstanceType>): Resources {
     const sum: MutableResources = { ...ZERO };
     for (const [name, count] of this.unaccountedByType) {
@@ -77,43 +93,48 @@
     return sum;
   }
 
+  /** Counts a task of this size for its team, more (1) or less (-1). */
   countTask(spec: JobSpec, sign: 1 | -1): void {
-    const team = this.usageByTeam.get(spec.team) ?? { ...ZERO, tasks: 0 };
+    const team = this.teams.get(spec.team) ?? { ...ZERO, tasks: 0 };
     team.tasks += sign;
     if (team.tasks === 0) clear(team);
     else addTo(team, spec, sign);
-    this.usageByTeam.set(spec.team, team);
+    this.teams.set(spec.team, team);
   }
 
+  /** The machine holds the image from now on, or does not. */
   setImageHolder(image: ImageId, machine: Machine, present: boolean): void {
-    const set = this.machinesByImage.get(image) ?? new Set();
-    if (present) set.add(machine);
-    else set.delete(machine);
-    if (set.size > 0) this.machinesByImage.set(image, set);
+    const holders = this.machinesByImage.get(image) ?? new Set();
+    if (present) holders.add(machine);
+    else holders.delete(machine);
+    if (holders.size > 0) this.machinesByImage.set(image, holders);
     else this.machinesByImage.delete(image);
   }
 
+  /** Machines that should hold the image. */
   machinesWithImage(image: ImageId): ReadonlySet<Machine> {
     return this.machinesByImage.get(image) ?? NO_MACHINES;
   }
 
+  /** Every image that is on a machine, with its machines. */
   imageHolders(): Iterable<[ImageId, ReadonlySet<Machine>]> {
     return this.machinesByImage;
   }
 
-  /** Files the machine under what it has free now. */
+  /** Takes in what the machine has free now. */
   updateFreeCapacity(machine: Machine, types: ReadonlyMap<InstanceTypeId, InstanceType>): void {
     const free = freeResources(machine, types.get(machine.type));
     for (const kind of RESOURCE_KINDS) this.free[kind].update(machine, free[kind]);
   }
 
+  /** The machine has left the shard. */
   removeMachine(machine: Machine): void {
     for (const kind of RESOURCE_KINDS) this.free[kind].remove(machine);
   }
 
   /**
-   * Machines with at least as much free of the resource of which the need takes most: every machine that has room is
-   * among them, and the fewest others.
+   * Machines with at least as much free of the resource of which the need takes the largest share: every machine on which
+   * it fits is among them, and the fewest others.
    */
   machinesWithFree(need: Resources, types: ReadonlyMap<InstanceTypeId, InstanceType>): Iterable<Machine> {
     const kind = dominantKind(need, largestOf(types.values()));
@@ -125,5 +146,3 @@
     return this.free.cpus.atLeast(0);
   }
 }
-
-const NO_MACHINES: ReadonlySet<Machine> = new Set();
--- a/src/shards/unaccounted-tasks.ts
+++ b/src/shards/unaccounted-tasks.ts
@@ -1,35 +1,42 @@
 /**
- * After a claim a task that was not seen may be on any machine of the part that has not spoken since. Once none is left
- * on which its job allows it, it is on none: the rules say where it could have been started, and a pin changes
- * only while its task is certainly on no machine (`flock/repin.ts`).
+ * After a failover a task that has not been seen may be on any machine of the shard that has not been heard of since. Once
+ * every machine on which the job's constraints allow the task is reconciled, the task is on none and may be started
+ * again. This relies on the constraints having been the same when an earlier leader may have started it: the zone in the
+ * record of a job changes only while the task is certainly on no machine (`overflow/zone-reassignment.ts`).
  */
-import { RangeSet } from '../model/ranges.js';
+import { RangeSet, type Range } from '../model/ranges.js';
 import type { ZoneId } from '../model/units.js';
 import { requiredZone, type ShardJob } from './job.js';
 import type { Shard } from './shard.js';
 
-/** Frees what is certainly on no machine; true: with this the whole part is accounted for. */
+/** Lets tasks that are certainly on no machine wait again; true: with this the whole shard became reconciled. */
 export function requeueAccountedTasks(shard: Shard): boolean {
-  if (shard.reconciled || !shard.unreconciled.changed) return false;
-  shard.unreconciled.changed = false;
+  if (shard.reconciled || !shard.unreconciled.takeRecheckRequest()) return false;
   if (shard.unreconciled.isEmpty) shard.reconciled = true;
   for (const job of shard.jobs.values()) if (!job.unaccounted.isEmpty) requeueTasksOnNoMachine(shard, job);
   return shard.reconciled;
 }
 
 function requeueTasksOnNoMachine(shard: Shard, job: ShardJob): void {
-  const mayHoldByZone = new Map<ZoneId | null, boolean>();
-  const clearedRanges: [number, number][] = [];
-  for (const index of job.unaccounted) {
-    const zone = requiredZone(job, index);
-    let mayBeRunning = mayHoldByZone.get(zone);
-    if (mayBeRunning === undefined)
-      mayHoldByZone.set(zone, (mayBeRunning = shard.unreconciled.mayHoldTaskOf(job, zone)));
-    if (!mayBeRunning) clearedRanges.push([index, index + 1]);
-  }
-  if (clearedRanges.length === 0) return;
-  const tasks = RangeSet.of(clearedRanges);
+  const ranges = rangesOnNoMachine(shard, job);
+  if (ranges.length === 0) return;
+  const tasks = RangeSet.of(ranges);
   job.waiting.addAll(tasks);
   job.unaccounted.removeAll(tasks);
   shard.queue.add(job);
 }
+
+function rangesOnNoMachine(shard: Shard, job: ShardJob): Range[] {
+  const mayRunInZone = new Map<ZoneId | null, boolean>();
+  const ranges: Range[] = [];
+  for (const index of job.unaccounted) {
+    const zone = requiredZone(job, index);
+    let mayBeRunning = mayRunInZone.get(zone);
+    if (mayBeRunning === undefined) {
+      mayBeRunning = shard.unreconciled.mayHoldTask(job, zone);
+      mayRunInZone.set(zone, mayBeRunning);
+    }
+    if (!mayBeRunning) ranges.push([index, index + 1]);
+  }
+  return ranges;
+}
--- a/src/workers/service.ts
+++ b/src/workers/service.ts
@@ -58,7 +58,15 @@
         // Named after our claim: commanded by nobody before, so nothing of ours is on it.
         const reconciled = version > shard.acquiredVersion;
         shard.addMachine(
-          newMachine(id, record.address, record.type, record.zone, record.spot, now, reconciled),
+          newMachine({
+            id,
+            address: record.address,
+            type: record.type,
+            zone: record.zone,
+            spot: record.spot,
+            addedAt: now,
+            reconciled,
+          }),
         );
       } else if (machine) this.removeMachine(shard, machine);
     }
--- a/test/autoscaling/scale-in.test.ts
+++ b/test/autoscaling/scale-in.test.ts
@@ -26,15 +26,15 @@
   shard.reconciled = reconciled;
   const add = (number: number, spot: boolean, silent: boolean): void => {
     const id = `m-${spot ? 's' : 'o'}${String(number).padStart(3, '0')}`;
-    const machine: Machine = newMachine(
-      id as never,
-      '' as never,
-      't' as never,
-      'east' as never,
+    const machine: Machine = newMachine({
+      id: id as never,
+      address: '' as never,
+      type: 't' as never,
+      zone: 'east' as never,
       spot,
-      (NOW - 4000) as never,
-      reconciled || !silent,
-    );
+      addedAt: (NOW - 4000) as never,
+      reconciled: reconciled || !silent,
+    });
     if (reconciled || !silent) machine.lastHeardAt = (NOW - (silent ? setup.silentMs : 100)) as never;
     else machine.missedDirectRequests = 5;
     shard.addMachine(machine);
--- a/test/scheduling/consolidation.test.ts
+++ b/test/scheduling/consolidation.test.ts
@@ -57,15 +57,15 @@
     syncJob(shard, record as never, 1 as never, 0 as SteadyMs, false);
   }
   for (const [name, { replicas, batch: others }] of Object.entries(load)) {
-    const machine = newMachine(
-      name as MachineId,
-      'a:1' as never,
-      'small' as InstanceTypeId,
-      'east' as never,
-      false,
-      NOW,
-      true,
-    );
+    const machine = newMachine({
+      id: name as MachineId,
+      address: 'a:1' as never,
+      type: 'small' as InstanceTypeId,
+      zone: 'east' as never,
+      spot: false,
+      addedAt: NOW,
+      reconciled: true,
+    });
     machine.lastHeardAt = NOW;
     shard.addMachine(machine);
     shard.recordImage(machine, 'img' as ImageId, 1);
--- a/test/scheduling/dominant-resource.test.ts
+++ b/test/scheduling/dominant-resource.test.ts
@@ -164,15 +164,15 @@
   syncJob(shard, record as never, 1 as never, 0 as SteadyMs, false);
   let index = 0;
   for (const [name, replicas] of Object.entries(load)) {
-    const machine = newMachine(
-      name as never,
-      'a:1' as never,
-      'gpu' as never,
-      'east' as never,
-      false,
-      NOW,
-      true,
-    );
+    const machine = newMachine({
+      id: name as never,
+      address: 'a:1' as never,
+      type: 'gpu' as never,
+      zone: 'east' as never,
+      spot: false,
+      addedAt: NOW,
+      reconciled: true,
+    });
     machine.lastHeardAt = NOW;
     shard.addMachine(machine);
     shard.recordImage(machine, 'img' as never, 1);
--- a/test/scheduling/starvation.test.ts
+++ b/test/scheduling/starvation.test.ts
@@ -50,15 +50,15 @@
   const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
   shard.reconciled = true;
   for (let i = 0; i < machines; i += 1) {
-    const machine = newMachine(
-      `m-${i}` as never,
-      '' as never,
-      'large' as never,
-      EAST,
-      false,
-      0 as never,
-      true,
-    );
+    const machine = newMachine({
+      id: `m-${i}` as never,
+      address: '' as never,
+      type: 'large' as never,
+      zone: EAST,
+      spot: false,
+      addedAt: 0 as never,
+      reconciled: true,
+    });
     machine.lastHeardAt = NOW;
     shard.addMachine(machine);
   }
--- a/test/shards/running-totals.test.ts
+++ b/test/shards/running-totals.test.ts
@@ -113,15 +113,15 @@
       const type = random(2) === 0 ? 'small' : 'large';
       const id = `m-${names++}` as never;
       shard.addMachine(
-        newMachine(
+        newMachine({
           id,
-          '10.0.0.1:1' as never,
-          type as never,
-          'east' as never,
-          false,
-          0 as never,
-          random(2) === 0,
-        ),
+          address: '10.0.0.1:1' as never,
+          type: type as never,
+          zone: 'east' as never,
+          spot: false,
+          addedAt: 0 as never,
+          reconciled: random(2) === 0,
+        }),
       );
     } else if (action === 1 && shard.machines.size > 12) {
       for (const allocation of [...machine.allocations.values()]) release(shard, machine, allocation);
--- a/test/support/cycle-runner.ts
+++ b/test/support/cycle-runner.ts
@@ -53,15 +53,15 @@
     this.shard = new Shard(0 as never, 7 as never, 1 as never, 0 as never, this.types);
     this.shard.reconciled = true;
     for (let i = 0; i < machines; i += 1) {
-      const machine = newMachine(
-        `m-${i}` as never,
-        '10.0.0.1:1' as never,
-        't' as never,
-        'east' as never,
-        false,
-        (options.machinesSince ?? 0) as never,
-        true,
-      );
+      const machine = newMachine({
+        id: `m-${i}` as never,
+        address: '10.0.0.1:1' as never,
+        type: 't' as never,
+        zone: 'east' as never,
+        spot: false,
+        addedAt: (options.machinesSince ?? 0) as never,
+        reconciled: true,
+      });
       this.shard.addMachine(machine);
     }
   }
--- a/test/workers/heartbeat-reconciliation.test.ts
+++ b/test/workers/heartbeat-reconciliation.test.ts
@@ -56,15 +56,15 @@
   private sequence = 0;
 
   constructor(afterFailover = false) {
-    this.machine = newMachine(
-      'm-0' as never,
-      '10.0.0.9:1' as never,
-      't' as never,
-      'east' as never,
-      false,
-      0 as never,
-      !afterFailover,
-    );
+    this.machine = newMachine({
+      id: 'm-0' as never,
+      address: '10.0.0.9:1' as never,
+      type: 't' as never,
+      zone: 'east' as never,
+      spot: false,
+      addedAt: 0 as never,
+      reconciled: !afterFailover,
+    });
     this.shard.addMachine(this.machine);
     syncJob(this.shard, record, 2 as never, 0 as never, afterFailover);
     if (!afterFailover) requeueAccountedTasks(this.shard);
@@ -216,15 +216,15 @@
 
 test('after a failover a task waits only for machines on which its job allows it', () => {
   const fixture = new ShardFixture(true);
-  const spot = newMachine(
-    'm-1' as never,
-    '10.0.0.8:1' as never,
-    't' as never,
-    'east' as never,
-    true,
-    0 as never,
-    false,
-  );
+  const spot = newMachine({
+    id: 'm-1' as never,
+    address: '10.0.0.8:1' as never,
+    type: 't' as never,
+    zone: 'east' as never,
+    spot: true,
+    addedAt: 0 as never,
+    reconciled: false,
+  });
   fixture.shard.addMachine(spot);
   assert.equal(requeueAccountedTasks(fixture.shard), false);
   assert.equal(fixture.describeState(), 'bound - waiting -', 'it may be on the ordinary machine');
@@ -245,15 +245,15 @@
 
 test('a late heartbeat copy lists a task that runs elsewhere: it waits until it has ended there too', () => {
   const fixture = new ShardFixture(true);
-  const other = newMachine(
-    'm-1' as never,
-    '10.0.0.8:1' as never,
-    't' as never,
-    'east' as never,
-    false,
-    0 as never,
-    false,
-  );
+  const other = newMachine({
+    id: 'm-1' as never,
+    address: '10.0.0.8:1' as never,
+    type: 't' as never,
+    zone: 'east' as never,
+    spot: false,
+    addedAt: 0 as never,
+    reconciled: false,
+  });
   fixture.shard.addMachine(other);
   assert.equal(
     fixture.receiveHeartbeat('report', '0:3:running', { fencingToken: 6 }),
