--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -10,6 +10,7 @@
 import {
   allocate,
   release,
+  requestStop,
   type Allocation,
   type Machine,
   type Shard,
@@ -249,11 +250,7 @@
       allocation.answeredSequence === null
     )
       release(shard, machine, allocation);
-    else {
-      allocation.stop = { grace: graceS, direct: 'due' };
-      shard.stopping.add(allocation);
-      shard.machinesWithPendingCommands.add(machine);
-    }
+    else requestStop(shard, machine, allocation, graceS);
   }
 
   /** The job is over: every task of it is stopped, and counts until it is seen gone. */
@@ -267,7 +264,7 @@
 
   /** A machine about to be taken: what can save does, replicas move at once, the rest may still finish. */
   private evacuateInterruptedMachines(shard: Shard): void {
-    for (const machine of shard.interruptionNoticed) {
+    for (const machine of shard.interruptedMachines) {
       for (const allocation of [...machine.allocations.values()]) {
         if (allocation.stop || !allocation.spec) continue;
         // Before its gang has started, another machine can take its place.
--- a/src/shards/allocation-changes.ts
+++ b/src/shards/allocation-changes.ts
@@ -111,6 +111,13 @@
   shard.queue.add(job);
 }
 
+/** The task is to stop, within so many seconds: its machine is told directly, and by the answers to its heartbeats. */
+export function requestStop(shard: Shard, machine: Machine, allocation: Allocation, graceS: number): void {
+  allocation.stop = { grace: graceS, direct: 'due' };
+  shard.stopping.add(allocation);
+  shard.machinesWithPendingCommands.add(machine);
+}
+
 /** The allocation was stopped since a delayed heartbeat showed the task elsewhere; the task is here after all. */
 function withdrawStop(shard: Shard, allocation: Allocation): void {
   allocation.stop = null;
--- a/src/shards/codec.ts
+++ b/src/shards/codec.ts
@@ -1,4 +1,8 @@
-/** What the state service keeps about parts, machines and controllers that are alive. */
+/**
+ * Maps the records of shards, machines and live controllers to what the store keeps, and names the keys they stand under.
+ * Versions of the software read each other's records during an upgrade: keys and field names stay as they are here,
+ * whatever the code calls them. Fields that are not known here are ignored.
+ */
 import * as v from 'valibot';
 import type {
   Address,
@@ -13,30 +17,45 @@
 } from '../model/units.js';
 import { storeKey } from '../model/units.js';
 
-/** Everything that controllers follow is below this prefix. */
+/** Prefix of everything that controllers watch. */
 export const WATCHED_PREFIX = 'c/';
+/** Prefix of the records of shards. */
 export const SHARDS_PREFIX = 'c/parts/';
+/** Prefix of the records of registered machines. */
 export const MACHINES_PREFIX = 'c/machines/';
+/** Prefix of the keys that live controllers hold by a lease. */
 export const ALIVE_PREFIX = 'c/alive/';
+/** Holds the highest fencing token that any leader has: a single count for all shards. */
 export const TOKEN_KEY = storeKey('c/token');
+/** Holds the time that the controllers have counted together. */
 export const TIME_KEY = storeKey('c/time');
+/** Holds the instance types that the cloud was last known to offer. */
 export const CATALOG_KEY = storeKey('c/catalog');
+/** Where the record of a shard stands. */
 export const shardKey = (shard: ShardId): StoreKey => storeKey(`${SHARDS_PREFIX}${shard}`);
+/** Where the record of a machine stands while it is registered. */
 export const machineKey = (machine: MachineId): StoreKey => storeKey(`${MACHINES_PREFIX}${machine}`);
+/** Where a controller shows that it is alive: the key goes when its lease ends. */
 export const aliveKey = (controller: ControllerId): StoreKey => storeKey(`${ALIVE_PREFIX}${controller}`);
 
+/** Who leads a shard. Writing it, on condition of the version that was read, acquires the shard. */
 export interface ShardRecord {
-  /** null: released, anybody may claim it. */
+  /** null: released, any controller may acquire it. */
   readonly leader: ControllerId | null;
+  /** The process that acquired the shard: another process of the same controller does not lead it. */
   readonly incarnation: Incarnation | null;
+  /** Under which the shard was last acquired. */
   readonly fencingToken: FencingToken;
 }
 
+/** A registered machine. It is commanded only by the leader of the shard that the record names. */
 export interface MachineRecord {
   readonly shard: ShardId;
+  /** Where its worker was reached when it was registered. */
   readonly address: Address;
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
+  /** A spot instance. */
   readonly spot: boolean;
 }
 
@@ -55,6 +74,7 @@
 const aliveSchema = v.object({ incarnation: v.string() });
 const tokenSchema = v.object({ token: v.number() });
 
+/** null: the value has not the form that is expected. */
 function parse<S extends v.GenericSchema>(schema: S, value: unknown): v.InferOutput<S> | null {
   const result = v.safeParse(schema, value);
   return result.success ? result.output : null;
--- a/src/shards/machine.ts
+++ b/src/shards/machine.ts
@@ -58,7 +58,7 @@
    * an earlier leader that is not known here. Changed by `Shard.markReconciled` alone.
    */
   reconciled: boolean;
-  /** When the cloud takes the spot instance, once it has given notice. Changed by reconciliation. */
+  /** When the cloud takes the spot instance, once it has given notice. Changed by `Shard.setInterruption` alone. */
   interruptedAt: SteadyMs | null;
   /** What is on it or may be, by task. Changed by the shard, like the next four. */
   readonly allocations: Map<TaskId, Allocation>;
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -41,7 +41,7 @@
 export class Shard {
   /** Changed by `addMachine` and `removeMachine` alone. */
   readonly machines = new Map<MachineId, Machine>();
-  /** Changed by `syncJob`, and by the end of a job. */
+  /** Changed by `syncJob`, and by the scheduler when a job is over. */
   readonly jobs = new Map<JobId, ShardJob>();
   /** Where each started task is. Changed by `allocate`, `addToMachine` and `release` alone, like all totals below. */
   readonly allocations = new Map<TaskId, Allocation>();
@@ -63,10 +63,10 @@
   readonly failedSearches = new Map<string, FailedSearch>();
   /** Machines for which a direct command may be due. */
   readonly machinesWithPendingCommands = new Set<Machine>();
-  /** Allocations that were told to stop and are not yet certainly gone. */
+  /** Allocations that were told to stop and are not yet certainly gone. Changed with the allocations. */
   readonly stopping = new Set<Allocation>();
-  /** Spot instances that the cloud has given notice to interrupt. */
-  readonly interruptionNoticed = new Set<Machine>();
+  /** Spot instances that the cloud has given notice to interrupt. Changed by `setInterruption`. */
+  readonly interruptedMachines = new Set<Machine>();
   readonly totals = new ShardTotals();
   /** No task that an earlier leader may have started is unaccounted. */
   reconciled = false;
@@ -124,7 +124,7 @@
     this.totals.removeMachine(machine);
     if (!machine.reconciled) this.unreconciled.add(machine, -1);
     this.machinesWithPendingCommands.delete(machine);
-    this.interruptionNoticed.delete(machine);
+    this.interruptedMachines.delete(machine);
   }
 
   /** It has shown this leader's fencing token, or cannot hold any task of an earlier leader. */
@@ -136,6 +136,13 @@
     this.totals.countIfUnaccounted(machine, 1);
   }
 
+  /** When the cloud takes the machine, by its notice; null: no notice is in force. */
+  setInterruption(machine: Machine, at: SteadyMs | null): void {
+    machine.interruptedAt = at;
+    if (at === null) this.interruptedMachines.delete(machine);
+    else this.interruptedMachines.add(machine);
+  }
+
   /** To be called when the catalog has changed. */
   refreshFreeCapacity(): void {
     for (const machine of this.machines.values()) this.totals.updateFreeCapacity(machine, this.types);
--- a/src/shards/statistics.ts
+++ b/src/shards/statistics.ts
@@ -1,55 +1,58 @@
-/** What a part's room goes to, for the log: one line that says where capacity is lost. */
+/**
+ * What the capacity of a shard goes to, for the log: one line that shows where it is lost. Counted from all machines,
+ * allocations and waiting jobs, so it is for every few seconds at most. The names of the fields are those of the log.
+ */
 import { addTo, mapResources, ZERO, type MutableResources, type Resources } from '../model/resources.js';
-import { isSchedulable } from './machine-health.js';
 import type { SteadyMs, TeamId } from '../model/units.js';
-import { freeResources, type Allocation, type Shard } from './model.js';
+import type { Allocation, AllocationPhase } from './allocation.js';
+import { isSchedulable, type HeartbeatExpectation } from './machine-health.js';
+import { freeResources } from './machine.js';
+import type { Shard } from './shard.js';
 
+type AllocatedByPhase<Amount> = Record<AllocationPhase | 'stopping', Amount>;
+
+/** What the machines of a shard have, what is allocated of it, and what waits. */
 export interface ShardStatistics {
   readonly machines: number;
-  /** Machines that may not be placed on now: not settled, silent, unreached, failing, noticed, returning. */
+  /** Machines on which no task may be started now, for whatever reason. */
   readonly unusable: number;
-  /** Of all machines, and what is bound to them by phase. */
+  /** Of all machines of known type. */
   readonly capacity: Resources;
-  readonly allocated: Readonly<Record<Allocation['phase'] | 'stopping', Resources>>;
-  /** On usable machines, and of waiting tasks. */
+  /** What tasks of known size take, by their phase; those told to stop are counted apart. */
+  readonly allocated: Readonly<AllocatedByPhase<Resources>>;
+  /** On machines that are not counted as unusable. */
   readonly free: Resources;
+  /** What all waiting tasks need. */
   readonly waiting: Resources;
-  /** Teams with waiting tasks; an unlimited share is logged as null. */
+  /** Teams with waiting tasks; an unlimited quota is logged as null. */
   readonly teams: Readonly<Record<string, TeamStatistics>>;
 }
 
+/** A team's share of a shard. */
 export interface TeamStatistics {
   readonly usage: Resources;
-  /** This part's share of the limit. */
+  /** What the team may use on this shard. */
   readonly shardQuota: Resources;
   readonly waiting: Resources;
 }
 
 const rounded = (amount: Resources): Resources => mapResources((kind) => Math.round(amount[kind]));
 
+/**
+ * Counts the statistics of a shard.
+ * @param reportMs interval of heartbeats, in milliseconds
+ * @param shardQuota what a team may use on this shard
+ */
 export function statisticsOf(
   shard: Shard,
   now: SteadyMs,
   reportMs: number,
   shardQuota: (team: TeamId) => Resources,
 ): ShardStatistics {
-  const capacity: MutableResources = { ...ZERO };
-  const free: MutableResources = { ...ZERO };
-  const waiting: MutableResources = { ...ZERO };
-  let unusable = 0;
-  for (const machine of shard.machines.values()) {
-    addTo(capacity, shard.types.get(machine.type) ?? ZERO);
-    if (isSchedulable(machine, { now, reportMs }))
-      addTo(free, freeResources(machine, shard.types.get(machine.type)));
-    else unusable += 1;
-  }
   const waitingTotals = waitingByTeam(shard);
+  const waiting: MutableResources = { ...ZERO };
   for (const amount of waitingTotals.values()) addTo(waiting, amount);
-  const teams: Record<string, TeamStatistics> = {};
-  for (const [team, amount] of waitingTotals) {
-    const used = rounded(shard.totals.usageByTeam.get(team) ?? ZERO);
-    teams[team] = { usage: used, shardQuota: rounded(shardQuota(team)), waiting: rounded(amount) };
-  }
+  const { capacity, free, unusable } = machineTotals(shard, { now, reportMs });
   return {
     machines: shard.machines.size,
     unusable,
@@ -57,12 +60,44 @@
     allocated: allocatedByPhase(shard),
     free: rounded(free),
     waiting: rounded(waiting),
-    teams,
+    teams: teamStatistics(shard, waitingTotals, shardQuota),
   };
 }
 
-function allocatedByPhase(shard: Shard): ShardStatistics['allocated'] {
-  const totals: Record<keyof ShardStatistics['allocated'], MutableResources> = {
+function machineTotals(
+  shard: Shard,
+  expectation: HeartbeatExpectation,
+): Pick<ShardStatistics, 'capacity' | 'free' | 'unusable'> {
+  const capacity: MutableResources = { ...ZERO };
+  const free: MutableResources = { ...ZERO };
+  let unusable = 0;
+  for (const machine of shard.machines.values()) {
+    const type = shard.types.get(machine.type);
+    addTo(capacity, type ?? ZERO);
+    if (isSchedulable(machine, expectation)) addTo(free, freeResources(machine, type));
+    else unusable += 1;
+  }
+  return { capacity, free, unusable };
+}
+
+function teamStatistics(
+  shard: Shard,
+  waitingTotals: ReadonlyMap<TeamId, Resources>,
+  shardQuota: (team: TeamId) => Resources,
+): Record<string, TeamStatistics> {
+  const teams: Record<string, TeamStatistics> = {};
+  for (const [team, waiting] of waitingTotals) {
+    teams[team] = {
+      usage: rounded(shard.totals.usageByTeam.get(team) ?? ZERO),
+      shardQuota: rounded(shardQuota(team)),
+      waiting: rounded(waiting),
+    };
+  }
+  return teams;
+}
+
+function allocatedByPhase(shard: Shard): AllocatedByPhase<Resources> {
+  const totals: AllocatedByPhase<MutableResources> = {
     ordered: { ...ZERO },
     fetching: { ...ZERO },
     gathering: { ...ZERO },
@@ -71,18 +106,20 @@
     stopping: { ...ZERO },
   };
   for (const allocation of shard.allocations.values())
-    addTo(totals[allocation.stop ? 'stopping' : allocation.phase], allocation.spec ?? ZERO);
-  const { ordered, fetching, gathering, running, saving, stopping } = totals;
+    addTo(totals[phaseOrStopping(allocation)], allocation.spec ?? ZERO);
   return {
-    ordered: rounded(ordered),
-    fetching: rounded(fetching),
-    gathering: rounded(gathering),
-    running: rounded(running),
-    saving: rounded(saving),
-    stopping: rounded(stopping),
+    ordered: rounded(totals.ordered),
+    fetching: rounded(totals.fetching),
+    gathering: rounded(totals.gathering),
+    running: rounded(totals.running),
+    saving: rounded(totals.saving),
+    stopping: rounded(totals.stopping),
   };
 }
 
+const phaseOrStopping = (allocation: Allocation): keyof AllocatedByPhase<unknown> =>
+  allocation.stop ? 'stopping' : allocation.phase;
+
 function waitingByTeam(shard: Shard): Map<TeamId, MutableResources> {
   const totals = new Map<TeamId, MutableResources>();
   for (const job of shard.queue) {
--- a/src/shards/unaccounted-tasks.ts
+++ b/src/shards/unaccounted-tasks.ts
@@ -33,7 +33,7 @@
     const zone = requiredZone(job, index);
     let mayBeRunning = mayRunInZone.get(zone);
     if (mayBeRunning === undefined) {
-      mayBeRunning = shard.unreconciled.mayHoldTask(job, zone);
+      mayBeRunning = shard.unreconciled.mayHaveTask(job, zone);
       mayRunInZone.set(zone, mayBeRunning);
     }
     if (!mayBeRunning) ranges.push([index, index + 1]);
--- a/src/shards/unreconciled-machines.ts
+++ b/src/shards/unreconciled-machines.ts
@@ -50,7 +50,7 @@
   }
 
   /** May a task of the job that must run in this zone (null: in any) be on one of the machines? */
-  mayHoldTask({ spec }: ShardJob, requiredZone: ZoneId | null): boolean {
+  mayHaveTask({ spec }: ShardJob, requiredZone: ZoneId | null): boolean {
     for (const { type, zone, spot } of this.groups.values())
       if (mayRunOn(spec, type, zone, spot, requiredZone)) return true;
     return false;
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -59,12 +59,8 @@
   machine.fencingToken = heartbeat.fencingToken;
   machine.address = heartbeat.address;
   machine.lastHeardAt = context.now;
-  machine.interruptedAt =
-    heartbeat.interruptionNoticeS === null
-      ? null
-      : plus(context.now, toMillis(heartbeat.interruptionNoticeS));
-  if (machine.interruptedAt === null) shard.interruptionNoticed.delete(machine);
-  else shard.interruptionNoticed.add(machine);
+  const noticeS = heartbeat.interruptionNoticeS;
+  shard.setInterruption(machine, noticeS === null ? null : plus(context.now, toMillis(noticeS)));
   if (channel === 'report') {
     if (
       machine.lastHeartbeatAt === null ||
