--- a/src/model/constraints.ts
+++ b/src/model/constraints.ts
@@ -1,8 +1,11 @@
-/** Where the rules let a task start. */
+/** Where the constraints of a job let its tasks run. */
 import type { JobSpec } from '../jobs/spec.js';
 import type { InstanceTypeId, ZoneId } from './units.js';
 
-/** May a task of this job start on such a machine at all? */
+/**
+ * May a task of this job run on a machine of this type, in this zone, a spot instance or not? `requiredZone` is that of
+ * the task in the job's record, beside the one that the job itself may name; null: any zone.
+ */
 export function mayRunOn(
   spec: JobSpec,
   type: InstanceTypeId,
--- a/src/model/gang.ts
+++ b/src/model/gang.ts
@@ -1,24 +1,26 @@
 /**
  * Gangs: jobs whose tasks run all at the same time or not at all. The tasks of a gang find each other by their attempt;
- * a gang has one at a time. Pure: what the owner of a pool has seen of a gang, and what follows from it.
+ * a gang has one at a time. Pure: what the leader of a shard knows of a gang, and what is to be done with it.
  */
+import type { AllocationPhase } from './allocation-phase.js';
 import type { Attempt, MachineId, Millis, SteadyMs } from './units.js';
 
-/** What the owner remembers of a gang's present attempt. */
+/** What is known of a gang's present attempt beyond the tasks that are on machines. */
 export interface GangHistory {
-  /** The attempt that was seen running, or whose end shows that it had been. */
+  /** The latest attempt that is known to have run, by a running task or by the way in which one ended. */
   started: Attempt | null;
-  /** The attempt that was not complete in time. */
+  /** The latest attempt of which a task gave up waiting for the others. */
   failed: Attempt | null;
   /**
-   * A task has been lost since any other was last seen to wait: perhaps all had begun to run meanwhile, and those of an
-   * attempt that has run wait for nobody.
+   * A task has been lost since any other was last seen to wait. All may have begun to run in between, and the tasks of an
+   * attempt that has run do not wait for one that is started again.
    */
   mayHaveStarted: boolean;
-  /** Machines that a task of the present attempt has left: the attempt must not come back to them. */
+  /** Machines that a task of the present attempt has left: no task of this attempt may be started there again. */
   readonly leftMachines: Set<MachineId>;
 }
 
+/** Of a gang of which nothing is known. */
 export const newGangHistory = (): GangHistory => ({
   started: null,
   failed: null,
@@ -26,7 +28,7 @@
   leftMachines: new Set(),
 });
 
-/** Nothing of the gang is on a machine: the next attempt owes nothing to the last. */
+/** Nothing of the gang is on a machine: what was known of the attempt does not matter for the next one. */
 export function forgetAttempt(history: GangHistory): void {
   history.mayHaveStarted = false;
   history.leftMachines.clear();
@@ -35,22 +37,25 @@
 /** A task of a gang that is on a machine, or may be. */
 export interface GangMember {
   readonly attempt: Attempt;
-  readonly phase: 'ordered' | 'fetching' | 'gathering' | 'running' | 'saving';
+  readonly phase: AllocationPhase;
+  /** It has been told to stop, with so many seconds of grace. */
   readonly stop: { readonly grace: number } | null;
+  /** When it was first seen to wait for the other tasks. */
   readonly gatheringSince: SteadyMs | null;
 }
 
+/** All that the decision on a gang rests on. */
 export interface GangFacts {
   readonly now: SteadyMs;
   /** Some of its tasks are certainly on no machine. */
   readonly missing: boolean;
   readonly members: readonly GangMember[];
   readonly history: GangHistory;
-  /** Its result has been reported: the tasks that are left end by themselves. */
+  /** Its result has been reported: the remaining tasks end by themselves. */
   readonly finished: boolean;
-  /** Some of its tasks may be on machines that have not spoken since the claim. */
+  /** Some of its tasks may be on machines that have not been heard of since the failover. */
   readonly unaccounted: boolean;
-  /** Was this attempt begun by the present owner? */
+  /** Was the attempt started by the present leader? */
   readonly issued: (attempt: Attempt) => boolean;
   /** How long a task waits for the others of its gang before it gives up (`gang_wait_s` in the settings). */
   readonly waitLimit: Millis;
@@ -71,19 +76,20 @@
   | { readonly kind: 'replace'; readonly attempt: Attempt }
   | { readonly kind: 'stop'; readonly grace: number; readonly reason: string };
 
+/** The state of a gang, and what to do now. */
 export interface GangDecision {
   readonly state: GangState;
   readonly action: GangAction;
 }
 
-/** Well before the tasks give up by themselves, a gang that is not complete begins anew. */
+/** An incomplete gang is stopped after this share of `waitLimit`, well before its tasks give up by themselves. */
 const INCOMPLETE_SHARE = 0.7;
 
 const WAIT: GangAction = { kind: 'wait' };
 const abandon = (reason: string): GangAction => ({ kind: 'stop', grace: 0, reason });
 
 /**
- * The table of a gang, the first line that holds:
+ * Decides what to do with a gang, by the first line that holds:
  *
  * | holds                                               | state     | action                                  |
  * | --------------------------------------------------- | --------- | --------------------------------------- |
@@ -99,9 +105,9 @@
  * |                                                     |           | last checkpoint is lost                 |
  * | a task gave up waiting                              | stopping  | stop the others                         |
  * | some unaccounted                                    | gathering | wait                                    |
- * | some missing, attempt of an earlier owner           | stopping  | stop the others                         |
+ * | some missing, attempt of an earlier leader          | stopping  | stop the others                         |
  * | waiting for too long                                | stopping  | stop all                                |
- * | some missing, it may have run meanwhile             | gathering | wait for the others' next reports       |
+ * | some missing, it may have run meanwhile             | gathering | wait for the others' next heartbeats    |
  * | some missing                                        | gathering | replace them                            |
  * | all there                                           | gathering | wait                                    |
  */
@@ -110,11 +116,11 @@
   const [first] = members;
   if (facts.finished) return { state: 'done', action: WAIT };
   if (!first) return { state: 'waiting', action: facts.unaccounted ? WAIT : { kind: 'start' } };
-  const stopped = members.find((m) => m.stop !== null);
+  const stopped = members.find((member) => member.stop !== null);
   const started = hasStarted(members, history);
   if (stopped?.stop && started) return stopping(members, stopped.stop.grace);
-  if (members.every((m) => m.stop !== null)) return { state: 'stopping', action: WAIT };
-  if (members.some((m) => m.attempt !== first.attempt))
+  if (members.every((member) => member.stop !== null)) return { state: 'stopping', action: WAIT };
+  if (members.some((member) => member.attempt !== first.attempt))
     return { state: 'stopping', action: abandon('attempts differ') };
   const { missing } = facts;
   if (started && (!missing || facts.unaccounted)) return { state: 'running', action: WAIT };
@@ -123,24 +129,26 @@
     return { state: 'stopping', action: abandon('a task gave up waiting') };
   if (facts.unaccounted) return { state: 'gathering', action: WAIT };
   if (missing && !facts.issued(first.attempt))
-    return { state: 'stopping', action: abandon('incomplete after a claim') };
+    return { state: 'stopping', action: abandon('incomplete after a failover') };
   if (waitedTooLong(facts)) return { state: 'stopping', action: abandon('not complete in time') };
   if (!missing || history.mayHaveStarted) return { state: 'gathering', action: WAIT };
   return { state: 'gathering', action: { kind: 'replace', attempt: first.attempt } };
 }
 
 function hasStarted(members: readonly GangMember[], history: GangHistory): boolean {
-  return members.some((m) => m.phase === 'running' || m.phase === 'saving' || history.started === m.attempt);
+  return members.some(
+    ({ phase, attempt }) => phase === 'running' || phase === 'saving' || history.started === attempt,
+  );
 }
 
 function stopping(members: readonly GangMember[], grace: number): GangDecision {
-  const rest = members.some((m) => m.stop === null);
-  const action: GangAction = rest ? { kind: 'stop', grace, reason: 'one of its tasks is stopped' } : WAIT;
+  const someGoOn = members.some((member) => member.stop === null);
+  const action: GangAction = someGoOn ? { kind: 'stop', grace, reason: 'one of its tasks is stopped' } : WAIT;
   return { state: 'stopping', action };
 }
 
 function waitedTooLong({ now, members, waitLimit }: GangFacts): boolean {
   return members.some(
-    (m) => m.gatheringSince !== null && now - m.gatheringSince > waitLimit * INCOMPLETE_SHARE,
+    ({ gatheringSince }) => gatheringSince !== null && now - gatheringSince > waitLimit * INCOMPLETE_SHARE,
   );
 }
--- a/src/model/ranges.ts
+++ b/src/model/ranges.ts
@@ -1,6 +1,9 @@
-/** A set of task numbers kept as sorted, disjoint, half-open ranges: 100,000 tasks cost a few numbers. */
+/** Sets of task indices kept as ranges: the 100,000 tasks of an array cost a few numbers, in memory and as stored. */
+
+/** The indices from the first number up to, and without, the second. */
 export type Range = readonly [from: number, to: number];
 
+/** A set of indices, kept as sorted, disjoint ranges between which there are gaps. It is iterated in ascending order. */
 export class RangeSet {
   private constructor(private sortedRanges: [number, number][]) {}
 
@@ -8,6 +11,7 @@
     return new RangeSet([]);
   }
 
+  /** The union of the ranges; they may be unsorted, overlap or be empty. */
   static of(ranges: Iterable<Range>): RangeSet {
     const set = RangeSet.empty();
     for (const [from, to] of ranges) set.addRange(from, to);
@@ -18,6 +22,7 @@
     return new RangeSet(this.sortedRanges.map(([start, end]) => [start, end]));
   }
 
+  /** How many indices are in the set. */
   get size(): number {
     let total = 0;
     for (const [start, end] of this.sortedRanges) total += end - start;
@@ -28,11 +33,12 @@
     return this.sortedRanges.length === 0;
   }
 
+  /** The ranges in ascending order; the caller owns them. */
   ranges(): Range[] {
     return this.sortedRanges.map(([start, end]) => [start, end]);
   }
 
-  /** Place of the first range that ends after `n`. */
+  /** Position of the first range that ends after `index`. */
   private locate(index: number): number {
     let low = 0;
     let high = this.sortedRanges.length;
@@ -96,7 +102,7 @@
     for (const [start, end] of other.sortedRanges) this.removeRange(start, end);
   }
 
-  /** What is in both. */
+  /** A new set of what is in both. */
   intersect(other: RangeSet): RangeSet {
     const rest = this.clone();
     rest.removeAll(other);
@@ -105,20 +111,23 @@
     return both;
   }
 
-  /** The first `count` numbers. */
+  /** A new set of the `count` smallest indices, or of all if there are fewer. */
   first(count: number): RangeSet {
     const result = RangeSet.empty();
-    let left = count;
+    let remaining = count;
     for (const [start, end] of this.sortedRanges) {
-      if (left <= 0) break;
-      const taken = Math.min(left, end - start);
-      result.addRange(start, start + taken);
-      left -= taken;
+      if (remaining <= 0) break;
+      const length = Math.min(remaining, end - start);
+      result.addRange(start, start + length);
+      remaining -= length;
     }
     return result;
   }
 
+  /** The indices as they are when the iteration begins: the set may be changed meanwhile. */
   *[Symbol.iterator](): Generator<number> {
-    for (const [start, end] of this.ranges()) for (let index = start; index < end; index += 1) yield index;
+    for (const [start, end] of this.ranges()) {
+      for (let index = start; index < end; index += 1) yield index;
+    }
   }
 }
--- a/src/shards/allocation.ts
+++ b/src/shards/allocation.ts
@@ -3,6 +3,7 @@
  * more, and the traces that it leaves. `allocation-changes.ts` puts allocations on machines and takes them off.
  */
 import type { JobSpec } from '../jobs/spec.js';
+import type { AllocationPhase } from '../model/allocation-phase.js';
 import type { ExitCause } from '../model/exit-cause.js';
 import type {
   AgentEpoch,
@@ -33,13 +34,6 @@
   direct: 'due' | 'sent';
 }
 
-/**
- * `ordered`: the launch has been decided and the worker has not shown the task yet. `gathering`: the task waits on its
- * machine for the other tasks of its gang. The others are states that the worker reports; `saving` is the checkpoint
- * that follows a stop.
- */
-export type AllocationPhase = 'ordered' | 'fetching' | 'gathering' | 'running' | 'saving';
-
 /** A task that is on a machine or may be. It takes room there and counts for its team's quota until it is released. */
 export interface Allocation {
   readonly id: TaskId;
--- a/src/shards/statistics.ts
+++ b/src/shards/statistics.ts
@@ -2,9 +2,10 @@
  * What the capacity of a shard goes to, for the log: one line that shows where it is lost. Counted from all machines,
  * allocations and waiting jobs, so it is for every few seconds at most. The names of the fields are those of the log.
  */
+import type { AllocationPhase } from '../model/allocation-phase.js';
 import { addTo, mapResources, ZERO, type MutableResources, type Resources } from '../model/resources.js';
 import type { SteadyMs, TeamId } from '../model/units.js';
-import type { Allocation, AllocationPhase } from './allocation.js';
+import type { Allocation } from './allocation.js';
 import { isSchedulable, type HeartbeatExpectation } from './machine-health.js';
 import { freeResources } from './machine.js';
 import type { Shard } from './shard.js';
--- a/test/scheduling/gang-decisions.test.ts
+++ b/test/scheduling/gang-decisions.test.ts
@@ -75,7 +75,7 @@
 test('an attempt that cannot become whole any more is given up', () => {
   assert.equal(
     decide([member({ attempt: 7 })], { missing: true }),
-    'stopping: stop (0 s) incomplete after a claim',
+    'stopping: stop (0 s) incomplete after a failover',
   );
   assert.equal(
     decide([member(), member({ attempt: 1001 })]),
