--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -59,7 +59,7 @@
   teamsBlockedByQuota: ReadonlySet<TeamId> = new Set();
   /** Teams for which quota is reserved until one large task, or gang, fits into it, and how much that is. */
   quotaReservations: ReadonlyMap<TeamId, Resources> = new Map();
-  /** By which tasks the search might have preempted. */
+  /** By the tasks that the search might have preempted, as a text that preemption makes and reads. */
   readonly failedSearches = new Map<string, FailedSearch>();
   /** Machines for which a direct command may be due. */
   readonly machinesWithPendingCommands = new Set<Machine>();
@@ -68,8 +68,9 @@
   /** Spot instances that the cloud has given notice to interrupt. Changed by `setInterruption`. */
   readonly interruptedMachines = new Set<Machine>();
   readonly totals = new ShardTotals();
-  /** No task that an earlier leader may have started is unaccounted. */
+  /** Every machine is reconciled, and so is every task that an earlier leader may have started. */
   reconciled = false;
+  /** Machines that may hold tasks of an earlier leader. */
   readonly unreconciled = new UnreconciledMachines();
   private attemptCounter = 0;
   private readonly firstFencingToken: FencingToken;
--- /dev/null
+++ b/test/shards/machine-health.test.ts
@@ -0,0 +1,45 @@
+/** Which machines may be given new tasks. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { steady } from '../../src/model/units.js';
+import { isSchedulable } from '../../src/shards/machine-health.js';
+import type { Machine } from '../../src/shards/model.js';
+import { addMachineTo, buildShard } from '../support/shard-builder.js';
+
+const NOW = steady(100_000);
+const REPORT_MS = 1500;
+
+function isSchedulableWith(changes: Partial<Machine>): boolean {
+  const machine = addMachineTo(buildShard(), 'm-0');
+  Object.assign(machine, { lastHeardAt: steady(NOW - 100), ...changes });
+  return isSchedulable(machine, { now: NOW, reportMs: REPORT_MS });
+}
+
+test('a reconciled machine that sends heartbeats and can be reached is schedulable', () => {
+  assert.equal(isSchedulableWith({}), true);
+});
+
+test('a machine is not schedulable before it has been heard of, or while it cannot be reached', () => {
+  assert.equal(isSchedulableWith({ lastHeardAt: null }), false);
+  assert.equal(isSchedulableWith({ unreachableSince: NOW }), false);
+});
+
+test('a machine that may hold tasks of an earlier leader is not schedulable', () => {
+  assert.equal(isSchedulableWith({ reconciled: false }), false);
+});
+
+test('a machine that leaves the shard is not schedulable', () => {
+  assert.equal(isSchedulableWith({ draining: true }), false);
+  assert.equal(isSchedulableWith({ scalingIn: true }), false);
+  assert.equal(isSchedulableWith({ interruptedAt: steady(NOW + 60_000) }), false);
+});
+
+test('a quarantine ends at its time', () => {
+  assert.equal(isSchedulableWith({ quarantinedUntil: steady(NOW + 1) }), false);
+  assert.equal(isSchedulableWith({ quarantinedUntil: NOW }), true);
+});
+
+test('a machine counts as silent after two intervals of heartbeats and a second', () => {
+  assert.equal(isSchedulableWith({ lastHeardAt: steady(NOW - 3999) }), true);
+  assert.equal(isSchedulableWith({ lastHeardAt: steady(NOW - 4000) }), false);
+});
--- a/test/shards/running-totals.test.ts
+++ b/test/shards/running-totals.test.ts
@@ -1,4 +1,4 @@
-/** Running sums against a full recount, over a long random life of one part. */
+/** Incrementally updated totals of a shard against a full recount, over a long random sequence of changes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seededRandom } from '../../src/overflow/peer-ranking.js';
--- /dev/null
+++ b/test/shards/sync.test.ts
@@ -0,0 +1,88 @@
+/** A shard's copies of jobs follow their records. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { revision, steady, type JobId } from '../../src/model/units.js';
+import { allocate, isAssignedTo, syncJob, type Shard, type ShardJob } from '../../src/shards/model.js';
+import {
+  ACQUIRED_VERSION,
+  addMachineTo,
+  buildAllocation,
+  buildJobRecord,
+  buildShard,
+} from '../support/shard-builder.js';
+
+const JOB = 'req-1' as JobId;
+const LATER = revision(ACQUIRED_VERSION + 1);
+const MUCH_LATER = revision(ACQUIRED_VERSION + 2);
+
+const jobOf = (shard: Shard): ShardJob => {
+  const job = shard.jobs.get(JOB);
+  assert.ok(job, 'the shard has a copy of the job');
+  return job;
+};
+
+const sync = (
+  shard: Shard,
+  record: Parameters<typeof buildJobRecord>[0],
+  version = LATER,
+  atAcquisition = false,
+): void => syncJob(shard, buildJobRecord(record), version, steady(1000), atAcquisition);
+
+test('tasks of a record that is newer than the acquisition wait at once', () => {
+  const shard = buildShard();
+  sync(shard, { assigned: [[0, 4]], done: [[1, 2]] });
+  assert.deepEqual(jobOf(shard).waiting.ranges(), [
+    [0, 1],
+    [2, 4],
+  ]);
+  assert.equal(jobOf(shard).unaccounted.isEmpty, true);
+  assert.ok(shard.queue.has(jobOf(shard)));
+});
+
+test('tasks that an earlier leader may have started are unaccounted', () => {
+  const shard = buildShard();
+  sync(shard, { assigned: [[0, 4]] }, ACQUIRED_VERSION, true);
+  assert.equal(jobOf(shard).waiting.isEmpty, true);
+  assert.deepEqual(jobOf(shard).unaccounted.ranges(), [[0, 4]]);
+});
+
+test('an older record that is read after the acquisition makes the shard unreconciled again', () => {
+  const shard = buildShard();
+  shard.reconciled = true;
+  sync(shard, { assigned: [[0, 4]] }, ACQUIRED_VERSION);
+  assert.deepEqual(jobOf(shard).unaccounted.ranges(), [[0, 4]]);
+  assert.equal(shard.reconciled, false);
+});
+
+test('a record without unfinished tasks of the shard makes no copy', () => {
+  const shard = buildShard();
+  sync(shard, { assigned: [[0, 4]], done: [[0, 4]] });
+  assert.equal(shard.jobs.size, 0);
+});
+
+test('a record that is not newer than the copy changes nothing', () => {
+  const shard = buildShard();
+  sync(shard, { assigned: [[0, 4]] }, MUCH_LATER);
+  sync(shard, { assigned: [[0, 2]] }, LATER);
+  sync(shard, { assigned: [[0, 2]] }, MUCH_LATER);
+  assert.deepEqual(jobOf(shard).waiting.ranges(), [[0, 4]]);
+});
+
+test('tasks that are transferred to the shard wait, and those transferred away do not', () => {
+  const shard = buildShard();
+  sync(shard, { assigned: [[0, 4]] });
+  sync(shard, { assigned: [[2, 6]] }, MUCH_LATER);
+  assert.deepEqual(jobOf(shard).waiting.ranges(), [[2, 6]]);
+  assert.equal(isAssignedTo(shard, JOB, 1), false);
+  assert.equal(isAssignedTo(shard, JOB, 5), true);
+});
+
+test('a task that is on a machine does not wait, and its job is kept when all tasks are recorded as done', () => {
+  const shard = buildShard();
+  const machine = addMachineTo(shard, 'm-0');
+  sync(shard, { assigned: [[0, 2]] });
+  allocate(shard, machine, buildAllocation(shard, machine, 0));
+  assert.deepEqual(jobOf(shard).waiting.ranges(), [[1, 2]]);
+  sync(shard, { assigned: [[0, 2]], done: [[0, 2]] }, MUCH_LATER);
+  assert.equal(jobOf(shard).waiting.isEmpty, true);
+});
