--- a/test/shards/running-totals.test.ts
+++ b/test/shards/running-totals.test.ts
@@ -1,8 +1,23 @@
 /** Incrementally updated totals of a shard against a full recount, over a long random sequence of changes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import type { InstanceType } from '../../src/cloud/wire.js';
 import { seededRandom } from '../../src/overflow/peer-ranking.js';
-import { fits, type Resources } from '../../src/model/resources.js';
+import { fits, RESOURCE_KINDS, type ResourceKind, type Resources } from '../../src/model/resources.js';
+import {
+  attempt,
+  fencingToken,
+  revision,
+  shardId,
+  steady,
+  taskId,
+  taskIndex,
+  type Address,
+  type InstanceTypeId,
+  type JobId,
+  type MachineId,
+  type ZoneId,
+} from '../../src/model/units.js';
 import {
   addToMachine,
   allocate,
@@ -12,13 +27,22 @@
   release,
   usageOf,
   type Allocation,
+  type Machine,
 } from '../../src/shards/model.js';
 import { buildJobSpec } from '../support/job-specs.js';
 
-const TYPES = new Map([
-  ['small', { cpus: 4, gpus: 0, memoryGb: 16, cacheGb: 4 }],
-  ['large', { cpus: 16, gpus: 2, memoryGb: 64, cacheGb: 9 }],
-]);
+const STEPS = 4000;
+const STEPS_BETWEEN_RECOUNTS = 7;
+/** Machines are removed only beyond this many. */
+const MIN_MACHINES = 12;
+
+const TYPES: ReadonlyMap<InstanceTypeId, InstanceType> = new Map(
+  Object.entries({
+    small: { cpus: 4, gpus: 0, memoryGb: 16, cacheGb: 4 },
+    large: { cpus: 16, gpus: 2, memoryGb: 64, cacheGb: 9 },
+  }) as unknown as [InstanceTypeId, InstanceType][],
+);
+/** null: a task of unknown size. */
 const SPECS = [
   buildJobSpec({ id: 'req-a', cpus: 2, image: 'i1', imageGb: 2 }),
   buildJobSpec({ id: 'req-b', cpus: 0.7, team: 'blue', image: 'i2', imageGb: 3, priority: 0 }),
@@ -26,139 +50,222 @@
   null,
 ];
 
-const KINDS = ['cpus', 'gpus', 'memoryGb'] as const;
 /** Each with another dominant resource. */
-const NEEDS: Resources[] = [
-  { cpus: 2, gpus: 0, memoryGb: 1 },
-  { cpus: 1, gpus: 1, memoryGb: 1 },
-  { cpus: 1, gpus: 0, memoryGb: 12 },
+const NEEDS: { readonly need: Resources; readonly dominant: ResourceKind }[] = [
+  { need: { cpus: 2, gpus: 0, memoryGb: 1 }, dominant: 'cpus' },
+  { need: { cpus: 1, gpus: 1, memoryGb: 1 }, dominant: 'gpus' },
+  { need: { cpus: 1, gpus: 0, memoryGb: 12 }, dominant: 'memoryGb' },
 ];
 
+/** Amounts in the order of `RESOURCE_KINDS`. */
+type Amounts = number[];
+
+interface Totals {
+  /** Of teams that use anything. */
+  readonly usageByTeam: Record<string, Amounts>;
+  readonly unattributed: Amounts;
+  readonly free: Record<string, Amounts>;
+  readonly preemptible: Record<string, Amounts>;
+  /** `image@machine`, sorted. */
+  readonly imageHolders: string[];
+  readonly allocations: number;
+  readonly allocationsOfJobs: number;
+}
+
 /** Never -0, which a sum of fractions may leave. */
-const roundToMicro = (n: number): number => Math.round(n * 1e6) / 1e6 + 0;
-
-function recount(shard: Shard): unknown {
-  const teams: Record<string, number[]> = {};
-  const unclear = [0, 0, 0];
-  const free: Record<string, number[]> = {};
-  const preemptible: Record<string, number[]> = {};
-  const holders: string[] = [];
-  for (const machine of shard.machines.values()) {
-    const type = TYPES.get(machine.type) as Resources;
-    const list = [...machine.allocations.values()];
-    KINDS.forEach((kind, i) => {
-      const sumOf = (allocations: Allocation[]): number =>
-        allocations.reduce((sum, allocation) => sum + (allocation.spec?.[kind] ?? 0), 0);
-      if (!machine.reconciled || list.some((allocation) => !allocation.spec))
-        unclear[i] = (unclear[i] ?? 0) + type[kind];
-      for (const allocation of list) {
-        if (!allocation.spec) continue;
-        const team = (teams[allocation.spec.team] ??= [0, 0, 0]);
-        team[i] = roundToMicro((team[i] ?? 0) + allocation.spec[kind]);
-      }
-      (free[machine.id] ??= []).push(
-        list.some((allocation) => !allocation.spec) ? 0 : roundToMicro(type[kind] - sumOf(list)),
-      );
-      (preemptible[machine.id] ??= []).push(
-        roundToMicro(sumOf(list.filter((allocation) => allocation.spec?.priority !== 0))),
-      );
+const roundToMicro = (amount: number): number => Math.round(amount * 1e6) / 1e6 + 0;
+
+const amountsOf = (resources: Resources): Amounts =>
+  RESOURCE_KINDS.map((kind) => roundToMicro(resources[kind]));
+
+const typeOf = (machine: Machine): InstanceType => {
+  const type = TYPES.get(machine.type);
+  assert.ok(type);
+  return type;
+};
+
+const hasUnknownSize = (allocation: Allocation): boolean => allocation.spec === null;
+
+/** What allocations of known size take together. */
+const sumOf = (allocations: readonly Allocation[]): Amounts =>
+  RESOURCE_KINDS.map((kind) =>
+    roundToMicro(allocations.reduce((sum, { spec }) => sum + (spec?.[kind] ?? 0), 0)),
+  );
+
+function recountMachines(
+  machines: readonly Machine[],
+): Pick<Totals, 'unattributed' | 'free' | 'preemptible'> {
+  const unattributed: Amounts = RESOURCE_KINDS.map(() => 0);
+  const free: Record<string, Amounts> = {};
+  const preemptible: Record<string, Amounts> = {};
+  for (const machine of machines) {
+    const allocations = [...machine.allocations.values()];
+    const used = sumOf(allocations);
+    const unknown = allocations.some(hasUnknownSize);
+    RESOURCE_KINDS.forEach((kind, i) => {
+      const capacity = typeOf(machine)[kind];
+      if (!machine.reconciled || unknown) unattributed[i] = (unattributed[i] ?? 0) + capacity;
+      (free[machine.id] ??= []).push(unknown ? 0 : roundToMicro(capacity - (used[i] ?? NaN)));
     });
-    for (const image of machine.images.keys()) holders.push(`${image}@${machine.id}`);
+    preemptible[machine.id] = sumOf(allocations.filter(({ spec }) => spec?.priority !== 0));
+  }
+  return { unattributed, free, preemptible };
+}
+
+function recountUsageByTeam(machines: readonly Machine[]): Record<string, Amounts> {
+  const byTeam: Record<string, Allocation[]> = {};
+  for (const machine of machines) {
+    for (const allocation of machine.allocations.values())
+      if (allocation.spec) (byTeam[allocation.spec.team] ??= []).push(allocation);
   }
+  return Object.fromEntries(Object.entries(byTeam).map(([team, allocations]) => [team, sumOf(allocations)]));
+}
+
+/** The totals counted from what is on each machine. */
+function recount(shard: Shard): Totals {
+  const machines = [...shard.machines.values()];
+  const allocations = machines.reduce((sum, machine) => sum + machine.allocations.size, 0);
   return {
-    teams,
-    unclear,
-    free,
-    lesser: preemptible,
-    holders: holders.sort(),
-    bound: shard.allocations.size,
+    ...recountMachines(machines),
+    usageByTeam: recountUsageByTeam(machines),
+    imageHolders: machines
+      .flatMap((machine) => [...machine.images.keys()].map((image) => `${image}@${machine.id}`))
+      .sort(),
+    allocations,
+    allocationsOfJobs: allocations,
   };
 }
 
-function runningTotals(shard: Shard): unknown {
-  const amounts = (of: Resources): number[] => KINDS.map((kind) => roundToMicro(of[kind]));
-  const teams: Record<string, number[]> = {};
-  for (const [team, usage] of usageOf(shard).byTeam)
-    if (amounts(usage).some((n) => n !== 0)) teams[team] = amounts(usage);
-  const free: Record<string, number[]> = {};
-  const preemptible: Record<string, number[]> = {};
+/** The totals as the shard keeps them. */
+function runningTotals(shard: Shard): Totals {
+  const usage = usageOf(shard);
+  const usageByTeam: Record<string, Amounts> = {};
+  for (const [team, used] of usage.byTeam)
+    if (amountsOf(used).some((amount) => amount !== 0)) usageByTeam[team] = amountsOf(used);
+  const free: Record<string, Amounts> = {};
+  const preemptible: Record<string, Amounts> = {};
   for (const machine of shard.machines.values()) {
-    free[machine.id] = amounts(freeResources(machine, TYPES.get(machine.type) as never));
-    preemptible[machine.id] = amounts(machine.preemptible);
+    free[machine.id] = amountsOf(freeResources(machine, typeOf(machine)));
+    preemptible[machine.id] = amountsOf(machine.preemptible);
   }
-  const holders = [...shard.totals.imageHolders()]
-    .flatMap(([i, ms]) => [...ms].map((machine) => `${i}@${machine.id}`))
-    .sort();
-  let allocated = 0;
-  for (const set of shard.allocationsByJob.values()) allocated += set.size;
+  let allocationsOfJobs = 0;
+  for (const siblings of shard.allocationsByJob.values()) allocationsOfJobs += siblings.size;
   return {
-    teams,
-    unclear: amounts(usageOf(shard).unattributed),
+    usageByTeam,
+    unattributed: amountsOf(usage.unattributed),
     free,
-    lesser: preemptible,
-    holders,
-    bound: allocated,
+    preemptible,
+    imageHolders: [...shard.totals.imageHolders()]
+      .flatMap(([image, machines]) => [...machines].map((machine) => `${image}@${machine.id}`))
+      .sort(),
+    allocations: shard.allocations.size,
+    allocationsOfJobs,
   };
 }
 
-test('incrementally updated totals equal a full recount', () => {
-  const random = seededRandom(7);
-  const shard = new Shard(0 as never, 7 as never, 1 as never, 0 as never, TYPES as never);
-  let names = 0;
-  const pick = <T>(list: T[]): T | undefined => list[random(list.length)];
-  for (let step = 0; step < 4000; step += 1) {
-    const machine = pick([...shard.machines.values()]);
-    const action = random(10);
-    if (action === 0 || !machine) {
-      const type = random(2) === 0 ? 'small' : 'large';
-      const id = `m-${names++}` as never;
-      shard.addMachine(
-        newMachine({
-          id,
-          address: '10.0.0.1:1' as never,
-          type: type as never,
-          zone: 'east' as never,
-          spot: false,
-          addedAt: 0 as never,
-          reconciled: random(2) === 0,
-        }),
+/** The index by free capacity finds every machine on which the need fits, and of others only what it must. */
+function assertFindsMachinesWithFree(shard: Shard): void {
+  for (const { need, dominant } of NEEDS) {
+    const found = new Set(shard.totals.machinesWithFree(need, TYPES));
+    for (const machine of shard.machines.values())
+      if (fits(need, freeResources(machine, typeOf(machine))))
+        assert.ok(found.has(machine), 'no machine is left out');
+    for (const machine of found) {
+      assert.ok(shard.machines.has(machine.id), 'no machine that has left the shard');
+      assert.ok(
+        freeResources(machine, typeOf(machine))[dominant] > need[dominant] - 1e-6,
+        `few others, by ${dominant}`,
       );
-    } else if (action === 1 && shard.machines.size > 12) {
-      for (const allocation of [...machine.allocations.values()]) release(shard, machine, allocation);
-      shard.removeMachine(machine);
-    } else if (action === 2) shard.markReconciled(machine);
-    else if (action < 7) {
-      const spec = pick(SPECS) ?? null;
-      const index = names++;
-      const job = spec?.id ?? 'req-x';
-      const allocation = {
-        id: `${job}/${index}`,
-        job,
-        index,
-        attempt: step,
-        machine: machine.id,
-        spec,
-        stop: null,
-      } as unknown as Allocation;
-      allocate(shard, machine, allocation);
-      if (random(8) === 0) addToMachine(shard, machine, allocation);
-      if (spec && random(2) === 0) shard.recordImage(machine, spec.image, spec.imageGb);
-    } else {
-      const allocation = pick([...machine.allocations.values()]);
-      if (allocation) release(shard, machine, allocation);
     }
-    if (step % 7 === 0) assert.deepEqual(runningTotals(shard), recount(shard), `after ${step} steps`);
-    for (const need of NEEDS) {
-      const found = new Set(shard.totals.machinesWithFree(need, TYPES as never));
-      for (const candidate of shard.machines.values())
-        if (fits(need, freeResources(candidate, TYPES.get(candidate.type) as never)))
-          assert.ok(found.has(candidate), 'no machine is left out');
-      const kind = need.gpus > 0 ? 'gpus' : need.memoryGb > 8 ? 'memoryGb' : 'cpus';
-      for (const candidate of found)
-        assert.ok(
-          freeResources(candidate, TYPES.get(candidate.type) as never)[kind] > need[kind] - 1e-6,
-          `few others, by ${kind}`,
-        );
+  }
+}
+
+/** Changes a shard at random, the same way for the same seed. */
+class RandomChanges {
+  private readonly random = seededRandom(7);
+  private nextNumber = 0;
+
+  constructor(private readonly shard: Shard) {}
+
+  step(number: number): void {
+    const { shard } = this;
+    const machine = this.pick([...shard.machines.values()]);
+    const action = this.random(10);
+    if (action === 0 || !machine) this.addMachine();
+    else if (action === 1 && shard.machines.size > MIN_MACHINES) this.removeMachine(machine);
+    else if (action === 2) shard.markReconciled(machine);
+    else if (action < 7) this.allocateOn(machine, number);
+    else {
+      const allocation = this.pick([...machine.allocations.values()]);
+      if (allocation) release(shard, machine, allocation);
     }
   }
+
+  private pick<T>(list: readonly T[]): T | undefined {
+    return list[this.random(list.length)];
+  }
+
+  private takeNumber(): number {
+    const number = this.nextNumber;
+    this.nextNumber += 1;
+    return number;
+  }
+
+  private addMachine(): void {
+    const type = (this.random(2) === 0 ? 'small' : 'large') as InstanceTypeId;
+    this.shard.addMachine(
+      newMachine({
+        id: `m-${this.takeNumber()}` as MachineId,
+        address: '10.0.0.1:1' as Address,
+        type,
+        zone: 'east' as ZoneId,
+        spot: false,
+        addedAt: steady(0),
+        reconciled: this.random(2) === 0,
+      }),
+    );
+  }
+
+  private removeMachine(machine: Machine): void {
+    for (const allocation of [...machine.allocations.values()]) release(this.shard, machine, allocation);
+    this.shard.removeMachine(machine);
+  }
+
+  private allocateOn(machine: Machine, step: number): void {
+    const { shard } = this;
+    const spec = this.pick(SPECS) ?? null;
+    const index = taskIndex(this.takeNumber());
+    const job = spec?.id ?? ('req-x' as JobId);
+    const allocation: Allocation = {
+      id: taskId(job, index),
+      job,
+      index,
+      attempt: attempt(step),
+      machine: machine.id,
+      spec,
+      phase: 'running',
+      allocatedAt: steady(0),
+      runningSince: null,
+      gatheringSince: null,
+      stop: null,
+      launchInFlight: false,
+      launchPending: false,
+      unacknowledged: null,
+      answeredSequence: null,
+    };
+    allocate(shard, machine, allocation);
+    if (this.random(8) === 0) addToMachine(shard, machine, allocation);
+    if (spec && this.random(2) === 0) shard.recordImage(machine, spec.image, spec.imageGb);
+  }
+}
+
+test('incrementally updated totals equal a full recount', () => {
+  const shard = new Shard(shardId(0), fencingToken(7), revision(1), steady(0), TYPES);
+  const changes = new RandomChanges(shard);
+  for (let step = 0; step < STEPS; step += 1) {
+    changes.step(step);
+    if (step % STEPS_BETWEEN_RECOUNTS === 0)
+      assert.deepEqual(runningTotals(shard), recount(shard), `after ${step} steps`);
+    assertFindsMachinesWithFree(shard);
+  }
 });
