--- a/src/shards/allocation-changes.ts
+++ b/src/shards/allocation-changes.ts
@@ -21,7 +21,7 @@
 
 /**
  * Counts the task on the machine and for its team's quota, in place of an earlier allocation of it there. Alone, for a
- * task that is seen on a machine and should not be: it takes its room until it is gone.
+ * task that is seen on a machine and should not be: it takes its resources until it is gone.
  */
 export function addToMachine(shard: Shard, machine: Machine, allocation: Allocation): void {
   const before = machine.allocations.get(allocation.id);
--- a/src/shards/allocation.ts
+++ b/src/shards/allocation.ts
@@ -34,7 +34,7 @@
   direct: 'due' | 'sent';
 }
 
-/** A task that is on a machine or may be. It takes room there and counts for its team's quota until it is released. */
+/** A task that is on a machine or may be. It takes resources there and counts for its team's quota until it is released. */
 export interface Allocation {
   readonly id: TaskId;
   readonly job: JobId;
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -5,6 +5,7 @@
 import type { InstanceType } from '../cloud/wire.js';
 import type { Resources } from '../model/resources.js';
 import type { RangeSet } from '../model/ranges.js';
+import { ImageAnnouncements } from './image-announcements.js';
 import type { ShardJob } from './job.js';
 import type { Allocation } from './allocation.js';
 import type { Machine } from './machine.js';
@@ -31,7 +32,7 @@
 
 /** A search for tasks to preempt that found none. */
 export interface FailedSearch {
-  /** What it was to make room for. */
+  /** The capacity that preempting was to free. */
   readonly need: Resources;
   /** The search need not be repeated before this time. */
   readonly until: SteadyMs;
@@ -76,8 +77,7 @@
   private readonly firstFencingToken: FencingToken;
   /** Revision at which the shard was acquired: an earlier leader may have acted on whatever was written up to then. */
   readonly acquiredVersion: Revision;
-  private readonly machinesWithImageChanges = new Set<Machine>();
-  private imageAnnouncementCursor = this.machines.values();
+  private readonly imageAnnouncements = new ImageAnnouncements(this.machines);
 
   /**
    * @param currentFencingToken fencing token under which the shard was acquired
@@ -149,20 +149,9 @@
     for (const machine of this.machines.values()) this.totals.updateFreeCapacity(machine, this.types);
   }
 
-  /** Machines whose images are to be announced now: changed ones first, then the next in turn, so that all recur. */
+  /** Machines whose images are to be announced now, `count` at most. */
   nextImageAnnouncements(count: number): Set<Machine> {
-    const chosen = new Set<Machine>();
-    for (const machine of this.machinesWithImageChanges) {
-      if (chosen.size >= count) return chosen;
-      this.machinesWithImageChanges.delete(machine);
-      if (this.machines.has(machine.id)) chosen.add(machine);
-    }
-    for (let left = Math.min(count - chosen.size, this.machines.size); left > 0; left -= 1) {
-      let next = this.imageAnnouncementCursor.next();
-      if (next.done) next = (this.imageAnnouncementCursor = this.machines.values()).next();
-      if (!next.done && next.value.images.size > 0) chosen.add(next.value);
-    }
-    return chosen;
+    return this.imageAnnouncements.next(count);
   }
 
   /** The machine has fetched or used this image. */
@@ -170,12 +159,12 @@
     const alreadyHeld = machine.images.delete(image);
     machine.images.set(image, sizeGb);
     if (alreadyHeld) return;
-    this.machinesWithImageChanges.add(machine);
+    this.imageAnnouncements.markChanged(machine);
     this.totals.setImageHolder(image, machine, true);
     this.evictImages(machine);
   }
 
-  /** Forgets images that the machine's cache has no room for: those used longest ago, except those that tasks need. */
+  /** Forgets images that do not fit into the machine's cache: those used longest ago, except those that tasks need. */
   private evictImages(machine: Machine): void {
     const cacheGb = this.types.get(machine.type)?.cacheGb ?? Infinity;
     let totalGb = 0;
