--- a/src/leadership/open-shard.ts
+++ b/src/leadership/open-shard.ts
@@ -68,7 +68,8 @@
 
 /** An earlier leader may have started tasks on it: nothing is known of it before its first heartbeat. */
 function newUnreconciledMachine(id: MachineId, record: MachineRecord, now: SteadyMs): Machine {
-  return newMachine(id, record.address, record.type, record.zone, record.spot, now, false);
+  const { address, type, zone, spot } = record;
+  return newMachine({ id, address, type, zone, spot, addedAt: now, reconciled: false });
 }
 
 function addActiveJobs(context: OpenShardContext, shard: Shard, now: SteadyMs): void {
--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -12,7 +12,7 @@
   QuotaTransferRequest,
   ShardCapacity,
 } from '../peers/messages.js';
-import { isSchedulable } from '../scheduling/cycle.js';
+import { isSchedulable } from '../shards/machine-health.js';
 import { freeResources, waitingByZone, type Machine, type Shard } from '../shards/model.js';
 import type { ImageId, JobId, MachineId, ShardId, SteadyMs, TeamId, ZoneId } from '../model/units.js';
 import { plus } from '../model/units.js';
--- a/src/scheduling/consolidation.ts
+++ b/src/scheduling/consolidation.ts
@@ -20,7 +20,8 @@
 import type { Allocation, Machine, Shard } from '../shards/model.js';
 import { hasUnknownUsage, requiredZone, freeResources } from '../shards/model.js';
 import { mayRunOn } from '../model/constraints.js';
-import { isSchedulable, type SchedulingContext } from './cycle.js';
+import { type SchedulingContext } from './cycle.js';
+import { isSchedulable } from '../shards/machine-health.js';
 
 /** Decision: this replica stops and starts again on the target. */
 export interface Relocation {
--- a/src/scheduling/cycle.ts
+++ b/src/scheduling/cycle.ts
@@ -99,19 +99,3 @@
   quotaReservations: new Map(),
   oversizedGang: null,
 });
-
-export function isSchedulable(
-  machine: Machine,
-  context: Pick<SchedulingContext, 'now' | 'reportMs'>,
-): boolean {
-  if (machine.unreachableSince !== null) return false;
-  if (
-    !machine.reconciled ||
-    machine.draining ||
-    machine.scalingIn ||
-    machine.interruptedAt !== null ||
-    context.now < machine.quarantinedUntil
-  )
-    return false;
-  return machine.lastHeardAt !== null && context.now - machine.lastHeardAt < context.reportMs * 2 + 1000;
-}
--- a/src/scheduling/scheduling-cycle.ts
+++ b/src/scheduling/scheduling-cycle.ts
@@ -21,7 +21,8 @@
   type Shard,
   type ShardJob,
 } from '../shards/model.js';
-import { isSchedulable, newPlan, type SchedulingContext, type SchedulingPlan } from './cycle.js';
+import { newPlan, type SchedulingContext, type SchedulingPlan } from './cycle.js';
+import { isSchedulable } from '../shards/machine-health.js';
 
 /** Takes the resources of one task off what is free; nothing happens where nothing is known to be free. */
 export function takeResources(free: MutableResources | null | undefined, spec: JobSpec): void {
--- a/src/scheduling/task-allocator.ts
+++ b/src/scheduling/task-allocator.ts
@@ -7,6 +7,7 @@
 import {
   allocate,
   release,
+  requestStop,
   type Allocation,
   type Machine,
   type Shard,
@@ -97,9 +98,7 @@
     if (!machine || (allocation.stop && allocation.stop.grace <= graceS)) return;
     this.core.log.debug({ task: allocation.id, machine: allocation.machine, grace: graceS }, 'stop');
     if (isUnsent(allocation)) return release(shard, machine, allocation);
-    allocation.stop = { grace: graceS, direct: 'due' };
-    shard.stopping.add(allocation);
-    shard.machinesWithPendingCommands.add(machine);
+    requestStop(shard, machine, allocation, graceS);
   }
 
   /** The job has ended: stops every task of it. Each uses quota and capacity until a heartbeat shows it gone. */
@@ -116,7 +115,7 @@
    * the others stay if they are expected to finish in time.
    */
   evacuateInterruptedMachines(shard: Shard): void {
-    for (const machine of shard.interruptionNoticed) {
+    for (const machine of shard.interruptedMachines) {
       for (const allocation of [...machine.allocations.values()]) this.evacuate(shard, machine, allocation);
     }
   }
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -100,10 +100,9 @@
   { interruptionNoticeS }: Heartbeat,
   context: ReconciliationContext,
 ): void {
-  machine.interruptedAt =
+  const interruptedAt =
     interruptionNoticeS === null ? null : plus(context.now, toMillis(interruptionNoticeS));
-  if (machine.interruptedAt === null) shard.interruptionNoticed.delete(machine);
-  else shard.interruptionNoticed.add(machine);
+  shard.setInterruption(machine, interruptedAt);
 }
 
 /** Only heartbeats renew leases: a direct reply must not change these times. */
--- a/src/workers/service.ts
+++ b/src/workers/service.ts
@@ -86,7 +86,7 @@
     const now = this.controller.clock.now();
     const { address, type, zone, spot } = record;
     const reconciled = isRegisteredSinceAcquisition(shard, version);
-    shard.addMachine(newMachine(id, address, type, zone, spot, now, reconciled));
+    shard.addMachine(newMachine({ id, address, type, zone, spot, addedAt: now, reconciled }));
   }
 
   /** Ids are never used again; the oldest are forgotten, so that memory stays bounded. */
--- a/test/leadership/worker-reachability.test.ts
+++ b/test/leadership/worker-reachability.test.ts
@@ -30,15 +30,15 @@
 function shardHeard(...heardMsAgo: number[]): Shard {
   const shard = new Shard(SHARD, fencingToken(1), revision(1), steady(0), new Map());
   heardMsAgo.forEach((ago, i) => {
-    const machine = newMachine(
-      `m-${i}` as MachineId,
-      `10.0.0.${i}:1` as Address,
-      'small' as InstanceTypeId,
-      'east' as ZoneId,
-      false,
-      steady(0),
-      true,
-    );
+    const machine = newMachine({
+      id: `m-${i}` as MachineId,
+      address: `10.0.0.${i}:1` as Address,
+      type: 'small' as InstanceTypeId,
+      zone: 'east' as ZoneId,
+      spot: false,
+      addedAt: steady(0),
+      reconciled: true,
+    });
     machine.lastHeartbeatAt = steady(NOW - ago);
     shard.addMachine(machine);
   });
--- a/test/support/shard-fixture.ts
+++ b/test/support/shard-fixture.ts
@@ -106,15 +106,15 @@
   }
 
   addMachine(id: string, address: string, options: { reconciled: boolean; spot?: boolean }): Machine {
-    const machine = newMachine(
-      id as MachineId,
-      address as Address,
-      TYPE.name,
-      ZONE,
-      options.spot ?? false,
-      steady(0),
-      options.reconciled,
-    );
+    const machine = newMachine({
+      id: id as MachineId,
+      address: address as Address,
+      type: TYPE.name,
+      zone: ZONE,
+      spot: options.spot ?? false,
+      addedAt: steady(0),
+      reconciled: options.reconciled,
+    });
     this.shard.addMachine(machine);
     return machine;
   }
