--- a/test/support/cluster-lifetime.ts
+++ b/test/support/cluster-lifetime.ts
@@ -57,7 +57,7 @@
   readonly array: JobOptions;
 }
 
-export const CPU_WORKLOAD: Workload = {
+const CPU_WORKLOAD: Workload = {
   machineTypes: ['large', 'small', 'small', 'small'],
   service: { tasks: 8, cpus: 1 },
   array: { tasks: 35, cpus: 2 },
@@ -115,7 +115,7 @@
 const maxOpenCalls = (config: ClusterConfig): number =>
   Math.floor(config.connections / 10) + 2 * Math.max(config.storeLimits.txnOps, config.storeLimits.writeRps);
 
-export function assertWithinLimits(cluster: SimulatedCluster): void {
+function assertWithinLimits(cluster: SimulatedCluster): void {
   const { store: state, config, observed: seen } = cluster;
   assert.deepEqual(cluster.violations, []);
   assert.ok(seen.maxOpenCalls <= maxOpenCalls(config), `${seen.maxOpenCalls} open calls to workers`);
