--- a/dependency-cruiser.config.js
+++ b/dependency-cruiser.config.js
@@ -6,7 +6,7 @@
 /** From the lowest layer to the highest: a layer may import itself and those before it. */
 const LAYERS = {
   // Ids, units, ranges, and the types of jobs and their records.
-  model: '^src/(model/|jobs/(spec|record|codec|stored-size)\\.ts)',
+  model: '^src/(model/|jobs/(spec|record|codec|stored-size|job-record-cache)\\.ts)',
   settings: '^src/(settings|logging)/',
   transports: '^src/(http|peers)/',
   clients: '^src/(store|cloud)/',
@@ -14,15 +14,15 @@
   // What the slices of one controller share.
   core: '^src/core\\.ts',
   slices:
-    '^src/(jobs/(?!(spec|record|codec|stored-size)\\.ts)|(quota|workers|scheduling|overflow|autoscaling)/)',
-  controller: '^src/(controller/|controller\\.ts)',
+    '^src/(jobs/(?!(spec|record|codec|stored-size|job-record-cache)\\.ts)|(quota|workers|scheduling|overflow|autoscaling)/)',
+  // The composition of the slices: the only place that knows all of them.
+  controller: '^src/controller/',
   simulation: '^src/simulation/',
   commands: '^src/(cli/|main\\.ts)',
 };
 
 /** Imports that run upwards and are still to be mended: by file, what it may import all the same. */
 const KNOWN_UPWARD = {
-  'src/core.ts': ['src/overflow/peer-ranking.ts'],
   'src/shards/statistics.ts': ['src/scheduling/cycle.ts'],
   'src/leadership/leadership.ts': ['src/core.ts'],
 };
--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,7 +1,8 @@
 /** The command line: serve, check the settings, simulate, help, version. */
 import { readFileSync } from 'node:fs';
 import { Command, CommanderError } from 'commander';
-import { Controller, networkPorts } from '../controller.js';
+import { Controller } from '../controller/controller.js';
+import { networkPorts } from '../controller/ports.js';
 import { openLog } from '../logging/log.js';
 import {
   TUNING_PROPERTIES,
--- /dev/null
+++ b/src/controller/job-assignment.ts
@@ -0,0 +1,54 @@
+/** Assigns the tasks of new jobs to shards, by recent free capacity. */
+import type { Core } from '../core.js';
+import type { Assignment } from '../jobs/record.js';
+import type { JobSpec } from '../jobs/spec.js';
+import type { ShardId, SteadyMs } from '../model/units.js';
+import { refreshFreeCapacity, zoneForShard } from '../overflow/announcement.js';
+import { assignJob } from '../overflow/assignment.js';
+
+/** New jobs are assigned by what was free in the shards led here at most this long ago. */
+const FREE_CAPACITY_MAX_AGE_MS = 100;
+
+/** Chooses the shards of new jobs, and keeps the free capacity of the shards led here recent. */
+export class JobAssigner {
+  private freeCapacityRefreshedAt: SteadyMs | null = null;
+
+  constructor(private readonly core: Core) {}
+
+  /** Counts anew what the shards led here have free. */
+  refreshFreeCapacity(now: SteadyMs): void {
+    this.freeCapacityRefreshedAt = now;
+    refreshFreeCapacity(this.core);
+  }
+
+  /** Which shard gets which tasks of a new job. */
+  assign(spec: JobSpec): Assignment[] {
+    const { core } = this;
+    const homeShard = this.homeShard();
+    const now = core.clock.now();
+    if (!this.isFreeCapacityRecent(now)) this.refreshFreeCapacity(now);
+    return assignJob(spec, {
+      now,
+      homeShard,
+      homeZone: zoneForShard(core, homeShard),
+      shards: core.settings.shards,
+      zones: core.settings.zones,
+      types: [...core.types.values()],
+      freeCapacity: core.freeCapacity,
+      imageCapacity: core.readyCapacity,
+      random: core.random,
+    });
+  }
+
+  private isFreeCapacityRecent(now: SteadyMs): boolean {
+    const refreshedAt = this.freeCapacityRefreshedAt;
+    return refreshedAt !== null && now - refreshedAt <= FREE_CAPACITY_MAX_AGE_MS;
+  }
+
+  /** The shard of this controller if it leads it, otherwise one that it leads. */
+  private homeShard(): ShardId {
+    const { shards, settings } = this.core;
+    if (shards.has(settings.shard)) return settings.shard;
+    return shards.keys().next().value ?? settings.shard;
+  }
+}
--- /dev/null
+++ b/src/controller/periodic-work.ts
@@ -0,0 +1,79 @@
+/** What a controller does at intervals, in this order: leadership comes before all else. */
+import type { Autoscaler } from '../autoscaling/autoscaler.js';
+import type { Core } from '../core.js';
+import type { ClusterClockWriter } from '../jobs/cluster-clock.js';
+import type { ProgressWriter } from '../jobs/progress.js';
+import type { ShardLeadership } from '../leadership/leadership.js';
+import type { Resources } from '../model/resources.js';
+import { Throttle } from '../model/throttle.js';
+import { millis, type SteadyMs, type TeamId } from '../model/units.js';
+import type { QuotaTransferService } from '../quota/transfer-service.js';
+import type { Scheduler } from '../scheduling/scheduler.js';
+import { statisticsOf } from '../shards/statistics.js';
+import type { WorkerService } from '../workers/service.js';
+import type { PeerMessages } from './peer-messages.js';
+
+const TICK_INTERVAL = millis(200);
+/** What walks over all machines is done at this interval, not on every tick. */
+const REVIEW_INTERVAL = millis(1000);
+const STATISTICS_INTERVAL = millis(10_000);
+
+/** The slices with work to do at intervals. */
+export interface PeriodicServices {
+  readonly leadership: Pick<ShardLeadership, 'tick'>;
+  readonly progress: Pick<ProgressWriter, 'tick'>;
+  readonly clusterClockWriter: Pick<ClusterClockWriter, 'tick'>;
+  readonly autoscaler: Pick<Autoscaler, 'scaleOutShards' | 'scaleInShards'>;
+  readonly workers: Pick<WorkerService, 'expireLeases' | 'closeUnusedClients'>;
+  readonly scheduler: Pick<Scheduler, 'machineTransfers'>;
+  readonly quotaTransfers: Pick<QuotaTransferService, 'shardQuota'>;
+  readonly peerMessages: Pick<PeerMessages, 'announce'>;
+}
+
+/** Runs the periodic work of one controller for as long as the process lives. */
+export class PeriodicWork {
+  private readonly reviewThrottle = new Throttle(REVIEW_INTERVAL);
+  private readonly statisticsThrottle = new Throttle(STATISTICS_INTERVAL);
+
+  constructor(
+    private readonly core: Core,
+    private readonly services: PeriodicServices,
+  ) {}
+
+  /** Ticks now and at every interval from now on. */
+  start(): void {
+    // Not awaited: a tick that waits for its turn must not delay the next one.
+    void this.core.exclusive(() => this.tick());
+    this.core.clock.after(TICK_INTERVAL, () => this.start());
+  }
+
+  private tick(): void {
+    const { services } = this;
+    const now = this.core.clock.now();
+    services.leadership.tick();
+    services.progress.tick();
+    services.autoscaler.scaleOutShards();
+    services.clusterClockWriter.tick();
+    if (this.reviewThrottle.tryAcquire(now)) this.reviewMachines();
+    services.peerMessages.announce(now);
+    if (this.statisticsThrottle.tryAcquire(now)) this.logStatistics(now);
+    this.core.requestCycle();
+  }
+
+  private reviewMachines(): void {
+    const { workers, scheduler, autoscaler } = this.services;
+    for (const shard of this.core.shards.values()) workers.expireLeases(shard);
+    scheduler.machineTransfers.expireCordons();
+    autoscaler.scaleInShards();
+    workers.closeUnusedClients();
+  }
+
+  private logStatistics(now: SteadyMs): void {
+    const { core, services } = this;
+    for (const shard of core.shards.values()) {
+      const shardQuota = (team: TeamId): Resources => services.quotaTransfers.shardQuota(shard.id, team);
+      const statistics = statisticsOf(shard, now, core.heartbeatIntervalMs, shardQuota);
+      core.log.info({ shard: shard.id, ...statistics }, 'shard statistics');
+    }
+  }
+}
--- /dev/null
+++ b/src/controller/store-changes.ts
@@ -0,0 +1,83 @@
+/** Tells the slices what changed in the watch cache, by the kind of the changed key. */
+import type { Autoscaler } from '../autoscaling/autoscaler.js';
+import type { Core } from '../core.js';
+import { decodeClusterTime } from '../jobs/cluster-clock.js';
+import { ACTIVE_JOBS_PREFIX } from '../jobs/codec.js';
+import type { JobRecord } from '../jobs/record.js';
+import { Priority } from '../jobs/spec.js';
+import type { ShardLeadership } from '../leadership/leadership.js';
+import type { JobId, MachineId, Revision } from '../model/units.js';
+import type { Scheduler } from '../scheduling/scheduler.js';
+import {
+  ALIVE_PREFIX,
+  decodeMachineRecord,
+  MACHINES_PREFIX,
+  SHARDS_PREFIX,
+  TIME_KEY,
+} from '../shards/codec.js';
+import { syncJob } from '../shards/model.js';
+import type { WorkerService } from '../workers/service.js';
+import { divideStoreLimits } from './store-limits.js';
+
+/** The slices that follow changes of the store. */
+export interface StoreChangeListeners {
+  readonly leadership: Pick<ShardLeadership, 'onShardRecord'>;
+  readonly workers: Pick<WorkerService, 'onMachineChanged'>;
+  readonly scheduler: Pick<Scheduler, 'onJobRecord' | 'stopJob' | 'requestUrgentCycle'>;
+  readonly autoscaler: Pick<Autoscaler, 'forgetPending'>;
+}
+
+/** Hands each change of the watch cache to the slices that it concerns. */
+export class StoreChangeDispatcher {
+  constructor(
+    private readonly core: Core,
+    private readonly listeners: StoreChangeListeners,
+  ) {}
+
+  /** A key has the value at the version; `undefined` when it was deleted. */
+  dispatch(key: string, value: unknown, version: Revision): void {
+    const { core, listeners } = this;
+    if (key.startsWith(ACTIVE_JOBS_PREFIX)) this.onJobRecord(key, value, version);
+    else if (key.startsWith(SHARDS_PREFIX)) listeners.leadership.onShardRecord(key, value, version);
+    else if (key.startsWith(MACHINES_PREFIX)) this.onMachineRecord(key, value, version);
+    else if (key.startsWith(ALIVE_PREFIX)) divideStoreLimits(core);
+    else if (key === TIME_KEY) core.clusterClock.reached(decodeClusterTime(value), core.clock.now());
+    core.requestCycle();
+  }
+
+  private onMachineRecord(key: string, value: unknown, version: Revision): void {
+    const id = key.slice(MACHINES_PREFIX.length) as MachineId;
+    const record = value === undefined ? null : decodeMachineRecord(value);
+    this.core.registeredMachines.update(id, record);
+    if (record) this.listeners.autoscaler.forgetPending(id);
+    this.listeners.workers.onMachineChanged(id, record, version);
+  }
+
+  private onJobRecord(key: string, value: unknown, version: Revision): void {
+    const { scheduler } = this.listeners;
+    const id = key.slice(ACTIVE_JOBS_PREFIX.length) as JobId;
+    const update = this.core.activeJobs.update(id, value);
+    switch (update.kind) {
+      case 'unreadable':
+        this.core.log.error({ job: id }, 'job record cannot be read');
+        return;
+      case 'ended':
+        scheduler.onJobRecord(id, null);
+        scheduler.stopJob(id);
+        return;
+      case 'active':
+        this.onActiveJob(id, update.record, version);
+    }
+  }
+
+  private onActiveJob(id: JobId, record: JobRecord, version: Revision): void {
+    const { clock, clusterClock, shards } = this.core;
+    const { scheduler } = this.listeners;
+    const now = clock.now();
+    clusterClock.reached(record.acceptedAt ?? 0, now);
+    scheduler.onJobRecord(id, record);
+    const age = clusterClock.age(record.acceptedAt, now);
+    for (const shard of shards.values()) syncJob(shard, record, version, now, false, age);
+    if (record.spec.priority === Priority.critical) scheduler.requestUrgentCycle();
+  }
+}
--- a/src/core.ts
+++ b/src/core.ts
@@ -1,65 +1,44 @@
-/** What the slices of one controller share: settings, clients, the view, the parts it owns. */
+/**
+ * What the slices of one controller share: its settings, clock and clients, the watch cache, the shards that it leads,
+ * and what it has learned of machines and peers. Slices change shared state inside `exclusive` only.
+ */
 import { Mutex } from 'async-mutex';
 import type { CloudClient } from './cloud/client.js';
 import type { InstanceType } from './cloud/wire.js';
-import { decodeRecord, ACTIVE_JOBS_PREFIX } from './jobs/codec.js';
-import type { JobRecord } from './jobs/record.js';
+import { JobRecordCache } from './jobs/job-record-cache.js';
 import type { JobSpec } from './jobs/spec.js';
+import { commandLeaseDuration, workerLeaseDuration } from './leadership/command-lease.js';
 import type { Log } from './logging/log.js';
-import type { PeerTransport } from './peers/peer-transport.js';
+import type { Random } from './model/random.js';
 import type { Resources } from './model/resources.js';
-import type { Shard } from './shards/model.js';
-import { RegisteredMachines } from './shards/registered-machines.js';
-import { aliveKey, decodeMembership, decodeShardRecord, shardKey, type ShardRecord } from './shards/codec.js';
-import type { FreeCapacity, Random } from './overflow/peer-ranking.js';
-import type { Settings, Tuning } from './settings/settings.js';
-import type { KeyValueClient, CompareAndSwapResult, StoreUsage } from './store/client.js';
-import type { RequestPriority } from './store/rate-limiter.js';
-import type { StoreCache } from './store/cache.js';
-import type { Change, Condition } from './store/wire.js';
+import { millis } from './model/units.js';
 import type {
   Clock,
+  ClusterMs,
+  ControllerId,
   ImageId,
   Incarnation,
+  InstanceTypeId,
   JobId,
   MachineId,
   Millis,
-  ControllerId,
   ShardId,
-  ClusterMs,
   SteadyMs,
-  TeamId,
-  InstanceTypeId,
 } from './model/units.js';
-import { millis } from './model/units.js';
-
-/** Beyond any drift between clocks (0.05%) and the steps of timers. */
-export const CLOCK_DRIFT_FACTOR = 1.001;
-export const TIMING_MARGIN = millis(500);
-/** Recently ended jobs whose specs are kept at least. */
-const MIN_RECENTLY_ENDED = 500;
-
-/** What a peer last said about itself and its parts. */
-export interface PeerStatus {
-  readonly heardAt: SteadyMs;
-  readonly incarnation: Incarnation;
-  readonly storeHealthy: boolean;
-  readonly storeUsage: StoreUsage;
-  readonly runningTasks: ReadonlyMap<JobId, number>;
-  /** Machines that came to the peer because the owner of their part does not answer them. */
-  readonly redirectedHeartbeats: ReadonlyMap<ShardId, number>;
-}
-
-export interface ShardAnnouncement {
-  readonly expiresAt: SteadyMs;
-  readonly usage: ReadonlyMap<TeamId, Resources>;
-  readonly unusedQuota: ReadonlyMap<TeamId, Resources>;
-}
+import type { FreeCapacity } from './peers/free-capacity.js';
+import { PeerDirectory, type ShardAnnouncement } from './peers/peer-directory.js';
+import type { PeerTransport } from './peers/peer-transport.js';
+import type { Settings, Tuning } from './settings/settings.js';
+import { aliveKey, decodeMembership, decodeShardRecord, shardKey, type ShardRecord } from './shards/codec.js';
+import type { Shard } from './shards/model.js';
+import { RegisteredMachines } from './shards/registered-machines.js';
+import type { StoreCache } from './store/cache.js';
+import type { CompareAndSwapResult, KeyValueClient } from './store/client.js';
+import type { RequestPriority } from './store/rate-limiter.js';
+import type { Change, Condition } from './store/wire.js';
 
-export interface LiveJob {
-  readonly record: JobRecord;
-  readonly version: number;
-}
+const INITIAL_RETRY_DELAY_MS = 100;
+const MAX_RETRY_DELAY_MS = 2000;
 
 /** Time that the controllers count together, as far as this one knows it. */
 export interface ClusterClock {
@@ -71,47 +50,86 @@
   age(accepted: ClusterMs | null, now: SteadyMs): Millis;
 }
 
-export class Core {
+/** What the composition hands to the slices through `Core`. */
+export interface CoreDependencies {
+  readonly settings: Settings;
+  readonly tuning: Tuning;
+  readonly clock: Clock;
+  readonly clusterClock: ClusterClock;
+  readonly log: Log;
+  readonly incarnation: Incarnation;
+  readonly random: Random;
+  readonly store: KeyValueClient;
+  readonly storeCache: StoreCache;
+  readonly cloud: CloudClient;
+  readonly peerTransport: PeerTransport;
+  /** Whether the store answered the last request of the watch. */
+  readonly storeHealthy: () => boolean;
+  /** Asks for a scheduling cycle soon. */
+  readonly requestCycle: () => void;
+}
+
+/** The shared state of one controller process. */
+export class Core implements CoreDependencies {
+  readonly settings: Settings;
+  readonly tuning: Tuning;
+  readonly clock: Clock;
+  readonly clusterClock: ClusterClock;
+  readonly log: Log;
+  readonly incarnation: Incarnation;
+  readonly random: Random;
+  readonly store: KeyValueClient;
+  readonly storeCache: StoreCache;
+  readonly cloud: CloudClient;
+  readonly peerTransport: PeerTransport;
+  readonly storeHealthy: () => boolean;
+  readonly requestCycle: () => void;
+
+  /** The shards that this controller leads. */
   readonly shards = new Map<ShardId, Shard>();
   readonly types = new Map<InstanceTypeId, InstanceType>();
-  readonly activeJobs = new Map<JobId, JobRecord>();
+  readonly activeJobs = new JobRecordCache();
+  readonly peers = new PeerDirectory();
+  /** By shard: counted for those led here, announced for the others. */
   readonly freeCapacity = new Map<ShardId, FreeCapacity>();
+  /** Of shards that other controllers lead. */
   readonly shardAnnouncements = new Map<ShardId, ShardAnnouncement>();
-  readonly peers = new Map<ControllerId, PeerStatus>();
-  /** Which part a rented machine is meant for; a hint until the machine is named in the state service. */
+  /** Which shard a rented machine is meant for; a hint until the store holds the machine's registration. */
   readonly intendedShards = new Map<MachineId, ShardId>();
-  /** Those of them that we rented, until they are named. */
+  /** Machines that this controller rented and that are not registered yet. */
   readonly unregisteredOwnMachines = new Map<MachineId, ShardId>();
-  /** Which images peers' machines hold, for whoever takes a part over. */
+  /** Which images the machines of other shards hold, for a failover: image and size in GB. */
   readonly imageHints = new Map<MachineId, readonly (readonly [ImageId, number])[]>();
-  /** By part and image: what critical work could have at once where the image is. */
+  /** By shard and image: what critical jobs could have at once on machines that hold the image. */
   readonly readyCapacity = new Map<ShardId, ReadonlyMap<ImageId, Resources>>();
-  /** Machines that were returned or lost for good. Names are never used again. */
+  /** Machines that were deleted or lost for good. The cloud never uses their ids again. */
   readonly retiredMachines = new Set<MachineId>();
-  /** Specs of jobs that are over, while their tasks may still be on machines. */
-  readonly recentlyEndedJobs = new Map<JobId, JobSpec>();
-  /** Machines that the state service names, counted by part. */
+  /** Machines that the store holds, counted by shard. */
   readonly registeredMachines = new RegisteredMachines();
+
   private readonly mutex = new Mutex();
-  storeCache!: StoreCache;
-  store!: KeyValueClient;
-  cloud!: CloudClient;
-  peerTransport!: PeerTransport;
-  /** Asks for a placement round soon. */
-  requestCycle: () => void = () => undefined;
-  storeHealthy: () => boolean = () => false;
-
-  constructor(
-    readonly settings: Settings,
-    readonly tuning: Tuning,
-    readonly clock: Clock,
-    readonly clusterClock: ClusterClock,
-    readonly log: Log,
-    readonly incarnation: Incarnation,
-    readonly random: Random,
-  ) {}
-
-  /** Short and without I/O: whoever changes shared state does it in here. */
+  private readonly commandLease: Millis;
+  private readonly workerLease: Millis;
+
+  constructor(dependencies: CoreDependencies) {
+    this.settings = dependencies.settings;
+    this.tuning = dependencies.tuning;
+    this.clock = dependencies.clock;
+    this.clusterClock = dependencies.clusterClock;
+    this.log = dependencies.log;
+    this.incarnation = dependencies.incarnation;
+    this.random = dependencies.random;
+    this.store = dependencies.store;
+    this.storeCache = dependencies.storeCache;
+    this.cloud = dependencies.cloud;
+    this.peerTransport = dependencies.peerTransport;
+    this.storeHealthy = dependencies.storeHealthy;
+    this.requestCycle = dependencies.requestCycle;
+    this.commandLease = commandLeaseDuration(dependencies.settings);
+    this.workerLease = workerLeaseDuration(dependencies.settings);
+  }
+
+  /** Runs a change of shared state alone. The work is short and waits for nothing. */
   exclusive<T>(work: () => T): Promise<T> {
     return this.mutex.runExclusive(work);
   }
@@ -124,43 +142,50 @@
     return this.settings.heartbeatIntervalS * 1000;
   }
 
+  /** How long after a heartbeat was last answered its worker may still run tasks. */
   get leaseDurationMs(): number {
-    return this.settings.leaseS * 1000 * CLOCK_DRIFT_FACTOR + TIMING_MARGIN;
+    return this.workerLease;
+  }
+
+  /** Specifications of jobs that have ended while their tasks may still be on machines. */
+  get recentlyEndedJobs(): ReadonlyMap<JobId, JobSpec> {
+    return this.activeJobs.recentlyEnded;
   }
 
   /**
-   * May this controller still command? A job may have been cancelled elsewhere since the view was last
-   * confirmed, and its tasks must be gone within the cancel time even on a machine whose lease we renew now.
+   * Whether this controller may answer heartbeats and send commands now. A job may have been cancelled through another
+   * controller since the watch cache was last confirmed: see `commandLeaseDuration`. Asked for where something is sent,
+   * after every wait.
    */
   mayCommand(now: SteadyMs): boolean {
-    const limit =
-      (this.settings.cancelS - this.settings.leaseS) * 1000 - 2 * TIMING_MARGIN - this.settings.cancelS;
-    return this.storeCache.loaded && now - this.storeCache.confirmedAt < limit;
+    return this.storeCache.loaded && now - this.storeCache.confirmedAt < this.commandLease;
   }
 
+  /** The stored record of a shard; null when there is none, or none that this version can read. */
   shardRecord(shard: ShardId): ShardRecord | null {
     const entry = this.storeCache.get(shardKey(shard));
     return entry ? decodeShardRecord(entry.value) : null;
   }
 
+  /** Whether a controller holds its membership key; with an incarnation, whether that process holds it. */
   isAlive(node: ControllerId, incarnation: Incarnation | null): boolean {
     const entry = this.storeCache.get(aliveKey(node));
     return entry !== undefined && (incarnation === null || decodeMembership(entry.value) === incarnation);
   }
 
+  /** Whether an announcement of the peer arrived less than `within` ago. */
   heardWithin(node: ControllerId, within: Millis): boolean {
-    const status = this.peers.get(node);
-    return status !== undefined && this.clock.now() - status.heardAt < within;
+    return this.peers.heardWithin(node, within, this.clock.now());
   }
 
-  /** Conditions under which an owner's write may apply: it still owns the part. */
+  /** The condition under which a leader's write may apply: the shard's record is still the one it acquired. */
   leaderCondition(shard: Shard): Condition {
     return { key: shardKey(shard.id), version: shard.version };
   }
 
   /**
-   * Sends a transaction until its outcome is certain. `conflict` after an unclear try means: look at what the
-   * store holds, it may have been ours that was applied.
+   * Sends a transaction until its outcome is certain. `conflict` after an unknown outcome means: look at what the
+   * store holds, an earlier copy of the same transaction may have been applied.
    */
   async compareAndSwapUntilCertain(
     conditions: Condition[],
@@ -168,35 +193,14 @@
     priority: RequestPriority,
   ): Promise<Exclude<CompareAndSwapResult, { kind: 'unknown' }>> {
     let uncertain = false;
-    for (let backoffMs = 100; ; backoffMs = Math.min(2000, backoffMs * 2)) {
+    let retryDelayMs = INITIAL_RETRY_DELAY_MS;
+    for (;;) {
       const result = await this.store.compareAndSwap(conditions, changes, priority);
       if (result.kind === 'unknown') uncertain = true;
       // A refusal says nothing about an earlier copy that is still on its way.
       else if (result.kind !== 'refused' || !uncertain) return result;
-      await this.sleep(millis(backoffMs * (0.5 + this.random(1000) / 1000)));
-    }
-  }
-
-  /** The view's copy of live job records, decoded once per version. */
-  updateActiveJob(key: string, value: unknown): JobRecord | 'over' | 'unreadable' {
-    const id = key.slice(ACTIVE_JOBS_PREFIX.length) as JobId;
-    const record = value === undefined ? null : decodeRecord(value);
-    if (!record && value !== undefined) {
-      // Written by a version that we do not understand. The job is not over: whoever runs it goes on.
-      this.log.error({ job: id }, 'job record cannot be read');
-      return 'unreadable';
-    }
-    if (record) {
-      this.activeJobs.set(id, record);
-      this.clusterClock.reached(record.acceptedAt ?? 0, this.clock.now());
-    } else {
-      const previous = this.activeJobs.get(id);
-      this.activeJobs.delete(id);
-      if (previous) this.recentlyEndedJobs.set(id, previous.spec);
-      // As many jobs may end together as are active, and their tasks are on machines for a while.
-      if (this.recentlyEndedJobs.size > Math.max(MIN_RECENTLY_ENDED, this.activeJobs.size))
-        this.recentlyEndedJobs.delete(this.recentlyEndedJobs.keys().next().value as JobId);
+      await this.sleep(millis(retryDelayMs * (0.5 + this.random(1000) / 1000)));
+      retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2);
     }
-    return record ?? 'over';
   }
 }
--- /dev/null
+++ b/src/model/throttle.ts
@@ -0,0 +1,16 @@
+/** Limits how often an action is carried out. */
+import type { Millis, SteadyMs } from './units.js';
+
+/** Lets an action through at most once per interval; the first attempt always succeeds. */
+export class Throttle {
+  private lastAcquiredAt: SteadyMs | null = null;
+
+  constructor(private readonly interval: Millis) {}
+
+  /** Whether the action may be carried out now. A success starts the next interval. */
+  tryAcquire(now: SteadyMs): boolean {
+    if (this.lastAcquiredAt !== null && now - this.lastAcquiredAt < this.interval) return false;
+    this.lastAcquiredAt = now;
+    return true;
+  }
+}
--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -16,7 +16,8 @@
 import { freeResources, waitingByZone, type Machine, type Shard } from '../shards/model.js';
 import type { ImageId, JobId, MachineId, ShardId, SteadyMs, TeamId, ZoneId } from '../model/units.js';
 import { plus } from '../model/units.js';
-import { reserveCapacity, type FreeCapacity } from './peer-ranking.js';
+import type { FreeCapacity } from '../peers/free-capacity.js';
+import { reserveCapacity } from './peer-ranking.js';
 
 /** Machines whose images one announcement tells. */
 const MAX_MACHINES_WITH_IMAGE_HINTS = 12;
--- a/src/overflow/assignment.ts
+++ b/src/overflow/assignment.ts
@@ -6,7 +6,9 @@
 import type { ImageId, ShardId, SteadyMs, ZoneId } from '../model/units.js';
 import { mayRunOn } from '../model/constraints.js';
 import { fits } from '../model/resources.js';
-import { taskCapacity, reserveCapacity, rankPeers, type FreeCapacity, type Random } from './peer-ranking.js';
+import type { Random } from '../model/random.js';
+import type { FreeCapacity } from '../peers/free-capacity.js';
+import { taskCapacity, reserveCapacity, rankPeers } from './peer-ranking.js';
 
 export interface AssignmentContext {
   readonly now: SteadyMs;
--- a/src/overflow/peer-ranking.ts
+++ b/src/overflow/peer-ranking.ts
@@ -1,27 +1,11 @@
 /** Announcements of free room and the willing list made of them: nearest zone first, then most free room. */
-import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { JobSpec } from '../jobs/spec.js';
 import { fits, scale, taskSlots, subtract } from '../model/resources.js';
 import { mayRunOn } from '../model/constraints.js';
+import type { Random } from '../model/random.js';
+import type { FreeCapacity } from '../peers/free-capacity.js';
 import type { FreeMachines } from '../peers/messages.js';
-import type { ShardId, SteadyMs, ZoneId } from '../model/units.js';
-
-export interface FreeCapacity {
-  readonly shard: ShardId;
-  readonly zone: ZoneId;
-  readonly expiresAt: SteadyMs;
-  /** Room left as far as we know: what we hand over is taken off until the next announcement. */
-  readonly machines: FreeMachines[];
-}
-
-export type Random = (below: number) => number;
-
-/** Seeded: the same run shuffles the same way. */
-export function seededRandom(seed: number): Random {
-  const generator = xoroshiro128plus(seed);
-  return (below) => (below <= 1 ? 0 : uniformInt(generator, 0, below - 1));
-}
+import type { SteadyMs, ZoneId } from '../model/units.js';
 
 const fittingMachines = (freeCapacity: FreeCapacity, spec: JobSpec, zone: ZoneId | null): FreeMachines[] =>
   freeCapacity.machines.filter(
--- a/src/overflow/task-transfer.ts
+++ b/src/overflow/task-transfer.ts
@@ -10,7 +10,8 @@
 import type { SteadyMs, ZoneId } from '../model/units.js';
 import { zoneForShard } from './announcement.js';
 import { chooseZoneReassignment } from './zone-reassignment.js';
-import { reserveCapacity, rankPeers, type FreeCapacity } from './peer-ranking.js';
+import type { FreeCapacity } from '../peers/free-capacity.js';
+import { reserveCapacity, rankPeers } from './peer-ranking.js';
 
 /** Tasks rest this long with a part before they are handed on: a stale offer must not make them wander. */
 const TRANSFER_DELAY_MS = 800;
--- a/src/overflow/zone-reassignment.ts
+++ b/src/overflow/zone-reassignment.ts
@@ -9,7 +9,8 @@
 import { RangeSet } from '../model/ranges.js';
 import type { ShardId, ZoneId } from '../model/units.js';
 import { eligibleZones, type AssignmentContext } from './assignment.js';
-import { rankPeers, type FreeCapacity } from './peer-ranking.js';
+import type { FreeCapacity } from '../peers/free-capacity.js';
+import { rankPeers } from './peer-ranking.js';
 
 /** How long the tasks of a job wait for room in their zone before they may move to another, in milliseconds. */
 export const ZONE_REASSIGNMENT_DELAY_MS = 5000;
--- a/src/simulation/controller-node.ts
+++ b/src/simulation/controller-node.ts
@@ -1,5 +1,6 @@
 /** The real controllers, each on a host of its own, with ports that lead into the model. */
-import { Controller, type Ports } from '../controller.js';
+import { Controller } from '../controller/controller.js';
+import type { Ports } from '../controller/ports.js';
 import type { Call, CallOutcome } from '../http/client.js';
 import type { Handler } from '../http/server.js';
 import type { Log } from '../logging/log.js';
--- a/test/cluster/concurrent-user-requests.test.ts
+++ b/test/cluster/concurrent-user-requests.test.ts
@@ -6,7 +6,7 @@
 import { connect, type AddressInfo, type Socket } from 'node:net';
 import { test } from 'node:test';
 
-import { seededRandom, type Random } from '../../src/overflow/peer-ranking.js';
+import { seededRandom, type Random } from '../../src/model/random.js';
 import { startHttpServer } from '../../src/http/server.js';
 import { silentLog } from '../../src/logging/log.js';
 import { StoreCache } from '../../src/store/cache.js';
--- a/test/cluster/decision-functions.test.ts
+++ b/test/cluster/decision-functions.test.ts
@@ -9,12 +9,9 @@
   type ScaleOutContext,
 } from '../../src/autoscaling/scale-out-plan.js';
 import { chooseTaskTransfer } from '../../src/overflow/task-transfer.js';
-import {
-  reserveCapacity,
-  seededRandom,
-  rankPeers,
-  type FreeCapacity,
-} from '../../src/overflow/peer-ranking.js';
+import { reserveCapacity, rankPeers } from '../../src/overflow/peer-ranking.js';
+import { seededRandom } from '../../src/model/random.js';
+import type { FreeCapacity } from '../../src/peers/free-capacity.js';
 import { decodeClusterTime, ClusterClock } from '../../src/jobs/cluster-clock.js';
 import type { JobRecord } from '../../src/jobs/record.js';
 import type { JobSpec } from '../../src/jobs/spec.js';
--- a/test/scheduling/dominant-resource.test.ts
+++ b/test/scheduling/dominant-resource.test.ts
@@ -6,7 +6,7 @@
 import { planScaleOut, type ScaleOutContext } from '../../src/autoscaling/scale-out-plan.js';
 import { assignJob, type AssignmentContext } from '../../src/overflow/assignment.js';
 import { composeAnnouncement, capacityByImage, receiveMessage } from '../../src/overflow/announcement.js';
-import { seededRandom } from '../../src/overflow/peer-ranking.js';
+import { seededRandom } from '../../src/model/random.js';
 import { encodePeerMessage } from '../../src/peers/codec.js';
 import type { QuotaTransferRequest } from '../../src/peers/messages.js';
 import type { JobSpec } from '../../src/jobs/spec.js';
--- a/test/scheduling/starvation.test.ts
+++ b/test/scheduling/starvation.test.ts
@@ -11,7 +11,9 @@
   ZONE_REASSIGNMENT_DELAY_MS,
   type ZoneReassignment,
 } from '../../src/overflow/zone-reassignment.js';
-import { taskCapacity, seededRandom, type FreeCapacity } from '../../src/overflow/peer-ranking.js';
+import { seededRandom } from '../../src/model/random.js';
+import { taskCapacity } from '../../src/overflow/peer-ranking.js';
+import type { FreeCapacity } from '../../src/peers/free-capacity.js';
 import { UNLIMITED, ZERO } from '../../src/model/resources.js';
 import { newMachine, Shard, syncJob, type ShardJob } from '../../src/shards/model.js';
 import { planCycle } from '../../src/scheduling/plan.js';
--- a/test/shards/running-totals.test.ts
+++ b/test/shards/running-totals.test.ts
@@ -1,7 +1,7 @@
 /** Running sums against a full recount, over a long random life of one part. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { seededRandom } from '../../src/overflow/peer-ranking.js';
+import { seededRandom } from '../../src/model/random.js';
 import { fits, type Resources } from '../../src/model/resources.js';
 import {
   addToMachine,
--- a/test/support/controller-builds.ts
+++ b/test/support/controller-builds.ts
@@ -1,5 +1,5 @@
 /** The versions of the service that a world can run: the working sources, and the one in production. */
-import { Controller } from '../../src/controller.js';
+import { Controller } from '../../src/controller/controller.js';
 import { silentLog } from '../../src/logging/log.js';
 import type { Resources } from '../../src/model/resources.js';
 import type { JobRecord } from '../../src/jobs/record.js';
--- a/test/support/simulated-cluster.ts
+++ b/test/support/simulated-cluster.ts
@@ -1,5 +1,6 @@
 /** Three controllers in one simulated world, a record of what happens, and a judge of the rules. */
-import type { Controller, Ports } from '../../src/controller.js';
+import type { Controller } from '../../src/controller/controller.js';
+import type { Ports } from '../../src/controller/ports.js';
 import type { Call, CallOutcome } from '../../src/http/client.js';
 import type { HttpResponse, Handler } from '../../src/http/server.js';
 import type { Settings } from '../../src/settings/settings.js';
