--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -70,29 +70,25 @@
     const quotaTransfers = new QuotaTransferService(core);
     this.leadership = new ShardLeadership(core, (shard) => this.workers.areWorkersReachable(shard));
     this.workers = new WorkerService(core, this.leadership, runtimeEstimator, ports.worker);
-    this.jobs = new JobService(
-      core,
-      (spec) => jobAssigner.assign(spec),
-      () => this.storeWatcher.refresh(),
-      (job, version) => this.peerMessages.announceCancellation(job, version),
-    );
-    this.autoscaler = new Autoscaler(
-      core,
-      runtimeEstimator,
-      (shard, machine) => this.workers.removeMachine(shard, machine),
-      (machine) => this.workers.isCandidate(machine),
-    );
+    this.jobs = this.createJobService(jobAssigner);
+    this.autoscaler = this.createAutoscaler(runtimeEstimator);
     this.scheduler = new Scheduler(core, this.workers, quotaTransfers, this.autoscaler, runtimeEstimator);
     const { leadership, workers, scheduler, autoscaler } = this;
+    const { machineTransfers } = scheduler;
     this.storeChanges = new StoreChangeDispatcher(core, { leadership, workers, scheduler, autoscaler });
-    this.peerMessages = new PeerMessages(core, { leadership, scheduler, quotaTransfers, jobAssigner });
+    this.peerMessages = new PeerMessages(core, {
+      leadership,
+      machineTransfers,
+      quotaTransfers,
+      jobAssigner,
+    });
     this.periodicWork = new PeriodicWork(core, {
       leadership,
       progress: new ProgressWriter(core, (job) => this.jobs.rememberFinal(job, 'done')),
       clusterClockWriter: new ClusterClockWriter(core),
       autoscaler,
       workers,
-      scheduler,
+      machineTransfers,
       quotaTransfers,
       peerMessages: this.peerMessages,
     });
@@ -142,6 +138,24 @@
     });
   }
 
+  private createAutoscaler(runtimeEstimator: RuntimeEstimator): Autoscaler {
+    return new Autoscaler(
+      this.core,
+      runtimeEstimator,
+      (shard, machine) => this.workers.removeMachine(shard, machine),
+      (machine) => this.workers.isCandidate(machine),
+    );
+  }
+
+  private createJobService(jobAssigner: JobAssigner): JobService {
+    return new JobService(
+      this.core,
+      (spec) => jobAssigner.assign(spec),
+      () => this.storeWatcher.refresh(),
+      (job, version) => this.peerMessages.announceCancellation(job, version),
+    );
+  }
+
   /** From 0 (included) to 1 (excluded). */
   private randomFraction(): number {
     return this.core.random(RANDOM_FRACTION_STEPS) / RANDOM_FRACTION_STEPS;
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -2,9 +2,11 @@
  * The answer of `/up`, by which the load balancer decides whether users and workers reach this controller. Relies on
  * the watch cache and on what peers announced.
  */
-import type { Core } from '../core.js';
 import type { HttpResponse } from '../http/server.js';
-import { millis, type SteadyMs } from '../model/units.js';
+import { millis, type Clock, type SteadyMs } from '../model/units.js';
+import type { PeerDirectory } from '../peers/peer-directory.js';
+import type { Settings } from '../settings/settings.js';
+import type { StoreCache } from '../store/cache.js';
 
 /** The watch cache counts as stale when it was last confirmed longer ago than this. */
 const STORE_STALE_AFTER_MS = 4500;
@@ -13,7 +15,15 @@
 /** How long the controller must have been cut off before it says so. */
 const CUT_OFF_GRACE_MS = 2500;
 
-type HealthContext = Pick<Core, 'clock' | 'peers' | 'settings' | 'storeCache' | 'types'>;
+/** What the answer is computed from. */
+export interface HealthContext {
+  readonly clock: Pick<Clock, 'now'>;
+  readonly peers: Pick<PeerDirectory, 'allHeardWithin'>;
+  readonly settings: { readonly peers: Pick<Settings['peers'], 'length'> };
+  readonly storeCache: Pick<StoreCache, 'loaded' | 'confirmedAt'>;
+  /** The instance types that are known: none before the first list of the cloud or the store has been read. */
+  readonly types: { readonly size: number };
+}
 
 /** Whether this controller should get requests. */
 export class HealthCheck {
@@ -24,10 +34,10 @@
   /** 200 or 503. Each call takes note of whether the controller is cut off at this moment. */
   answer(): HttpResponse {
     const { storeCache, types, clock } = this.context;
-    const ready = storeCache.loaded && types.size > 0;
+    const started = storeCache.loaded && types.size > 0;
     const cutOff = this.isCutOff(clock.now());
-    if (ready && !cutOff) return { status: 200, body: { ok: true } };
-    return { status: 503, body: { error: ready ? 'cut off from the state service' : 'starting' } };
+    if (started && !cutOff) return { status: 200, body: { ok: true } };
+    return { status: 503, body: { error: started ? 'cut off from the state service' : 'starting' } };
   }
 
   /** When an outage ends some controllers are served a moment before the others: nobody leaves for that. */
--- a/src/controller/peer-messages.ts
+++ b/src/controller/peer-messages.ts
@@ -4,11 +4,11 @@
 import { Throttle } from '../model/throttle.js';
 import type { ShardLeadership } from '../leadership/leadership.js';
 import { composeAnnouncement, receiveMessage } from '../overflow/announcement.js';
+import type { MachineTransferService } from '../overflow/machine-transfer.js';
 import { encodePeerMessage } from '../peers/codec.js';
 import type { CancellationNotice } from '../peers/messages.js';
 import type { PeerTransport } from '../peers/peer-transport.js';
 import type { QuotaTransferService } from '../quota/transfer-service.js';
-import type { Scheduler } from '../scheduling/scheduler.js';
 import type { JobAssigner } from './job-assignment.js';
 import { borrowStoreLimits } from './store-limits.js';
 
@@ -36,7 +36,7 @@
 /** The slices that take part in the exchange with peers. */
 export interface PeerMessageHandlers {
   readonly leadership: Pick<ShardLeadership, 'redirectedHeartbeatCounts'>;
-  readonly scheduler: Pick<Scheduler, 'machineTransfers'>;
+  readonly machineTransfers: Pick<MachineTransferService, 'handleRequest'>;
   readonly quotaTransfers: Pick<QuotaTransferService, 'handleRequest' | 'unusedQuota'>;
   readonly jobAssigner: Pick<JobAssigner, 'refreshFreeCapacity'>;
 }
@@ -78,7 +78,7 @@
     const request = receiveMessage(core, message);
     // Not awaited: a transfer ends with a write to the store, and the peer asks again if it sees none.
     if (request?.kind === 'quotaTransferRequest') void handlers.quotaTransfers.handleRequest(request);
-    if (request?.kind === 'machineRequest') handlers.scheduler.machineTransfers.handleRequest(request);
+    if (request?.kind === 'machineRequest') handlers.machineTransfers.handleRequest(request);
     core.requestCycle();
   }
 }
--- a/src/controller/periodic-work.ts
+++ b/src/controller/periodic-work.ts
@@ -7,8 +7,8 @@
 import type { Resources } from '../model/resources.js';
 import { Throttle } from '../model/throttle.js';
 import { millis, type SteadyMs, type TeamId } from '../model/units.js';
+import type { MachineTransferService } from '../overflow/machine-transfer.js';
 import type { QuotaTransferService } from '../quota/transfer-service.js';
-import type { Scheduler } from '../scheduling/scheduler.js';
 import { statisticsOf } from '../shards/statistics.js';
 import type { WorkerService } from '../workers/service.js';
 import type { PeerMessages } from './peer-messages.js';
@@ -25,7 +25,7 @@
   readonly clusterClockWriter: Pick<ClusterClockWriter, 'tick'>;
   readonly autoscaler: Pick<Autoscaler, 'scaleOutShards' | 'scaleInShards'>;
   readonly workers: Pick<WorkerService, 'expireLeases' | 'closeUnusedClients'>;
-  readonly scheduler: Pick<Scheduler, 'machineTransfers'>;
+  readonly machineTransfers: Pick<MachineTransferService, 'expireCordons'>;
   readonly quotaTransfers: Pick<QuotaTransferService, 'shardQuota'>;
   readonly peerMessages: Pick<PeerMessages, 'announce'>;
 }
@@ -61,9 +61,9 @@
   }
 
   private reviewMachines(): void {
-    const { workers, scheduler, autoscaler } = this.services;
+    const { workers, machineTransfers, autoscaler } = this.services;
     for (const shard of this.core.shards.values()) workers.expireLeases(shard);
-    scheduler.machineTransfers.expireCordons();
+    machineTransfers.expireCordons();
     autoscaler.scaleInShards();
     workers.closeUnusedClients();
   }
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -4,6 +4,7 @@
 import type { WorkerService } from '../workers/service.js';
 import type { HealthCheck } from './health.js';
 
+/** Where workers post their heartbeats. */
 export const HEARTBEAT_PATH = '/agent/beat';
 const HEALTH_PATH = '/up';
 const JOBS_PATH = '/v2/runs';
--- a/src/controller/store-limits.ts
+++ b/src/controller/store-limits.ts
@@ -1,15 +1,29 @@
 /** How the controllers divide the rate limits of the store among themselves. */
-import type { Core } from '../core.js';
-import { millis } from '../model/units.js';
+import { millis, type ControllerId, type Incarnation, type Millis } from '../model/units.js';
+import type { PeerDirectory } from '../peers/peer-directory.js';
+import type { Peer, Settings } from '../settings/settings.js';
 import { ALIVE_PREFIX } from '../shards/codec.js';
+import type { StoreCache } from '../store/cache.js';
+import type { KeyValueClient } from '../store/client.js';
 
 /** A peer that was heard more recently than this says what it draws from the store. */
 const USAGE_TIMEOUT = millis(3000);
 
-type StoreLimitContext = Pick<
-  Core,
-  'isAlive' | 'heardWithin' | 'peers' | 'settings' | 'store' | 'storeCache'
->;
+/** What the division of the limits needs to know, and the client whose limits are set. */
+export interface StoreLimitContext {
+  readonly settings: {
+    readonly peers: readonly Pick<Peer, 'node'>[];
+    readonly shards: Pick<Settings['shards'], 'length'>;
+  };
+  readonly peers: Pick<PeerDirectory, 'get'>;
+  readonly storeCache: Pick<StoreCache, 'entriesUnder'>;
+  readonly store: Pick<
+    KeyValueClient,
+    'requestRate' | 'writeRate' | 'setControllerCount' | 'borrowUnusedLimits'
+  >;
+  isAlive(node: ControllerId, incarnation: Incarnation | null): boolean;
+  heardWithin(node: ControllerId, within: Millis): boolean;
+}
 
 /** Controllers that are not alive leave their share of the limits to the others. */
 export function divideStoreLimits({ settings, store, storeCache }: StoreLimitContext): void {
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,14 +1,16 @@
+/**
+ * The entry point of the command: runs the command line and keeps the process alive through errors that nothing caught.
+ * A controller never ends by itself: what went wrong in one request or connection must not end the others.
+ */
 import { main } from './cli/cli.js';
 
-process.on('uncaughtException', (error) => {
-  // A controller never ends by itself: what went wrong in one request or connection must not end the others.
-  process.stderr.write(
-    `${JSON.stringify({ level: 'error', msg: 'uncaught exception', err: String(error.stack) })}\n`,
-  );
-});
-process.on('unhandledRejection', (error) => {
+/** One line in the form of the log, which may not be open yet. */
+function reportUncaught(message: string, error: unknown): void {
   const text = error instanceof Error ? String(error.stack) : String(error);
-  process.stderr.write(`${JSON.stringify({ level: 'error', msg: 'unhandled rejection', err: text })}\n`);
-});
+  process.stderr.write(`${JSON.stringify({ level: 'error', msg: message, err: text })}\n`);
+}
+
+process.on('uncaughtException', (error) => reportUncaught('uncaught exception', error));
+process.on('unhandledRejection', (error) => reportUncaught('unhandled rejection', error));
 
 process.exitCode = await main(process.argv);
--- /dev/null
+++ b/test/controller/health.test.ts
@@ -0,0 +1,109 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { HealthCheck, type HealthContext } from '../../src/controller/health.js';
+import { steady, type ControllerId, type Incarnation } from '../../src/model/units.js';
+import { PeerDirectory } from '../../src/peers/peer-directory.js';
+
+const PEER = { node: 'n1' as ControllerId };
+const OK = { status: 200, body: { ok: true } };
+const STARTING = { status: 503, body: { error: 'starting' } };
+const CUT_OFF = { status: 503, body: { error: 'cut off from the state service' } };
+
+/** A controller with one peer whose facts the test sets. */
+class HealthFixture {
+  time = 100_000;
+  loaded = true;
+  confirmedAt = 100_000;
+  instanceTypes = 1;
+  readonly peers = new PeerDirectory();
+  readonly check: HealthCheck;
+
+  constructor(configuredPeers: HealthContext['settings']['peers'] = [PEER]) {
+    const now = (): ReturnType<typeof steady> => steady(this.time);
+    const state = (): HealthContext['storeCache'] => ({
+      loaded: this.loaded,
+      confirmedAt: steady(this.confirmedAt),
+    });
+    const typeCount = (): number => this.instanceTypes;
+    this.check = new HealthCheck({
+      clock: { now },
+      peers: this.peers,
+      settings: { peers: configuredPeers },
+      get storeCache() {
+        return state();
+      },
+      get types() {
+        return { size: typeCount() };
+      },
+    });
+  }
+
+  hearPeer(storeHealthy: boolean): void {
+    this.peers.set(PEER.node, {
+      heardAt: steady(this.time),
+      incarnation: 'first' as Incarnation,
+      storeHealthy,
+      storeUsage: { requests: 0, writes: 0 },
+      runningTasks: new Map(),
+      redirectedHeartbeats: new Map(),
+    });
+  }
+
+  /** The answers at intervals of 500 ms, the peer announcing itself before each. */
+  answersWhilePeerSays(storeHealthy: boolean | null, count: number): unknown[] {
+    return Array.from({ length: count }, () => {
+      this.time += 500;
+      if (storeHealthy !== null) this.hearPeer(storeHealthy);
+      return this.check.answer();
+    });
+  }
+}
+
+test('a controller is starting until it has read the store and knows instance types', () => {
+  const fixture = new HealthFixture();
+  fixture.loaded = false;
+  assert.deepEqual(fixture.check.answer(), STARTING);
+  fixture.loaded = true;
+  fixture.instanceTypes = 0;
+  assert.deepEqual(fixture.check.answer(), STARTING);
+  fixture.instanceTypes = 1;
+  assert.deepEqual(fixture.check.answer(), OK);
+});
+
+test('a controller refused by a store that serves its peer leaves after the grace time', () => {
+  const fixture = new HealthFixture();
+  fixture.confirmedAt = fixture.time - 4500;
+  // Stale from the first answer on, and cut off 2.5 s later.
+  const answers = fixture.answersWhilePeerSays(true, 7);
+  assert.deepEqual(answers, [OK, OK, OK, OK, OK, CUT_OFF, CUT_OFF]);
+});
+
+test('in an outage for all controllers everybody stays', () => {
+  const fixture = new HealthFixture();
+  fixture.confirmedAt = fixture.time - 60_000;
+  const answers = fixture.answersWhilePeerSays(false, 20);
+  assert.ok(answers.every((answer) => JSON.stringify(answer) === JSON.stringify(OK)));
+});
+
+test('a controller that hears neither the store nor a peer leaves', () => {
+  const fixture = new HealthFixture();
+  fixture.confirmedAt = fixture.time - 60_000;
+  assert.deepEqual(fixture.answersWhilePeerSays(null, 6).at(-1), CUT_OFF);
+});
+
+test('a controller without configured peers stays in an outage', () => {
+  const fixture = new HealthFixture([]);
+  fixture.confirmedAt = fixture.time - 60_000;
+  assert.deepEqual(fixture.answersWhilePeerSays(null, 20).at(-1), OK);
+});
+
+test('a confirmation by the store starts the grace time anew', () => {
+  const fixture = new HealthFixture();
+  fixture.confirmedAt = fixture.time - 60_000;
+  assert.deepEqual(fixture.answersWhilePeerSays(true, 6).at(-1), CUT_OFF);
+  fixture.confirmedAt = fixture.time;
+  assert.deepEqual(fixture.check.answer(), OK);
+  fixture.confirmedAt = fixture.time - 60_000;
+  assert.deepEqual(fixture.answersWhilePeerSays(true, 5).at(-1), OK);
+  assert.deepEqual(fixture.answersWhilePeerSays(true, 1).at(-1), CUT_OFF);
+});
--- /dev/null
+++ b/test/controller/store-limits.test.ts
@@ -0,0 +1,97 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import {
+  borrowStoreLimits,
+  divideStoreLimits,
+  type StoreLimitContext,
+} from '../../src/controller/store-limits.js';
+import {
+  revision,
+  steady,
+  type ControllerId,
+  type Incarnation,
+  type StoreKey,
+} from '../../src/model/units.js';
+import { PeerDirectory } from '../../src/peers/peer-directory.js';
+import type { StoreUsage } from '../../src/store/client.js';
+import type { Entry } from '../../src/store/wire.js';
+
+const node = (name: string): ControllerId => name as ControllerId;
+const WHOLE_SHARE: StoreUsage = { requests: 30, writes: 10 };
+
+/** Three controllers, seen by the first; records what is set. */
+class FakeLimits implements StoreLimitContext {
+  readonly controllerCounts: number[] = [];
+  readonly usages: (readonly StoreUsage[])[] = [];
+  readonly peers = new PeerDirectory();
+  readonly settings = {
+    peers: ['n1', 'n2'].map((name) => ({ node: node(name) })),
+    shards: [0, 1, 2],
+  };
+  readonly store: StoreLimitContext['store'] = {
+    requestRate: WHOLE_SHARE.requests,
+    writeRate: WHOLE_SHARE.writes,
+    setControllerCount: (count) => this.controllerCounts.push(count),
+    borrowUnusedLimits: (usages) => this.usages.push(usages),
+  };
+
+  constructor(
+    private readonly alive: readonly string[],
+    private readonly heard: readonly string[],
+  ) {}
+
+  readonly storeCache = {
+    entriesUnder: (prefix: string): Generator<Entry> => this.entries(prefix),
+  };
+
+  isAlive(name: ControllerId): boolean {
+    return this.alive.includes(name);
+  }
+
+  heardWithin(name: ControllerId): boolean {
+    return this.heard.includes(name);
+  }
+
+  announceUsage(name: string, storeUsage: StoreUsage): void {
+    this.peers.set(node(name), {
+      heardAt: steady(0),
+      incarnation: 'first' as Incarnation,
+      storeHealthy: true,
+      storeUsage,
+      runningTasks: new Map(),
+      redirectedHeartbeats: new Map(),
+    });
+  }
+
+  private *entries(prefix: string): Generator<Entry> {
+    for (const name of this.alive)
+      yield { key: `${prefix}${name}` as StoreKey, value: {}, version: revision(1) };
+  }
+}
+
+test('the limits are divided by the controllers that are alive, from one to all of the configured ones', () => {
+  const counted = (alive: readonly string[]): number | undefined => {
+    const limits = new FakeLimits(alive, []);
+    divideStoreLimits(limits);
+    return limits.controllerCounts[0];
+  };
+  assert.deepEqual(
+    [counted([]), counted(['n0']), counted(['n0', 'n1']), counted(['n0', 'n1', 'n2', 'n3'])],
+    [1, 1, 2, 3],
+  );
+});
+
+test('a live peer counts with the usage that it announced', () => {
+  const limits = new FakeLimits(['n0', 'n1'], ['n1']);
+  limits.announceUsage('n1', { requests: 3, writes: 2 });
+  borrowStoreLimits(limits);
+  assert.deepEqual(limits.usages, [[{ requests: 3, writes: 2 }]]);
+});
+
+test('a live peer that is silent counts with its whole share, a dead one with nothing', () => {
+  const limits = new FakeLimits(['n0', 'n1'], []);
+  limits.announceUsage('n1', { requests: 3, writes: 2 });
+  limits.announceUsage('n2', { requests: 3, writes: 2 });
+  borrowStoreLimits(limits);
+  assert.deepEqual(limits.usages, [[WHOLE_SHARE]]);
+});
