--- a/src/autoscaling/instance-types.ts
+++ b/src/autoscaling/instance-types.ts
@@ -4,14 +4,18 @@
 import { decodeCatalog, encodeCatalog } from './codec.js';
 import { CATALOG_KEY } from '../shards/codec.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import { millis, steady } from '../model/units.js';
+import { millis, steady, type InstanceTypeId } from '../model/units.js';
 
 const REFRESH_INTERVAL_MS = 60_000;
 
 export class InstanceTypeCatalog {
   private refreshedAt = steady(-1e12);
 
-  constructor(private readonly core: Core) {}
+  constructor(
+    private readonly core: Core,
+    /** The map behind `core.types`, which this class alone writes. */
+    private readonly types: Map<InstanceTypeId, InstanceType>,
+  ) {}
 
   async run(): Promise<never> {
     for (;;) {
@@ -38,7 +42,7 @@
   }
 
   private applyTypes(types: readonly InstanceType[]): void {
-    for (const type of types) this.core.types.set(type.name, type);
+    for (const type of types) this.types.set(type.name, type);
     for (const shard of this.core.shards.values()) shard.refreshFreeCapacity();
     this.core.requestCycle();
   }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -5,6 +5,7 @@
 import { Autoscaler } from '../autoscaling/autoscaler.js';
 import { InstanceTypeCatalog } from '../autoscaling/instance-types.js';
 import { CloudClient } from '../cloud/client.js';
+import type { InstanceType } from '../cloud/wire.js';
 import { Core } from '../core.js';
 import { ClusterClock, ClusterClockWriter } from '../jobs/cluster-clock.js';
 import { ProgressWriter } from '../jobs/progress.js';
@@ -12,7 +13,7 @@
 import { ShardLeadership } from '../leadership/leadership.js';
 import type { Log } from '../logging/log.js';
 import { seededRandom } from '../model/random.js';
-import { millis, type Clock, type Millis } from '../model/units.js';
+import { millis, type Clock, type InstanceTypeId, type Millis } from '../model/units.js';
 import { QuotaTransferService } from '../quota/transfer-service.js';
 import { RuntimeEstimator } from '../scheduling/runtime-estimator.js';
 import { Scheduler } from '../scheduling/scheduler.js';
@@ -44,6 +45,7 @@
 /** One controller process, or one controller of a simulation. */
 export class Controller {
   private readonly core: Core;
+  private readonly instanceTypes = new Map<InstanceTypeId, InstanceType>();
   private readonly peerTransport = new DeferredPeerTransport();
   private readonly storeWatcher: StoreWatcher;
   private readonly leadership: ShardLeadership;
@@ -112,7 +114,7 @@
   private startLoops(): void {
     void this.storeWatcher.run();
     void this.leadership.runKeepAlive();
-    void new InstanceTypeCatalog(this.core).run();
+    void new InstanceTypeCatalog(this.core, this.instanceTypes).run();
     void this.autoscaler.runListing();
     this.periodicWork.start();
   }
@@ -133,6 +135,7 @@
       storeCache: new StoreCache((key, value, version) => this.storeChanges.dispatch(key, value, version)),
       cloud: new CloudClient(ports.cloud, clock, settings),
       peerTransport: this.peerTransport,
+      types: this.instanceTypes,
       storeHealthy: () => this.storeWatcher.healthy,
       requestCycle: () => this.scheduler.requestCycle(),
     });
--- a/src/controller/periodic-work.ts
+++ b/src/controller/periodic-work.ts
@@ -18,6 +18,12 @@
 const REVIEW_INTERVAL = millis(1000);
 const STATISTICS_INTERVAL = millis(10_000);
 
+/** What the periodic work uses of the controller's shared state. */
+export type PeriodicContext = Pick<
+  Core,
+  'clock' | 'exclusive' | 'heartbeatIntervalMs' | 'log' | 'requestCycle' | 'shards'
+>;
+
 /** The slices with work to do at intervals. */
 export interface PeriodicServices {
   readonly leadership: Pick<ShardLeadership, 'tick'>;
@@ -36,20 +42,20 @@
   private readonly statisticsThrottle = new Throttle(STATISTICS_INTERVAL);
 
   constructor(
-    private readonly core: Core,
+    private readonly context: PeriodicContext,
     private readonly services: PeriodicServices,
   ) {}
 
   /** Ticks now and at every interval from now on. */
   start(): void {
     // Not awaited: a tick that waits for its turn must not delay the next one.
-    void this.core.exclusive(() => this.tick());
-    this.core.clock.after(TICK_INTERVAL, () => this.start());
+    void this.context.exclusive(() => this.tick());
+    this.context.clock.after(TICK_INTERVAL, () => this.start());
   }
 
   private tick(): void {
     const { services } = this;
-    const now = this.core.clock.now();
+    const now = this.context.clock.now();
     services.leadership.tick();
     services.progress.tick();
     services.autoscaler.scaleOutShards();
@@ -57,23 +63,23 @@
     if (this.reviewThrottle.tryAcquire(now)) this.reviewMachines();
     services.peerMessages.announce(now);
     if (this.statisticsThrottle.tryAcquire(now)) this.logStatistics(now);
-    this.core.requestCycle();
+    this.context.requestCycle();
   }
 
   private reviewMachines(): void {
     const { workers, machineTransfers, autoscaler } = this.services;
-    for (const shard of this.core.shards.values()) workers.expireLeases(shard);
+    for (const shard of this.context.shards.values()) workers.expireLeases(shard);
     machineTransfers.expireCordons();
     autoscaler.scaleInShards();
     workers.closeUnusedClients();
   }
 
   private logStatistics(now: SteadyMs): void {
-    const { core, services } = this;
-    for (const shard of core.shards.values()) {
+    const { context, services } = this;
+    for (const shard of context.shards.values()) {
       const shardQuota = (team: TeamId): Resources => services.quotaTransfers.shardQuota(shard.id, team);
-      const statistics = statisticsOf(shard, now, core.heartbeatIntervalMs, shardQuota);
-      core.log.info({ shard: shard.id, ...statistics }, 'shard statistics');
+      const statistics = statisticsOf(shard, now, context.heartbeatIntervalMs, shardQuota);
+      context.log.info({ shard: shard.id, ...statistics }, 'shard statistics');
     }
   }
 }
--- a/src/controller/store-changes.ts
+++ b/src/controller/store-changes.ts
@@ -6,7 +6,7 @@
 import type { JobRecord } from '../jobs/record.js';
 import { Priority } from '../jobs/spec.js';
 import type { ShardLeadership } from '../leadership/leadership.js';
-import type { JobId, MachineId, Revision } from '../model/units.js';
+import type { Clock, JobId, MachineId, Revision } from '../model/units.js';
 import type { Scheduler } from '../scheduling/scheduler.js';
 import {
   ALIVE_PREFIX,
@@ -17,7 +17,15 @@
 } from '../shards/codec.js';
 import { syncJob } from '../shards/model.js';
 import type { WorkerService } from '../workers/service.js';
-import { divideStoreLimits } from './store-limits.js';
+import { divideStoreLimits, type LimitDivisionContext } from './store-limits.js';
+
+/** What the dispatch uses of the controller's shared state. */
+export interface StoreChangeContext
+  extends
+    LimitDivisionContext,
+    Pick<Core, 'activeJobs' | 'clusterClock' | 'log' | 'registeredMachines' | 'requestCycle' | 'shards'> {
+  readonly clock: Pick<Clock, 'now'>;
+}
 
 /** The slices that follow changes of the store. */
 export interface StoreChangeListeners {
@@ -30,25 +38,25 @@
 /** Hands each change of the watch cache to the slices that it concerns. */
 export class StoreChangeDispatcher {
   constructor(
-    private readonly core: Core,
+    private readonly context: StoreChangeContext,
     private readonly listeners: StoreChangeListeners,
   ) {}
 
   /** A key has the value at the version; `undefined` when it was deleted. */
   dispatch(key: string, value: unknown, version: Revision): void {
-    const { core, listeners } = this;
+    const { context, listeners } = this;
     if (key.startsWith(ACTIVE_JOBS_PREFIX)) this.onJobRecord(key, value, version);
     else if (key.startsWith(SHARDS_PREFIX)) listeners.leadership.onShardRecord(key, value, version);
     else if (key.startsWith(MACHINES_PREFIX)) this.onMachineRecord(key, value, version);
-    else if (key.startsWith(ALIVE_PREFIX)) divideStoreLimits(core);
-    else if (key === TIME_KEY) core.clusterClock.reached(decodeClusterTime(value), core.clock.now());
-    core.requestCycle();
+    else if (key.startsWith(ALIVE_PREFIX)) divideStoreLimits(context);
+    else if (key === TIME_KEY) context.clusterClock.reached(decodeClusterTime(value), context.clock.now());
+    context.requestCycle();
   }
 
   private onMachineRecord(key: string, value: unknown, version: Revision): void {
     const id = key.slice(MACHINES_PREFIX.length) as MachineId;
     const record = value === undefined ? null : decodeMachineRecord(value);
-    this.core.registeredMachines.update(id, record);
+    this.context.registeredMachines.update(id, record);
     if (record) this.listeners.autoscaler.forgetPending(id);
     this.listeners.workers.onMachineChanged(id, record, version);
   }
@@ -56,10 +64,10 @@
   private onJobRecord(key: string, value: unknown, version: Revision): void {
     const { scheduler } = this.listeners;
     const id = key.slice(ACTIVE_JOBS_PREFIX.length) as JobId;
-    const update = this.core.activeJobs.update(id, value);
+    const update = this.context.activeJobs.update(id, value);
     switch (update.kind) {
       case 'unreadable':
-        this.core.log.error({ job: id }, 'job record cannot be read');
+        this.context.log.error({ job: id }, 'job record cannot be read');
         return;
       case 'ended':
         scheduler.onJobRecord(id, null);
@@ -71,7 +79,7 @@
   }
 
   private onActiveJob(id: JobId, record: JobRecord, version: Revision): void {
-    const { clock, clusterClock, shards } = this.core;
+    const { clock, clusterClock, shards } = this.context;
     const { scheduler } = this.listeners;
     const now = clock.now();
     clusterClock.reached(record.acceptedAt ?? 0, now);
--- a/src/controller/store-limits.ts
+++ b/src/controller/store-limits.ts
@@ -10,30 +10,30 @@
 const USAGE_TIMEOUT = millis(3000);
 
 /** What the division of the limits needs to know, and the client whose limits are set. */
-export interface StoreLimitContext {
-  readonly settings: {
-    readonly peers: readonly Pick<Peer, 'node'>[];
-    readonly shards: Pick<Settings['shards'], 'length'>;
-  };
-  readonly peers: Pick<PeerDirectory, 'get'>;
+export interface LimitDivisionContext {
+  readonly settings: { readonly shards: Pick<Settings['shards'], 'length'> };
   readonly storeCache: Pick<StoreCache, 'entriesUnder'>;
-  readonly store: Pick<
-    KeyValueClient,
-    'requestRate' | 'writeRate' | 'setControllerCount' | 'borrowUnusedLimits'
-  >;
+  readonly store: Pick<KeyValueClient, 'setControllerCount'>;
+}
+
+/** What borrowing from peers needs to know, and the client whose limits are set. */
+export interface LimitBorrowingContext {
+  readonly settings: { readonly peers: readonly Pick<Peer, 'node'>[] };
+  readonly peers: Pick<PeerDirectory, 'get'>;
+  readonly store: Pick<KeyValueClient, 'requestRate' | 'writeRate' | 'borrowUnusedLimits'>;
   isAlive(node: ControllerId, incarnation: Incarnation | null): boolean;
   heardWithin(node: ControllerId, within: Millis): boolean;
 }
 
 /** Controllers that are not alive leave their share of the limits to the others. */
-export function divideStoreLimits({ settings, store, storeCache }: StoreLimitContext): void {
+export function divideStoreLimits({ settings, store, storeCache }: LimitDivisionContext): void {
   let alive = 0;
   for (const entry of storeCache.entriesUnder(ALIVE_PREFIX)) if (entry) alive += 1;
   store.setControllerCount(Math.max(1, Math.min(alive, settings.shards.length)));
 }
 
 /** What live peers leave unused is borrowed. A peer that is alive and silent may be using all of its share. */
-export function borrowStoreLimits(context: StoreLimitContext): void {
+export function borrowStoreLimits(context: LimitBorrowingContext): void {
   const { peers, settings, store } = context;
   const wholeShare = { requests: store.requestRate, writes: store.writeRate };
   const usages = settings.peers
--- a/src/core.ts
+++ b/src/core.ts
@@ -32,6 +32,7 @@
 import { aliveKey, decodeMembership, decodeShardRecord, shardKey, type ShardRecord } from './shards/codec.js';
 import type { Shard } from './shards/model.js';
 import { RegisteredMachines } from './shards/registered-machines.js';
+import { RetiredMachines } from './shards/retired-machines.js';
 import type { StoreCache } from './store/cache.js';
 import type { CompareAndSwapResult, KeyValueClient } from './store/client.js';
 import type { RequestPriority } from './store/rate-limiter.js';
@@ -63,6 +64,8 @@
   readonly storeCache: StoreCache;
   readonly cloud: CloudClient;
   readonly peerTransport: PeerTransport;
+  /** Written by the instance type catalog alone; empty until it has read the first list. */
+  readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
   /** Whether the store answered the last request of the watch. */
   readonly storeHealthy: () => boolean;
   /** Asks for a scheduling cycle soon. */
@@ -82,12 +85,12 @@
   readonly storeCache: StoreCache;
   readonly cloud: CloudClient;
   readonly peerTransport: PeerTransport;
+  readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
   readonly storeHealthy: () => boolean;
   readonly requestCycle: () => void;
 
   /** The shards that this controller leads. */
   readonly shards = new Map<ShardId, Shard>();
-  readonly types = new Map<InstanceTypeId, InstanceType>();
   readonly activeJobs = new JobRecordCache();
   readonly peers = new PeerDirectory();
   /** By shard: counted for those led here, announced for the others. */
@@ -102,10 +105,9 @@
   readonly imageHints = new Map<MachineId, readonly (readonly [ImageId, number])[]>();
   /** By shard and image: what critical jobs could have at once on machines that hold the image. */
   readonly readyCapacity = new Map<ShardId, ReadonlyMap<ImageId, Resources>>();
-  /** Machines that were deleted or lost for good. The cloud never uses their ids again. */
-  readonly retiredMachines = new Set<MachineId>();
   /** Machines that the store holds, counted by shard. */
   readonly registeredMachines = new RegisteredMachines();
+  readonly retiredMachines = new RetiredMachines(this.registeredMachines);
 
   private readonly mutex = new Mutex();
   private readonly commandLease: Millis;
@@ -123,6 +125,7 @@
     this.storeCache = dependencies.storeCache;
     this.cloud = dependencies.cloud;
     this.peerTransport = dependencies.peerTransport;
+    this.types = dependencies.types;
     this.storeHealthy = dependencies.storeHealthy;
     this.requestCycle = dependencies.requestCycle;
     this.commandLease = commandLeaseDuration(dependencies.settings);
--- a/src/workers/service.ts
+++ b/src/workers/service.ts
@@ -15,8 +15,6 @@
 import { HeartbeatHandler } from './heartbeat-handler.js';
 import { endAgentEpoch } from './reconciliation.js';
 
-/** Retired machines that are remembered, the latest ones: at least so many, and as many as are registered. */
-const MIN_RETIRED = 5000;
 /** Workers asked whether a part's workers answer us. */
 const MAX_PROBED_WORKERS = 5;
 
@@ -65,8 +63,6 @@
     if (record) return;
     this.core.imageHints.delete(id);
     this.core.retiredMachines.add(id);
-    if (this.core.retiredMachines.size > Math.max(MIN_RETIRED, this.core.registeredMachines.size))
-      this.core.retiredMachines.delete(this.core.retiredMachines.keys().next().value as MachineId);
   }
 
   /** The machine is certainly gone, and all that was on it. */
--- /dev/null
+++ b/test/controller/periodic-work.test.ts
@@ -0,0 +1,61 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { PeriodicWork, type PeriodicServices } from '../../src/controller/periodic-work.js';
+import { silentLog } from '../../src/logging/log.js';
+import { ZERO } from '../../src/model/resources.js';
+import { SimulatedClock } from '../support/simulated-clock.js';
+
+/** Starts periodic work whose services record what is called, and returns the calls of the given time. */
+async function callsWithin(ms: number): Promise<string[]> {
+  const calls: string[] = [];
+  const record = (call: string) => (): void => {
+    calls.push(call);
+  };
+  const services: PeriodicServices = {
+    leadership: { tick: record('leadership') },
+    progress: { tick: record('progress') },
+    clusterClockWriter: { tick: record('cluster clock') },
+    autoscaler: { scaleOutShards: record('scale out'), scaleInShards: record('scale in') },
+    workers: { expireLeases: record('expire leases'), closeUnusedClients: record('close clients') },
+    machineTransfers: { expireCordons: record('expire cordons') },
+    quotaTransfers: { shardQuota: () => ZERO },
+    peerMessages: { announce: record('announce') },
+  };
+  const clock = new SimulatedClock();
+  const periodicWork = new PeriodicWork(
+    {
+      clock,
+      log: silentLog(),
+      shards: new Map(),
+      heartbeatIntervalMs: 1500,
+      exclusive: <T>(work: () => T) => Promise.resolve(work()),
+      requestCycle: record('request cycle'),
+    },
+    services,
+  );
+  periodicWork.start();
+  await clock.advance(ms);
+  return calls;
+}
+
+test('a tick begins with leadership and ends with a request for a scheduling cycle', async () => {
+  assert.deepEqual(await callsWithin(0), [
+    'leadership',
+    'progress',
+    'scale out',
+    'cluster clock',
+    'expire cordons',
+    'scale in',
+    'close clients',
+    'announce',
+    'request cycle',
+  ]);
+});
+
+test('a tick comes every 200 ms, a review of the machines every second', async () => {
+  const calls = await callsWithin(2000);
+  const count = (name: string): number => calls.filter((call) => call === name).length;
+  assert.equal(count('leadership'), 11);
+  assert.equal(count('announce'), 11);
+  assert.equal(count('scale in'), 3);
+});
--- a/test/controller/store-limits.test.ts
+++ b/test/controller/store-limits.test.ts
@@ -3,7 +3,8 @@
 import {
   borrowStoreLimits,
   divideStoreLimits,
-  type StoreLimitContext,
+  type LimitBorrowingContext,
+  type LimitDivisionContext,
 } from '../../src/controller/store-limits.js';
 import {
   revision,
@@ -20,7 +21,7 @@
 const WHOLE_SHARE: StoreUsage = { requests: 30, writes: 10 };
 
 /** Three controllers, seen by the first; records what is set. */
-class FakeLimits implements StoreLimitContext {
+class FakeLimits implements LimitBorrowingContext, LimitDivisionContext {
   readonly controllerCounts: number[] = [];
   readonly usages: (readonly StoreUsage[])[] = [];
   readonly peers = new PeerDirectory();
@@ -28,7 +29,7 @@
     peers: ['n1', 'n2'].map((name) => ({ node: node(name) })),
     shards: [0, 1, 2],
   };
-  readonly store: StoreLimitContext['store'] = {
+  readonly store: LimitBorrowingContext['store'] & LimitDivisionContext['store'] = {
     requestRate: WHOLE_SHARE.requests,
     writeRate: WHOLE_SHARE.writes,
     setControllerCount: (count) => this.controllerCounts.push(count),
