--- a/test/scheduling/gang-starvation.test.ts
+++ b/test/scheduling/gang-starvation.test.ts
@@ -119,12 +119,7 @@
   runner.runCycle();
   const now = runner.currentTime() as never;
   const facts = { types: runner.shard.types, heartbeatIntervalMs: 1500 };
-  const { empty, draining: emptying } = chooseTransfer(
-    runner.shard,
-    { ...REQUEST, ...changes },
-    facts as never,
-    now,
-  );
+  const { empty, draining: emptying } = chooseTransfer(runner.shard, { ...REQUEST, ...changes }, facts, now);
   return [empty.map((m) => m.id as string), emptying.map((m) => m.id as string)];
 }
 
