--- a/dependency-cruiser.config.js
+++ b/dependency-cruiser.config.js
@@ -22,9 +22,7 @@
 };
 
 /** Imports that run upwards and are still to be mended: by file, what it may import all the same. */
-const KNOWN_UPWARD = {
-  'src/shards/statistics.ts': ['src/scheduling/cycle.ts'],
-};
+const KNOWN_UPWARD = {};
 
 /** Imports that are part of a circle and still to be mended. */
 const KNOWN_CIRCULAR = {};
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -72,17 +72,18 @@
   private async renew(): Promise<boolean> {
     const { store, tuning } = this.context;
     if (this.lease === null) {
-      this.lease = await store.grantLease(tuning.membershipTtl);
+      const granted = await store.grantLease(tuning.membershipTtl);
+      this.lease = granted.kind === 'granted' ? granted.lease : null;
       this.keyWritten = false;
       if (this.lease === null) return false;
     } else {
       const outcome = await store.renewLease(this.lease);
-      if (outcome === 'gone') {
+      if (outcome.kind === 'expired') {
         this.lease = null;
         this.heldSince = null;
         return false;
       }
-      if (outcome === 'failed') return false;
+      if (outcome.kind === 'failed') return false;
     }
     if (this.keyWritten) return true;
     const result = await store.compareAndSwap([], [this.keyChange(this.lease)], RequestPriority.leadership);
--- a/test/cluster/decision-functions.test.ts
+++ b/test/cluster/decision-functions.test.ts
@@ -19,13 +19,8 @@
 import { Shard, syncJob, type ShardJob } from '../../src/shards/model.js';
 import { QuotaTransferService } from '../../src/quota/transfer-service.js';
 import { selectGuaranteedJobs } from '../../src/quota/guaranteed-jobs.js';
-import {
-  decodeQuotas,
-  encodeQuotas,
-  evenQuotas,
-  transferableQuota,
-  moveQuota,
-} from '../../src/quota/shard-quota.js';
+import { decodeQuotas, encodeQuotas } from '../../src/quota/codec.js';
+import { evenQuotas, transferableQuota, moveQuota } from '../../src/quota/shard-quota.js';
 import { RangeSet } from '../../src/model/ranges.js';
 import { RateLimiter, RequestPriority } from '../../src/store/rate-limiter.js';
 import { StoreCache } from '../../src/store/cache.js';
@@ -245,7 +240,7 @@
     } as never;
     syncJob(shard, record, (i + 1) as never, 0 as SteadyMs, false);
     const job = shard.jobs.get(id as never) as ShardJob;
-    return { job, reason: 'room' as const, indices: [...job.waiting] };
+    return { job, reason: 'capacity' as const, indices: [...job.waiting] };
   });
   const choice = chooseTaskTransfer(core as unknown as Core, shard, unplaced, now);
   assert.equal(choice?.job.id, 'req-plain');
--- a/test/leadership/leadership.test.ts
+++ b/test/leadership/leadership.test.ts
@@ -95,8 +95,8 @@
       log: silentLog(),
       heartbeatIntervalMs: 2500,
       store: {
-        grantLease: () => Promise.resolve(1 as LeaseId),
-        renewLease: () => Promise.resolve('renewed'),
+        grantLease: () => Promise.resolve({ kind: 'granted', lease: 1 as LeaseId }),
+        renewLease: () => Promise.resolve({ kind: 'renewed' }),
         compareAndSwap: () => Promise.resolve({ kind: 'done', revision: revision(1) }),
       },
       types: new Map(),
--- a/test/leadership/membership.test.ts
+++ b/test/leadership/membership.test.ts
@@ -3,6 +3,7 @@
 import { test } from 'node:test';
 import { Membership, type MembershipContext } from '../../src/leadership/membership.js';
 import type { CompareAndSwapResult } from '../../src/store/client.js';
+import type { LeaseGrantResult, LeaseRenewalResult } from '../../src/store/outcomes.js';
 import type { Change } from '../../src/store/wire.js';
 import {
   millis,
@@ -21,24 +22,24 @@
   readonly requests: string[] = [];
   readonly writes: Change[] = [];
   grants = true;
-  renewal: 'renewed' | 'gone' | 'failed' = 'renewed';
+  renewal: LeaseRenewalResult['kind'] = 'renewed';
   write: CompareAndSwapResult = { kind: 'done', revision: revision(1) };
   private lastLease = 0;
 
   constructor(private readonly clock: SimulatedClock) {}
 
-  async grantLease(): Promise<LeaseId | null> {
+  async grantLease(): Promise<LeaseGrantResult> {
     this.requests.push('grant');
     await this.clock.sleep(10);
-    if (!this.grants) return null;
+    if (!this.grants) return { kind: 'failed' };
     this.lastLease += 1;
-    return this.lastLease as LeaseId;
+    return { kind: 'granted', lease: this.lastLease as LeaseId };
   }
 
-  async renewLease(lease: LeaseId): Promise<'renewed' | 'gone' | 'failed'> {
+  async renewLease(lease: LeaseId): Promise<LeaseRenewalResult> {
     this.requests.push(`renew ${lease}`);
     await this.clock.sleep(10);
-    return this.renewal;
+    return { kind: this.renewal };
   }
 
   async compareAndSwap(_conditions: unknown, changes: readonly Change[]): Promise<CompareAndSwapResult> {
@@ -101,7 +102,7 @@
   const { clock, store, membership } = startMembership();
   const startedAt = clock.now();
   await clock.advance(500);
-  store.renewal = 'gone';
+  store.renewal = 'expired';
   await clock.advance(600);
   assert.equal(membership.stableSince(clock.now()), null);
   await clock.advance(400);
--- a/test/quota/resource-quotas.test.ts
+++ b/test/quota/resource-quotas.test.ts
@@ -1,4 +1,4 @@
-/** CPUs, GPUs and memory count alike, and what has a guarantee or limit of 0 has none. */
+/** CPUs, GPUs and memory count alike, and a guarantee or quota of 0 means that there is none. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { rejectionReason } from '../../src/jobs/admission.js';
@@ -6,7 +6,8 @@
 import type { JobSpec } from '../../src/jobs/spec.js';
 import { UNLIMITED, ZERO } from '../../src/model/resources.js';
 import { selectGuaranteedJobs } from '../../src/quota/guaranteed-jobs.js';
-import { decodeQuotas, encodeQuotas, evenQuotas, transferableQuota } from '../../src/quota/shard-quota.js';
+import { decodeQuotas, encodeQuotas } from '../../src/quota/codec.js';
+import { evenQuotas, transferableQuota } from '../../src/quota/shard-quota.js';
 import { RangeSet } from '../../src/model/ranges.js';
 import { buildJobSpec, buildTeam } from '../support/job-specs.js';
 import { assertTraceMatches } from '../support/recorded-trace.js';
@@ -88,10 +89,10 @@
 });
 
 test('a quota of 0 is none: it refuses nothing, and its shard quotas are unlimited and cannot be transferred', () => {
-  const core = { settings: { teams: new Map([[gpuTeam.name, gpuTeam]]) } } as never;
+  const teams = new Map([[gpuTeam.name, gpuTeam]]);
   const types = [{ name: 'gpu', cpus: 64, gpus: 8, memoryGb: 512, zones: ['east'] }] as never;
   const why = (changes: Partial<JobSpec>): string | null =>
-    rejectionReason(buildJobSpec(changes), types, core);
+    rejectionReason(buildJobSpec(changes), types, teams);
   assert.equal(why({ cpus: 64, gpus: 1 }), null);
   assert.equal(why({ kind: 'service', tasks: 20, cpus: 60, gpus: 1 }), null);
   assert.equal(
@@ -181,13 +182,13 @@
 });
 
 test('no type has room for all of a task, though each amount fits some type', () => {
-  const core = { settings: { teams: new Map([[gpuTeam.name, gpuTeam]]) } } as never;
+  const teams = new Map([[gpuTeam.name, gpuTeam]]);
   const types = [
     { name: 'gpu', cpus: 8, gpus: 8, memoryGb: 64, zones: ['east'] },
     { name: 'cpu', cpus: 64, gpus: 0, memoryGb: 64, zones: ['east'] },
   ] as never;
   assert.equal(
-    rejectionReason(buildJobSpec({ cpus: 16, gpus: 1 }), types, core),
+    rejectionReason(buildJobSpec({ cpus: 16, gpus: 1 }), types, teams),
     'vcpus 16, cards 1, memoryGb 1: no allowed machine type has room for all of a task',
   );
 });
--- a/test/scheduling/cycle-cost.test.ts
+++ b/test/scheduling/cycle-cost.test.ts
@@ -1,5 +1,5 @@
 /**
- * What an event costs in a large pool, counted in machines that are looked at: it follows what the event is about and
+ * What an event costs on a large shard, counted in machines that are looked at: it follows what the event is about and
  * what is free, not how many machines there are.
  */
 import assert from 'node:assert/strict';
@@ -109,7 +109,7 @@
       onTaskDone: () => undefined,
       heartbeatTimeout: 5000,
     } as unknown as ReconciliationContext;
-    assert.equal(reconcileHeartbeat(runner.shard, machine, heartbeat, 'report', context), true);
+    assert.equal(reconcileHeartbeat(runner.shard, machine, heartbeat, 'heartbeat', context), true);
     assert.deepEqual([...seen], ['m-77']);
     assert.equal(machine.allocations.size, 0, 'what the report does not show is gone');
   }
--- a/test/scheduling/gang-decisions.test.ts
+++ b/test/scheduling/gang-decisions.test.ts
@@ -1,4 +1,4 @@
-/** The table of a gang: each line, and what a gang must not be taken for. */
+/** Each row of the decision table of gangs, and states that must not be confused. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decideGang, newGangHistory, type GangFacts, type GangMember } from '../../src/model/gang.js';
@@ -75,7 +75,7 @@
 test('an attempt that cannot become whole any more is given up', () => {
   assert.equal(
     decide([member({ attempt: 7 })], { missing: true }),
-    'stopping: stop (0 s) incomplete after a claim',
+    'stopping: stop (0 s) incomplete after a failover',
   );
   assert.equal(
     decide([member(), member({ attempt: 1001 })]),
