--- a/src/autoscaling/instance-types.ts
+++ b/src/autoscaling/instance-types.ts
@@ -4,7 +4,7 @@
 import { decodeCatalog, encodeCatalog } from './codec.js';
 import { CATALOG_KEY } from '../shards/codec.js';
 import { RequestPriority } from '../store/rate-limiter.js';
-import { millis, type SteadyMs } from '../model/units.js';
+import { millis, type InstanceTypeId, type SteadyMs } from '../model/units.js';
 
 const REFRESH_INTERVAL_MS = 60_000;
 /** Between two looks at whether a refresh is due, with a catalog and before there is one. */
@@ -15,7 +15,11 @@
 export class InstanceTypeCatalog {
   private refreshedAt: SteadyMs | null = null;
 
-  constructor(private readonly core: Core) {}
+  constructor(
+    private readonly core: Core,
+    /** The map behind `core.types`, which this class alone writes. */
+    private readonly types: Map<InstanceTypeId, InstanceType>,
+  ) {}
 
   /** Runs for the lifetime of the process. */
   async run(): Promise<never> {
@@ -47,7 +51,7 @@
   }
 
   private applyTypes(types: readonly InstanceType[]): void {
-    for (const type of types) this.core.types.set(type.name, type);
+    for (const type of types) this.types.set(type.name, type);
     for (const shard of this.core.shards.values()) shard.refreshFreeCapacity();
     this.core.requestCycle();
   }
--- /dev/null
+++ b/src/controller/store-limits.ts
@@ -0,0 +1,46 @@
+/** How the controllers divide the rate limits of the store among themselves. */
+import { millis, type ControllerId, type Incarnation, type Millis } from '../model/units.js';
+import type { PeerDirectory } from '../peers/peer-directory.js';
+import type { Peer, Settings } from '../settings/settings.js';
+import { ALIVE_PREFIX } from '../shards/codec.js';
+import type { StoreCache } from '../store/cache.js';
+import type { KeyValueClient } from '../store/client.js';
+
+/** A peer that was heard more recently than this says what it draws from the store. */
+const USAGE_TIMEOUT_MS = 3000;
+
+/** What the division of the limits needs to know, and the client whose limits are set. */
+export interface LimitDivisionContext {
+  readonly settings: { readonly shards: Pick<Settings['shards'], 'length'> };
+  readonly storeCache: Pick<StoreCache, 'entriesUnder'>;
+  readonly store: Pick<KeyValueClient, 'setControllerCount'>;
+}
+
+/** What borrowing from peers needs to know, and the client whose limits are set. */
+export interface LimitBorrowingContext {
+  readonly settings: { readonly peers: readonly Pick<Peer, 'node'>[] };
+  readonly peers: Pick<PeerDirectory, 'get'>;
+  readonly store: Pick<KeyValueClient, 'requestRate' | 'writeRate' | 'borrowUnusedLimits'>;
+  isAlive(node: ControllerId, incarnation: Incarnation | null): boolean;
+  heardWithin(node: ControllerId, within: Millis): boolean;
+}
+
+/** Controllers that are not alive leave their share of the limits to the others. */
+export function divideStoreLimits({ settings, store, storeCache }: LimitDivisionContext): void {
+  const alive = [...storeCache.entriesUnder(ALIVE_PREFIX)].length;
+  store.setControllerCount(Math.max(1, Math.min(alive, settings.shards.length)));
+}
+
+/** What live peers leave unused is borrowed. A peer that is alive and silent may be using all of its share. */
+export function borrowStoreLimits(context: LimitBorrowingContext): void {
+  const { peers, settings, store } = context;
+  const wholeShare = { requests: store.requestRate, writes: store.writeRate };
+  const usages = settings.peers
+    .filter(({ node }) => context.isAlive(node, null))
+    .map(({ node }) =>
+      context.heardWithin(node, millis(USAGE_TIMEOUT_MS))
+        ? (peers.get(node)?.storeUsage ?? wholeShare)
+        : wholeShare,
+    );
+  store.borrowUnusedLimits(usages);
+}
--- a/src/leadership/open-shard.ts
+++ b/src/leadership/open-shard.ts
@@ -31,7 +31,7 @@
   /** The shards that this process leads; only the leadership adds and removes them. */
   readonly shards: Map<ShardId, Shard>;
   readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
-  readonly activeJobs: ReadonlyMap<JobId, JobRecord>;
+  readonly activeJobs: Pick<ReadonlyMap<JobId, JobRecord>, 'values'>;
   /** Images that peers announced for machines of their shards, with sizes in GB. */
   readonly imageHints: ReadonlyMap<MachineId, readonly (readonly [ImageId, number])[]>;
   readonly clusterClock: { age(acceptedAt: ClusterMs | null, now: SteadyMs): Millis };
--- a/src/leadership/worker-reachability.ts
+++ b/src/leadership/worker-reachability.ts
@@ -11,7 +11,10 @@
 export interface ReachabilityContext {
   readonly heartbeatIntervalMs: number;
   readonly settings: Pick<Settings, 'peers'>;
-  readonly peers: ReadonlyMap<ControllerId, { readonly redirectedHeartbeats: ReadonlyMap<ShardId, number> }>;
+  readonly peers: Pick<
+    ReadonlyMap<ControllerId, { readonly redirectedHeartbeats: ReadonlyMap<ShardId, number> }>,
+    'get'
+  >;
   /** The peer has sent an announcement within this time. */
   heardWithin(node: ControllerId, within: Millis): boolean;
 }
--- a/src/overflow/assignment.ts
+++ b/src/overflow/assignment.ts
@@ -8,7 +8,9 @@
 import { covers, fits, scale, fittingRatio, TOLERANCE, ZERO, type Resources } from '../model/resources.js';
 import type { ImageId, ShardId, SteadyMs, ZoneId } from '../model/units.js';
 import { mayRunOn } from '../model/constraints.js';
-import { taskCapacity, reserveCapacity, rankPeers, type FreeCapacity, type Random } from './peer-ranking.js';
+import type { Random } from '../model/random.js';
+import type { FreeCapacity } from '../peers/free-capacity.js';
+import { taskCapacity, reserveCapacity, rankPeers } from './peer-ranking.js';
 
 /** What an assignment reads. */
 export interface AssignmentContext {
--- a/src/overflow/peer-ranking.ts
+++ b/src/overflow/peer-ranking.ts
@@ -1,29 +1,11 @@
 /** Ranks peers by the free capacity that they have announced, and keeps account of what is promised of it. Pure. */
-import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import type { JobSpec } from '../jobs/spec.js';
 import { fits, scale, taskSlots, subtract } from '../model/resources.js';
 import { mayRunOn } from '../model/constraints.js';
+import type { Random } from '../model/random.js';
+import type { FreeCapacity } from '../peers/free-capacity.js';
 import type { FreeMachines } from '../peers/messages.js';
-import type { ShardId, SteadyMs, ZoneId } from '../model/units.js';
-
-/** The free capacity of a shard as last announced. */
-export interface FreeCapacity {
-  readonly shard: ShardId;
-  readonly zone: ZoneId;
-  readonly expiresAt: SteadyMs;
-  /** Less what tasks transferred there since will use. */
-  readonly machines: FreeMachines[];
-}
-
-/** A random integer from 0 up to, and without, `below`. */
-export type Random = (below: number) => number;
-
-/** The same seed gives the same numbers, so that simulations can be repeated. */
-export function seededRandom(seed: number): Random {
-  const generator = xoroshiro128plus(seed);
-  return (below) => (below <= 1 ? 0 : uniformInt(generator, 0, below - 1));
-}
+import type { SteadyMs, ZoneId } from '../model/units.js';
 
 const fittingMachines = (freeCapacity: FreeCapacity, spec: JobSpec, zone: ZoneId | null): FreeMachines[] =>
   freeCapacity.machines.filter(
--- a/src/overflow/task-transfer.ts
+++ b/src/overflow/task-transfer.ts
@@ -13,7 +13,8 @@
 import { millis, type SteadyMs, type ZoneId } from '../model/units.js';
 import { zoneForShard } from './announcement.js';
 import { chooseZoneReassignment } from './zone-reassignment.js';
-import { reserveCapacity, rankPeers, type FreeCapacity } from './peer-ranking.js';
+import type { FreeCapacity } from '../peers/free-capacity.js';
+import { reserveCapacity, rankPeers } from './peer-ranking.js';
 
 /** Tasks stay this long on a receiving shard before they may move on: stale announcements must not make them wander. */
 const TRANSFER_DELAY_MS = 800;
--- a/src/workers/registration.ts
+++ b/src/workers/registration.ts
@@ -26,7 +26,7 @@
   readonly settings: Pick<Settings, 'maxTransactionOps' | 'node' | 'shard' | 'shards'>;
   readonly store: Pick<KeyValueClient, 'compareAndSwap' | 'writeRate'>;
   readonly storeCache: Pick<StoreCache, 'version' | 'apply'>;
-  readonly retiredMachines: ReadonlySet<MachineId>;
+  readonly retiredMachines: Pick<ReadonlySet<MachineId>, 'has'>;
   readonly intendedShards: ReadonlyMap<MachineId, ShardId>;
   isAlive(node: ControllerId, incarnation: Incarnation | null): boolean;
 }
--- a/src/workers/service.ts
+++ b/src/workers/service.ts
@@ -21,8 +21,6 @@
 } from './heartbeat-handler.js';
 import { isRegisteredSinceAcquisition, releaseAll } from './release-rules.js';
 
-/** Retired machines that are remembered, the latest ones: at least so many, and as many as are registered. */
-const MIN_RETIRED = 5000;
 /** Workers that are called to find out whether those of a shard are reachable. */
 const MAX_PROBED_WORKERS = 5;
 
@@ -33,7 +31,7 @@
   RegistrationDependencies &
   ShardUpdatesDependencies & { readonly storeCache: Pick<StoreCache, 'entriesUnder'> } & Pick<
     Core,
-    'imageHints' | 'registeredMachines' | 'retiredMachines'
+    'imageHints' | 'retiredMachines'
   >;
 
 /** What the rest of the controller asks of the workers' slice. */
@@ -89,13 +87,10 @@
     shard.addMachine(newMachine({ id, address, type, zone, spot, addedAt: now, reconciled }));
   }
 
-  /** Ids are never used again; the oldest are forgotten, so that memory stays bounded. */
   private recordRetired(id: MachineId): void {
-    const { imageHints, registeredMachines, retiredMachines } = this.controller;
+    const { imageHints, retiredMachines } = this.controller;
     imageHints.delete(id);
     retiredMachines.add(id);
-    if (retiredMachines.size > Math.max(MIN_RETIRED, registeredMachines.size))
-      retiredMachines.delete(retiredMachines.keys().next().value as MachineId);
   }
 
   /** To be called when the machine has certainly gone, with all that was on it. */
--- a/test/shards/running-totals.test.ts
+++ b/test/shards/running-totals.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { InstanceType } from '../../src/cloud/wire.js';
-import { seededRandom } from '../../src/overflow/peer-ranking.js';
+import { seededRandom } from '../../src/model/random.js';
 import { fits, RESOURCE_KINDS, type ResourceKind, type Resources } from '../../src/model/resources.js';
 import {
   attempt,
