--- a/eslint.config.js
+++ b/eslint.config.js
@@ -5,8 +5,8 @@
 /** Two-letter names that are ordinary English or standard abbreviations. */
 const SHORT_NAMES = ['at', 'by', 'gb', 'id', 'kb', 'ms', 'of', 'ok', 'on', 'to'];
 
-/** One letter is for a parameter of a one-line arrow function, a loop's counter and the namespace of valibot, `v`. */
-const ONE_LETTER = '[name=/^[a-z]$/]';
+/** One letter is for a parameter of a one-line arrow function, the counters `i`, `j`, `k` and valibot's namespace, `v`. */
+const ONE_LETTER = '[name=/^[a-hl-z]$/]';
 const ONE_LETTER_NAMES = [
   `:function[body.type="BlockStatement"] > Identifier.params${ONE_LETTER}`,
   `:not(ForStatement) > VariableDeclaration > VariableDeclarator > Identifier.id${ONE_LETTER}`,
--- a/src/autoscaling/listing-review.ts
+++ b/src/autoscaling/listing-review.ts
@@ -53,7 +53,10 @@
   private async review(listed: readonly ListedMachine[]): Promise<void> {
     const { core } = this;
     const now = core.clock.now();
-    if (!core.mayCommand(now)) return this.unusedSince.clear();
+    if (!core.mayCommand(now)) {
+      this.unusedSince.clear();
+      return;
+    }
     this.isUnlisted = unlistedCheck(listed, core.settings.listLagS);
     const unusedIds: MachineId[] = [];
     for (const machine of listed) {
--- a/src/scheduling/job-placement.ts
+++ b/src/scheduling/job-placement.ts
@@ -84,7 +84,10 @@
 
   private placeTask(index: number): void {
     const { job } = this;
-    if (!this.cycle.fitsShardQuota(this.spec)) return this.blockByQuota(index);
+    if (!this.cycle.fitsShardQuota(this.spec)) {
+      this.blockByQuota(index);
+      return;
+    }
     const zone = requiredZone(job, index);
     const reservation = job.reservations.get(index);
     const reservedMachine = reservation && this.cycle.shard.machines.get(reservation.machine);
@@ -124,7 +127,10 @@
       machine !== reservedMachine &&
       this.fetchDelaysUrgentTask(machine) &&
       preemptForTask(cycle, job, index, zone, 'machines with the image');
-    if (preempted) return this.blockByCapacity(index, zone);
+    if (preempted) {
+      this.blockByCapacity(index, zone);
+      return;
+    }
     takeResources(cycle.freeResources.get(machine.id), this.spec);
     cycle.addTaskUsage(this.spec);
     cycle.plan.starts.push({ job, index, machine });
--- a/src/scheduling/task-allocator.ts
+++ b/src/scheduling/task-allocator.ts
@@ -87,7 +87,10 @@
 
   /** Stops a task; of a gang all tasks, with the same grace: a gang can only write a checkpoint as a whole. */
   stop(shard: Shard, allocation: Allocation, graceS: number): void {
-    if (allocation.spec?.kind !== 'gang') return this.stopTask(shard, allocation, graceS);
+    if (allocation.spec?.kind !== 'gang') {
+      this.stopTask(shard, allocation, graceS);
+      return;
+    }
     for (const member of [...(shard.allocationsByJob.get(allocation.job) ?? [])])
       this.stopTask(shard, member, graceS);
   }
@@ -97,7 +100,10 @@
     const machine = shard.machines.get(allocation.machine);
     if (!machine || (allocation.stop && allocation.stop.grace <= graceS)) return;
     this.core.log.debug({ task: allocation.id, machine: allocation.machine, grace: graceS }, 'stop');
-    if (isUnsent(allocation)) return release(shard, machine, allocation);
+    if (isUnsent(allocation)) {
+      release(shard, machine, allocation);
+      return;
+    }
     requestStop(shard, machine, allocation, graceS);
   }
 
--- a/src/workers/task-exits.ts
+++ b/src/workers/task-exits.ts
@@ -119,7 +119,10 @@
   const job = shard.jobs.get(task.job);
   if (!job || job.spec.kind === 'service' || job.record.done.has(task.index)) return;
   if (!isAssignedTo(shard, task.job, task.index)) return;
-  if (job.gangHistory) return markGangFinished(shard, job);
+  if (job.gangHistory) {
+    markGangFinished(shard, job);
+    return;
+  }
   if (shard.allocations.has(taskId(task.job, task.index))) return;
   job.finished.add(task.index);
   shard.jobsWithUnrecordedEnds.add(job);
@@ -146,7 +149,10 @@
   if (job) {
     job.errors += 1;
     job.failedMachines.add(machine.id);
-    if (failsEverywhere(job)) return delayFailingJob(job, context);
+    if (failsEverywhere(job)) {
+      delayFailingJob(job, context);
+      return;
+    }
   }
   quarantineFailingMachine(machine, allocation, context);
 }
--- a/test/cluster/concurrent-machine-faults.test.ts
+++ b/test/cluster/concurrent-machine-faults.test.ts
@@ -279,8 +279,8 @@
           faultCount += 1;
           return true;
         };
-        if (how === 'held') cluster.commandDelayMs = (_, __, call) => (fault(call) ? phase : null);
-        if (how === 'answer lost') cluster.losesCommandAnswer = (_, __, call) => fault(call);
+        if (how === 'held') cluster.commandDelayMs = (_node, _worker, call) => (fault(call) ? phase : null);
+        if (how === 'answer lost') cluster.losesCommandAnswer = (_node, _worker, call) => fault(call);
         if (how === 'hanging')
           onFirstExecution(
             cluster,
@@ -460,7 +460,7 @@
     await cluster.sendUserRequest(2, 'POST', '/v2/runs/req-1/abort');
     const cancelledAtLine = cluster.traceLines.length;
     // Kills that reach a machine just as it goes on are lost as well: only its reports tell that the tasks live.
-    cluster.commandDelayMs = (_, __, call) => (containsCommand(call, 'kill') ? 1e9 : null);
+    cluster.commandDelayMs = (_node, _worker, call) => (containsCommand(call, 'kill') ? 1e9 : null);
     if (killLeader) {
       await cluster.step(600);
       cluster.killNode(0);
--- a/test/cluster/concurrent-user-requests.test.ts
+++ b/test/cluster/concurrent-user-requests.test.ts
@@ -583,10 +583,10 @@
       impossible.push(fresh);
       const odd = malformedBodies({ ...plain, uid: fresh })[random(7)];
       const answer = cluster.request(random(3), 'POST', '/v2/runs', odd);
-      void answer.then((a) => {
-        verdicts.add(a?.status ?? 0);
-        const text = (a?.body as { error?: string } | undefined)?.error;
-        if (a && !text) cluster.violations.push(`${fresh} answered ${a.status} without a text`);
+      void answer.then((response) => {
+        verdicts.add(response?.status ?? 0);
+        const text = (response?.body as { error?: string } | undefined)?.error;
+        if (response && !text) cluster.violations.push(`${fresh} answered ${response.status} without a text`);
       });
       await cluster.step(200);
     }
--- a/test/cluster/gang-lifecycle.test.ts
+++ b/test/cluster/gang-lifecycle.test.ts
@@ -48,7 +48,10 @@
   for (let s = 0; s < 90; s += 2) {
     await cluster.step(2000);
     const answer = await cluster.sendUserRequest(node, 'GET', `/v2/runs/${job}`);
-    if (answer.body['status'] === 'done') return assert.deepEqual(cluster.violations, []);
+    if (answer.body['status'] === 'done') {
+      assert.deepEqual(cluster.violations, []);
+      return;
+    }
   }
   assert.fail(`${job} is not done: ${JSON.stringify(cluster.traceLines.slice(-20), null, 1)}`);
 }
--- a/test/cluster/recorded-fault-histories.test.ts
+++ b/test/cluster/recorded-fault-histories.test.ts
@@ -177,7 +177,7 @@
       .map((machine) => machine.id),
   ];
   const outside = ['n0', 'n2', ...[...cluster.workers.keys()].filter((machine) => !inside.includes(machine))];
-  for (const a of inside) for (const b of outside) cluster.networkCuts.add(`${a}|${b}`);
+  for (const near of inside) for (const far of outside) cluster.networkCuts.add(`${near}|${far}`);
   cluster.store.disconnectedNodes.add('n1');
   cluster.trace('the zone west is cut off');
   await cluster.step(40000);
@@ -291,9 +291,9 @@
   for (let round = 0; round < 40; round += 1) {
     for (let k = 0; k < 60; k += 1) {
       const id = `req-${k % 12}`;
-      void cluster.request(k % 3, 'GET', `/v2/runs/${id}`).then((a) => {
-        if (a?.status === 200 && !known.has(id)) known.set(id, cluster.clock.now() - from);
-        if (a?.status === 404) cluster.violations.push(`forgotten ${id}`);
+      void cluster.request(k % 3, 'GET', `/v2/runs/${id}`).then((response) => {
+        if (response?.status === 200 && !known.has(id)) known.set(id, cluster.clock.now() - from);
+        if (response?.status === 404) cluster.violations.push(`forgotten ${id}`);
       });
     }
     await cluster.step(250);
--- a/test/leadership/failover-with-late-events.test.ts
+++ b/test/leadership/failover-with-late-events.test.ts
@@ -92,7 +92,10 @@
     const submitLast = (): void =>
       void cluster.request(0, 'POST', '/v2/runs', cluster.submissionBody('req-last', lastJob));
     const betweenPages = (): void => {
-      if (added === 'job') return submitLast();
+      if (added === 'job') {
+        submitLast();
+        return;
+      }
       fresh = cluster.addWorker('large', 'east');
       cluster.clock.after(300, submitLast);
     };
--- a/test/support/fake-worker.ts
+++ b/test/support/fake-worker.ts
@@ -273,13 +273,22 @@
       timer: null,
     };
     this.tasks.set(command.leg, task);
-    if (!behaviour) return this.exit(task, 'unknown');
+    if (!behaviour) {
+      this.exit(task, 'unknown');
+      return;
+    }
     const present = [...this.tasks.values()].filter((t) => t.status !== 'exited');
     const used = (kind: 'cpus' | 'gpus'): number =>
       present.reduce((sum, t) => sum + (this.environment.jobOfTask(t.taskId)?.[kind] ?? 0), 0);
-    if (used('cpus') > this.cpus + 1e-9 || used('gpus') > this.gpus + 1e-9) return this.exit(task, 'full');
+    if (used('cpus') > this.cpus + 1e-9 || used('gpus') > this.gpus + 1e-9) {
+      this.exit(task, 'full');
+      return;
+    }
     task.timer = this.environment.clock.after(200, () => {
-      if (behaviour.gang) return this.joinGang(task, behaviour.gang);
+      if (behaviour.gang) {
+        this.joinGang(task, behaviour.gang);
+        return;
+      }
       task.status = 'running';
       this.environment.trace(`${this.id} runs ${task.taskId}`);
       this.environment.onTaskStarted(this, task.taskId);
--- a/test/support/fault-injection-cluster.ts
+++ b/test/support/fault-injection-cluster.ts
@@ -119,7 +119,10 @@
   cancel(job: string, at: number): void {
     void this.request(at, 'POST', `/v2/runs/${job}/abort`).then((answer) => {
       const state = (answer?.body as { status?: string } | undefined)?.status;
-      if (answer?.status === 200 && state === 'cancelled') return this.isCancellationConfirmed(job, at);
+      if (answer?.status === 200 && state === 'cancelled') {
+        this.isCancellationConfirmed(job, at);
+        return;
+      }
       this.clock.after(300, () => this.cancel(job, (at + 1) % NODES.length));
     });
   }
