--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -162,7 +162,7 @@
     const { heartbeatIntervalMs, tuning } = this.core;
     return {
       now,
-      reportMs: heartbeatIntervalMs,
+      heartbeatIntervalMs,
       idleTimeout: tuning.idleMachineTimeout,
       silenceTimeout: tuning.silentMachineTimeout,
       hasPendingDemand: (this.demands.get(shard.id) ?? []).length > 0,
--- a/src/autoscaling/scale-in.ts
+++ b/src/autoscaling/scale-in.ts
@@ -45,7 +45,7 @@
 export interface ScaleInContext {
   readonly now: SteadyMs;
   /** The interval between two heartbeats, in milliseconds. */
-  readonly reportMs: number;
+  readonly heartbeatIntervalMs: number;
   /** How long a machine may be idle. */
   readonly idleTimeout: Millis;
   /** How long a machine may send no heartbeat. */
@@ -74,7 +74,7 @@
 
 const isSilent = (machine: Machine, context: ScaleInContext): boolean =>
   context.now - (machine.lastHeardAt ?? machine.addedAt) >
-  Math.max(SILENT_AFTER_INTERVALS * context.reportMs, MIN_SILENT_MS);
+  Math.max(SILENT_AFTER_INTERVALS * context.heartbeatIntervalMs, MIN_SILENT_MS);
 
 /** Counts the machines of a shard that are heard, reachable, silent and missing. */
 export function assessLiveness(shard: Shard, context: ScaleInContext): ShardLiveness {
@@ -84,7 +84,7 @@
   for (const machine of shard.machines.values()) {
     if (
       machine.lastHeardAt !== null &&
-      context.now - machine.lastHeardAt < HEARD_WITHIN_INTERVALS * context.reportMs
+      context.now - machine.lastHeardAt < HEARD_WITHIN_INTERVALS * context.heartbeatIntervalMs
     ) {
       heardByZone.set(machine.zone, (heardByZone.get(machine.zone) ?? 0) + 1);
       heardMachineIds.add(machine.id);
@@ -131,11 +131,14 @@
   if (
     machine.interruptedAt !== null &&
     context.now > machine.interruptedAt &&
-    silentMs > INTERRUPTED_AFTER_INTERVALS * context.reportMs
+    silentMs > INTERRUPTED_AFTER_INTERVALS * context.heartbeatIntervalMs
   )
     return 'interrupted';
   const neverHeard = machine.lastHeardAt === null && machine.missedDirectRequests > 0;
-  if ((neverHeard || silentMs > HEARD_WITHIN_INTERVALS * context.reportMs) && context.isUnlisted(machine.id))
+  if (
+    (neverHeard || silentMs > HEARD_WITHIN_INTERVALS * context.heartbeatIntervalMs) &&
+    context.isUnlisted(machine.id)
+  )
     return 'not listed any more';
   // Spot machines may all be interrupted at once, on-demand ones are not: silent together with many of those, spot
   // machines are behind a partition.
--- a/src/controller/job-assignment.ts
+++ b/src/controller/job-assignment.ts
@@ -35,7 +35,7 @@
       zones: core.settings.zones,
       types: [...core.types.values()],
       freeCapacity: core.freeCapacity,
-      imageCapacity: core.readyCapacity,
+      imageCapacity: core.criticalCapacityByImage,
       random: core.random,
     });
   }
--- a/src/core.ts
+++ b/src/core.ts
@@ -104,7 +104,7 @@
   /** Which images the machines of other shards hold, for a failover: image and size in GB. */
   readonly imageHints = new Map<MachineId, readonly (readonly [ImageId, number])[]>();
   /** By shard and image: what critical jobs could have at once on machines that hold the image. */
-  readonly readyCapacity = new Map<ShardId, ReadonlyMap<ImageId, Resources>>();
+  readonly criticalCapacityByImage = new Map<ShardId, ReadonlyMap<ImageId, Resources>>();
   /** Machines that the store holds, counted by shard. */
   readonly registeredMachines = new RegisteredMachines();
   readonly retiredMachines = new RetiredMachines(this.registeredMachines);
--- a/src/model/gang.ts
+++ b/src/model/gang.ts
@@ -41,7 +41,7 @@
   /** It has been told to stop, with so many seconds of grace. */
   readonly stop: { readonly grace: number } | null;
   /** When it was first seen to wait for the other tasks. */
-  readonly gatheringSince: SteadyMs | null;
+  readonly waitingForGangSince: SteadyMs | null;
 }
 
 /** All that the decision on a gang rests on. */
@@ -149,6 +149,7 @@
 
 function waitedTooLong({ now, members, waitLimit }: GangFacts): boolean {
   return members.some(
-    ({ gatheringSince }) => gatheringSince !== null && now - gatheringSince > waitLimit * INCOMPLETE_SHARE,
+    ({ waitingForGangSince }) =>
+      waitingForGangSince !== null && now - waitingForGangSince > waitLimit * INCOMPLETE_SHARE,
   );
 }
--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -29,7 +29,7 @@
 /** What a shard that is led here has free now, less what its own queue is about to take. */
 export function freeCapacityOf(core: Core, shard: Shard): FreeCapacity {
   const now = core.clock.now();
-  const context = { now, reportMs: core.heartbeatIntervalMs };
+  const context = { now, heartbeatIntervalMs: core.heartbeatIntervalMs };
   const shapes = new Map<string, FreeMachines>();
   for (const machine of shard.totals.machinesWithFreeCpu()) {
     if (!isSchedulable(machine, context)) continue;
@@ -57,7 +57,7 @@
 /** By image: what critical tasks could use at once on machines that hold it, by preemption if need be. */
 export function capacityByImage(core: Core, shard: Shard): Map<ImageId, Resources> {
   const capacities = new Map<ImageId, Resources>();
-  const context = { now: core.clock.now(), reportMs: core.heartbeatIntervalMs };
+  const context = { now: core.clock.now(), heartbeatIntervalMs: core.heartbeatIntervalMs };
   for (const [image, holders] of shard.totals.imageHolders()) {
     const capacity: MutableResources = { ...ZERO };
     for (const machine of holders) {
@@ -73,7 +73,7 @@
 export function refreshFreeCapacity(core: Core): void {
   for (const shard of core.shards.values()) {
     core.freeCapacity.set(shard.id, freeCapacityOf(core, shard));
-    core.readyCapacity.set(shard.id, capacityByImage(core, shard));
+    core.criticalCapacityByImage.set(shard.id, capacityByImage(core, shard));
   }
 }
 
@@ -135,7 +135,7 @@
     freeMachines: freeMachinesOf(core, shard),
     used: shard.totals.usageByTeam,
     unusedQuota,
-    criticalCapacity: core.readyCapacity.get(shard.id) ?? new Map<ImageId, Resources>(),
+    criticalCapacity: core.criticalCapacityByImage.get(shard.id) ?? new Map<ImageId, Resources>(),
     cachedImages: imageHints(shard),
   };
 }
@@ -161,7 +161,7 @@
 function learnShardCapacity(core: Core, capacity: ShardCapacity, expires: SteadyMs): void {
   const { shard, used, unusedQuota } = capacity;
   for (const [machine, images] of capacity.cachedImages) core.imageHints.set(machine, images);
-  core.readyCapacity.set(shard, capacity.criticalCapacity);
+  core.criticalCapacityByImage.set(shard, capacity.criticalCapacity);
   core.shardAnnouncements.set(shard, { expiresAt: expires, usage: used, unusedQuota });
   const machines = [...capacity.freeMachines];
   core.freeCapacity.set(shard, {
--- a/src/overflow/machine-transfer.ts
+++ b/src/overflow/machine-transfer.ts
@@ -48,8 +48,10 @@
       return false;
     if (request.types !== null && !request.types.includes(machine.type)) return false;
     return (
-      isSchedulable({ ...machine, draining: false }, { now, reportMs: core.heartbeatIntervalMs }) &&
-      !runsCriticalWork(machine)
+      isSchedulable(
+        { ...machine, draining: false },
+        { now, heartbeatIntervalMs: core.heartbeatIntervalMs },
+      ) && !runsCriticalWork(machine)
     );
   };
   const suitable = [...shard.machines.values()].filter(suits);
--- a/src/scheduling/consolidation.ts
+++ b/src/scheduling/consolidation.ts
@@ -34,7 +34,7 @@
 /** Capacity must be at least so many times what is used. */
 const MIN_CAPACITY_OVER_USED = 2;
 
-type ConsolidationContext = Pick<SchedulingContext, 'now' | 'types' | 'reportMs'>;
+type ConsolidationContext = Pick<SchedulingContext, 'now' | 'types' | 'heartbeatIntervalMs'>;
 
 /** The first move of those that would make a whole machine free; null: none is worth it, or some replica cannot move. */
 export function chooseRelocation(shard: Shard, context: ConsolidationContext): Relocation | null {
--- a/src/scheduling/cycle.ts
+++ b/src/scheduling/cycle.ts
@@ -30,7 +30,7 @@
   /** Actual over estimated run time, as observed for this job class. */
   readonly runtimeCorrection: (jobClass: string) => number;
   /** The interval between two heartbeats of a worker, in milliseconds. */
-  readonly reportMs: number;
+  readonly heartbeatIntervalMs: number;
   /** How long a member of a gang waits for the others before it gives up, in milliseconds. */
   readonly gangWaitMs: number;
 }
--- a/src/scheduling/scheduling-context.ts
+++ b/src/scheduling/scheduling-context.ts
@@ -49,7 +49,7 @@
     peerHasCapacity: (spec) => peerHasCapacity(core, shard, spec, now),
     maxLatenessFactor: (jobClass) => core.settings.deadlineFactorByClass.get(jobClass) ?? 1,
     runtimeCorrection: (jobClass) => runtimeEstimator.correctionFactor(jobClass),
-    reportMs: core.heartbeatIntervalMs,
+    heartbeatIntervalMs: core.heartbeatIntervalMs,
     gangWaitMs: core.settings.gangWaitS * 1000,
   };
 }
--- a/src/scheduling/task-allocator.ts
+++ b/src/scheduling/task-allocator.ts
@@ -47,7 +47,7 @@
     phase: 'ordered',
     allocatedAt: now,
     runningSince: null,
-    gatheringSince: null,
+    waitingForGangSince: null,
     stop: null,
     launchInFlight: false,
     launchPending: true,
--- a/src/shards/allocation.ts
+++ b/src/shards/allocation.ts
@@ -49,7 +49,7 @@
   /** When it was first seen to run; null: it has not been. Changed by reconciliation. */
   runningSince: SteadyMs | null;
   /** When it was first seen to wait for the other tasks of its gang. Changed by reconciliation. */
-  gatheringSince: SteadyMs | null;
+  waitingForGangSince: SteadyMs | null;
   /** null: it is to go on. Set by `requestStop`; `direct` is changed by the direct commands. */
   stop: StopRequest | null;
   /** A direct request that carries its launch has been sent and not concluded. Changed by the direct commands. */
--- a/src/shards/machine-health.ts
+++ b/src/shards/machine-health.ts
@@ -11,18 +11,18 @@
 export interface HeartbeatExpectation {
   readonly now: SteadyMs;
   /** Interval of heartbeats, in milliseconds. */
-  readonly reportMs: number;
+  readonly heartbeatIntervalMs: number;
 }
 
 /**
  * May new tasks be started on the machine now? Not while it cannot be reached, may still run tasks of an earlier leader,
  * leaves the shard, is quarantined, or has stopped sending heartbeats.
  */
-export function isSchedulable(machine: Machine, { now, reportMs }: HeartbeatExpectation): boolean {
+export function isSchedulable(machine: Machine, { now, heartbeatIntervalMs }: HeartbeatExpectation): boolean {
   if (machine.unreachableSince !== null) return false;
   if (!machine.reconciled || isLeaving(machine)) return false;
   if (now < machine.quarantinedUntil) return false;
-  return machine.lastHeardAt !== null && now - machine.lastHeardAt < longestSilence(reportMs);
+  return machine.lastHeardAt !== null && now - machine.lastHeardAt < longestSilence(heartbeatIntervalMs);
 }
 
 /** It goes to another shard, back to the cloud, or the cloud takes it. */
@@ -30,4 +30,5 @@
   machine.draining || machine.scalingIn || machine.interruptedAt !== null;
 
 /** A machine not heard from for this many milliseconds counts as silent. */
-const longestSilence = (reportMs: number): number => reportMs * MISSED_HEARTBEATS + HEARTBEAT_DELAY_MS;
+const longestSilence = (heartbeatIntervalMs: number): number =>
+  heartbeatIntervalMs * MISSED_HEARTBEATS + HEARTBEAT_DELAY_MS;
--- a/src/shards/statistics.ts
+++ b/src/shards/statistics.ts
@@ -41,19 +41,19 @@
 
 /**
  * Counts the statistics of a shard.
- * @param reportMs interval of heartbeats, in milliseconds
+ * @param heartbeatIntervalMs interval of heartbeats, in milliseconds
  * @param shardQuota what a team may use on this shard
  */
 export function statisticsOf(
   shard: Shard,
   now: SteadyMs,
-  reportMs: number,
+  heartbeatIntervalMs: number,
   shardQuota: (team: TeamId) => Resources,
 ): ShardStatistics {
   const waitingTotals = waitingByTeam(shard);
   const waiting: MutableResources = { ...ZERO };
   for (const amount of waitingTotals.values()) addTo(waiting, amount);
-  const { capacity, free, unusable } = machineTotals(shard, { now, reportMs });
+  const { capacity, free, unusable } = machineTotals(shard, { now, heartbeatIntervalMs });
   return {
     machines: shard.machines.size,
     unusable,
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -150,7 +150,7 @@
   const gang = shard.jobs.get(allocation.job)?.gangHistory;
   if (gang) recordGangState(gang, allocation.attempt, state);
   if (state === 'fetching') return;
-  if (state === 'gathering') allocation.gatheringSince ??= context.now;
+  if (state === 'gathering') allocation.waitingForGangSince ??= context.now;
   else allocation.runningSince ??= context.now;
   if (allocation.spec) shard.recordImage(machine, allocation.spec.image, allocation.spec.imageGb);
 }
@@ -218,7 +218,7 @@
     phase: state,
     allocatedAt: now,
     runningSince: hasStarted(state) ? now : null,
-    gatheringSince: state === 'gathering' ? now : null,
+    waitingForGangSince: state === 'gathering' ? now : null,
     launchInFlight: false,
     launchPending: false,
     answeredSequence: null,
--- a/test/autoscaling/scale-in.test.ts
+++ b/test/autoscaling/scale-in.test.ts
@@ -48,7 +48,7 @@
 function countScaleIns(shard: Shard, changes: Partial<ScaleInContext> = {}): string {
   const context: ScaleInContext = {
     now: NOW as never,
-    reportMs: 2500,
+    heartbeatIntervalMs: 2500,
     idleTimeout: 20_000 as never,
     silenceTimeout: 75_000 as never,
     hasPendingDemand: true,
--- a/test/scheduling/consolidation.test.ts
+++ b/test/scheduling/consolidation.test.ts
@@ -83,7 +83,7 @@
         phase: 'running',
         allocatedAt: since as SteadyMs,
         runningSince: since as SteadyMs,
-        gatheringSince: null,
+        waitingForGangSince: null,
         stop: null,
         launchInFlight: false,
         launchPending: false,
@@ -96,7 +96,7 @@
   return shard;
 }
 
-const context = { now: NOW, types, reportMs: 1500 };
+const context = { now: NOW, types, heartbeatIntervalMs: 1500 };
 const describeMoves = (shard: Shard): string => {
   const move = chooseRelocation(shard, context);
   return move ? `${move.allocation.machine} -> ${move.target.id}` : 'stays';
--- a/test/scheduling/dominant-resource.test.ts
+++ b/test/scheduling/dominant-resource.test.ts
@@ -202,7 +202,7 @@
     const found = chooseRelocation(shardWith(load, { cpus: 1, memoryGb: 1 }), {
       now: NOW,
       types: TYPES,
-      reportMs: 1500,
+      heartbeatIntervalMs: 1500,
     });
     return found ? `${found.allocation.machine} -> ${found.target.id}` : 'stays';
   };
@@ -240,13 +240,13 @@
     tuning: { announcementExpiry: 1000 },
     shards: new Map([[shard.id, shard]]),
     freeCapacity: new Map(),
-    readyCapacity: new Map(),
+    criticalCapacityByImage: new Map(),
     unregisteredOwnMachines: new Map(),
     store: { usage: { requests: 1, writes: 1 } },
     storeHealthy: () => true,
     incarnation: 'n1-1',
   } as unknown as Core;
-  core.readyCapacity.set(shard.id, capacityByImage(core, shard));
+  core.criticalCapacityByImage.set(shard.id, capacityByImage(core, shard));
   const unusedQuota = new Map([['red' as TeamId, { cpus: 0, gpus: 7, memoryGb: 0 }]]);
   const announcement = encodePeerMessage(composeAnnouncement(core, () => unusedQuota, new Map()));
   assert.ok(announcement.kind === 'news');
@@ -255,14 +255,14 @@
     shards: new Map(),
     peers: new Map(),
     shardAnnouncements: new Map(),
-    readyCapacity: new Map(),
+    criticalCapacityByImage: new Map(),
   };
   Object.assign(peer, { intendedShards: new Map(), imageHints: new Map(), freeCapacity: new Map() });
   receiveMessage(peer as unknown as Core, JSON.parse(JSON.stringify(announcement)));
   const announced = (peer as unknown as Core).shardAnnouncements.get(shard.id);
   assert.deepEqual(announced?.usage.get('red' as TeamId), { cpus: 15, gpus: 3, memoryGb: 114 });
   assert.deepEqual(announced.unusedQuota.get('red' as TeamId), { cpus: 0, gpus: 7, memoryGb: 0 });
-  assert.deepEqual((peer as unknown as Core).readyCapacity.get(shard.id)?.get('img' as never), {
+  assert.deepEqual((peer as unknown as Core).criticalCapacityByImage.get(shard.id)?.get('img' as never), {
     cpus: 113,
     gpus: 13,
     memoryGb: 910,
--- a/test/scheduling/gang-decisions.test.ts
+++ b/test/scheduling/gang-decisions.test.ts
@@ -12,7 +12,7 @@
     attempt: FIRST_OWN_ATTEMPT,
     phase: 'gathering',
     stop: null,
-    gatheringSince: NOW - 1000,
+    waitingForGangSince: NOW - 1000,
     ...changes,
   }) as GangMember;
 
@@ -87,11 +87,17 @@
     'stopping: stop (0 s) a task gave up waiting',
   );
   assert.equal(
-    decide([member({ gatheringSince: NOW - 14_001 }), member({ phase: 'fetching', gatheringSince: null })]),
+    decide([
+      member({ waitingForGangSince: NOW - 14_001 }),
+      member({ phase: 'fetching', waitingForGangSince: null }),
+    ]),
     'stopping: stop (0 s) not complete in time',
   );
   assert.equal(
-    decide([member({ gatheringSince: NOW - 13_999 }), member({ phase: 'fetching', gatheringSince: null })]),
+    decide([
+      member({ waitingForGangSince: NOW - 13_999 }),
+      member({ phase: 'fetching', waitingForGangSince: null }),
+    ]),
     'gathering: wait',
   );
   assert.equal(
@@ -102,7 +108,7 @@
 });
 
 test('a gang that has started is never completed: it begins anew once the rest is gone', () => {
-  const running = member({ phase: 'running', gatheringSince: NOW - 50_000 });
+  const running = member({ phase: 'running', waitingForGangSince: NOW - 50_000 });
   assert.equal(decide([running, running]), 'running: wait');
   assert.equal(decide([running, member()]), 'running: wait', 'it started a moment ago');
   assert.equal(decide([running], { missing: true }), 'stopping: stop (0 s) a task of it is gone');
--- a/test/scheduling/starvation.test.ts
+++ b/test/scheduling/starvation.test.ts
@@ -129,7 +129,7 @@
     peerHasCapacity: () => false,
     maxLatenessFactor: () => 1,
     runtimeCorrection: () => 1,
-    reportMs: 1500,
+    heartbeatIntervalMs: 1500,
     gangWaitMs: 30_000,
   } as unknown as SchedulingContext;
   const plan = planCycle(shard, ctx);
@@ -351,7 +351,7 @@
       peerHasCapacity: () => false,
       maxLatenessFactor: () => 1,
       runtimeCorrection: () => 1,
-      reportMs: 1500,
+      heartbeatIntervalMs: 1500,
       gangWaitMs: 30_000,
     });
     shard.quotaReservations = plan.quotaReservations;
--- a/test/shards/machine-health.test.ts
+++ b/test/shards/machine-health.test.ts
@@ -7,12 +7,12 @@
 import { addMachineTo, buildShard } from '../support/shard-builder.js';
 
 const NOW = steady(100_000);
-const REPORT_MS = 1500;
+const HEARTBEAT_INTERVAL_MS = 1500;
 
 function isSchedulableWith(changes: Partial<Machine>): boolean {
   const machine = addMachineTo(buildShard(), 'm-0');
   Object.assign(machine, { lastHeardAt: steady(NOW - 100), ...changes });
-  return isSchedulable(machine, { now: NOW, reportMs: REPORT_MS });
+  return isSchedulable(machine, { now: NOW, heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS });
 }
 
 test('a reconciled machine that sends heartbeats and can be reached is schedulable', () => {
--- a/test/shards/running-totals.test.ts
+++ b/test/shards/running-totals.test.ts
@@ -246,7 +246,7 @@
       phase: 'running',
       allocatedAt: steady(0),
       runningSince: null,
-      gatheringSince: null,
+      waitingForGangSince: null,
       stop: null,
       launchInFlight: false,
       launchPending: false,
--- a/test/support/cycle-runner.ts
+++ b/test/support/cycle-runner.ts
@@ -141,7 +141,7 @@
       maxLatenessFactor: () => 1,
       peerHasCapacity: () => false,
       runtimeCorrection: () => 1,
-      reportMs: 1500,
+      heartbeatIntervalMs: 1500,
       gangWaitMs: 30_000,
     } as unknown as SchedulingContext;
     const plan = planCycle(this.shard, context);
--- a/test/support/shard-builder.ts
+++ b/test/support/shard-builder.ts
@@ -87,7 +87,7 @@
     phase: 'running',
     allocatedAt: steady(0),
     runningSince: steady(0),
-    gatheringSince: null,
+    waitingForGangSince: null,
     stop: null,
     launchInFlight: false,
     launchPending: false,
--- a/test/support/shard-fixture.ts
+++ b/test/support/shard-fixture.ts
@@ -131,7 +131,7 @@
       phase: 'ordered',
       allocatedAt: steady(0),
       runningSince: null,
-      gatheringSince: null,
+      waitingForGangSince: null,
       stop: null,
       launchInFlight: false,
       launchPending: false,
