--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -88,6 +88,7 @@
   return cli;
 }
 
+/** Runs one command line (`process.argv`) and returns the process's exit code; errors go to standard error. */
 export async function main(argv: readonly string[]): Promise<number> {
   try {
     const cli = buildProgram();
--- a/src/cli/simulate.ts
+++ b/src/cli/simulate.ts
@@ -163,6 +163,7 @@
 
 With a file its deployment and load are kept, and only the faults are random.`;
 
+/** Adds `simulate run` and `simulate fuzz` to the command line. */
 export function addSimulateCommands(cli: Command): void {
   const simulate = cli
     .command('simulate')
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -4,6 +4,7 @@
 import { HttpParser } from './parser.js';
 import { parseAddress } from './server.js';
 
+/** What is known about a request afterwards; only `answer` comes from the other side. */
 export type CallOutcome =
   | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
   /** Certainly not carried out: no connection came about. */
@@ -11,6 +12,7 @@
   /** Sent, and no readable answer: carried out, not carried out, or to be carried out later. */
   | { readonly kind: 'unknown' };
 
+/** One request. `timeout` (ms) bounds the wait for a free connection and then, anew, the exchange itself. */
 export interface Call {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
@@ -42,6 +44,7 @@
   }
 }
 
+/** Requests to one address over at most `maxConnections` connections; failures of the network are outcomes, not exceptions. */
 export class HttpClient {
   private readonly idleConnections: Connection[] = [];
   private openConnections = 0;
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -3,11 +3,14 @@
  * use (Content-Length and chunked bodies) and refuses everything ambiguous: two lengths, a length beside
  * chunks, folded headers, control characters.
  */
+
+/** Sizes above which a message is refused. */
 export interface ParserLimits {
   readonly maxHeadBytes: number;
   readonly maxBodyBytes: number;
 }
 
+/** One complete request or response. */
 export interface HttpMessage {
   /** Request: method, target, version. Response: version, status, reason. */
   readonly startLine: readonly [string, string, string];
@@ -34,6 +37,7 @@
 
 type ParserPhase = 'head' | 'length' | 'chunk-size' | 'chunk-data' | 'chunk-end' | 'trailer' | 'until-close';
 
+/** Reads the bytes of one connection; an instance that has thrown must not be used again. */
 export class HttpParser {
   private buffer: Buffer = Buffer.alloc(0);
   private phase: ParserPhase = 'head';
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -4,18 +4,21 @@
 import type { Address, Millis } from '../model/units.js';
 import { HttpError, HttpParser, type HttpMessage } from './parser.js';
 
+/** A request as its handler sees it, the body unread. */
 export interface HttpRequest {
   readonly method: string;
   readonly path: string;
   readonly body: Buffer;
 }
 
+/** A handler's answer: `body` is sent as JSON, `retryAfterS` as the header Retry-After, in seconds. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
   readonly retryAfterS?: number;
 }
 
+/** Answers one request; what it throws is logged and answered with 500. */
 export type Handler = (request: HttpRequest) => HttpResponse | Promise<HttpResponse>;
 
 /** How more clients than connections are served: with many open, some are closed as soon as they are answered. */
@@ -26,6 +29,7 @@
   readonly mayCloseAfter: (path: string) => boolean;
 }
 
+/** Bounds of a server; times in milliseconds. */
 export interface ServerOptions {
   readonly maxConnections: number;
   /** Absent: connections stay open until the client or `idle` ends them. */
@@ -57,6 +61,7 @@
   504: 'Gateway Timeout',
 };
 
+/** The bytes of a response as text, head and body. */
 export function encodeResponse(response: HttpResponse, keepAlive: boolean): string {
   const body = JSON.stringify(response.body);
   const retry = response.retryAfterS === undefined ? '' : `Retry-After: ${response.retryAfterS}\r\n`;
@@ -156,11 +161,13 @@
   }
 }
 
+/** Splits `host:port`. */
 export function parseAddress(address: Address): { host: string; port: number } {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
+/** Resolves once the server listens; rejects if it cannot. The caller closes it. */
 export function startHttpServer(
   address: Address,
   handler: Handler,
--- a/src/simulation/arrivals.ts
+++ b/src/simulation/arrivals.ts
@@ -8,8 +8,10 @@
 const INITIAL_ARRIVALS_MS = 2000;
 const NO_CANCELLATION = null;
 
+/** Submits a job; `cancelAfterMs` counts from its acceptance, null: its user does not cancel it. */
 export type SubmitJob = (job: UserJob, cancelAfterMs: number | null) => void;
 
+/** Draws jobs for each load of a scenario and submits them when their time comes. */
 export class Arrivals {
   private readonly rateFactors = new Map<string, number>();
   private jobCount = 0;
--- a/src/simulation/clock.ts
+++ b/src/simulation/clock.ts
@@ -8,6 +8,7 @@
   cancelled: boolean;
 }
 
+/** An event that is still to come; once it has run, `cancel` has no effect. */
 export interface ScheduledTimer {
   cancel(): void;
 }
@@ -92,7 +93,7 @@
 
 /** Something that computes: a controller's process, a machine's worker, or one of the regional services. */
 export class Host {
-  /** Counts its starts: what an earlier life has scheduled never runs. */
+  /** Counts its process lifetimes: what an earlier one has scheduled never runs. */
   lifetime = 1;
   up = true;
   private pausedUntil = 0;
@@ -138,7 +139,7 @@
 
 const CLOCK_START_MS = 1_000_000;
 
-/** The steady clock of one life of a host: runs a little fast or slow, and its timers fire in whole steps. */
+/** The steady clock of one process lifetime: runs a little fast or slow, and its timers fire in whole steps. */
 export class DriftingClock implements Clock {
   constructor(
     private readonly queue: EventQueue,
--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud: rents machines by type, zone and kind, boots them, lists them late, and takes spot machines back. */
+/** The cloud: provisions machines by type, zone and kind, boots them, lists them late, and interrupts spot machines. */
 import type { Call } from '../http/client.js';
 import type { EventQueue } from './clock.js';
 import type { Response } from './network.js';
@@ -6,6 +6,7 @@
 import { TokenBucket, type Reply } from './store-service.js';
 import type { Trace } from './trace.js';
 
+/** An instance type that the cloud offers; times in seconds, prices relative to each other. */
 export interface SimulatedInstanceType {
   readonly name: string;
   readonly cpus: number;
@@ -19,6 +20,7 @@
   readonly zones: readonly string[];
 }
 
+/** What the cloud offers and its limits: requests a second, and how many seconds its list lags behind. */
 export interface CloudOptions {
   readonly types: readonly SimulatedInstanceType[];
   readonly rps: number;
@@ -27,6 +29,7 @@
   readonly capacity: number;
 }
 
+/** A machine as the cloud knows it; times in simulated milliseconds, Infinity: not yet. */
 export interface CloudMachine {
   readonly id: string;
   readonly type: SimulatedInstanceType;
@@ -37,7 +40,7 @@
   readyAt: number;
   /** Stopped on its own, with all that was on it. */
   failedAt: number;
-  /** Deleted or taken. */
+  /** Deleted or interrupted. */
   removedAt: number;
 }
 
@@ -57,14 +60,15 @@
 const INITIAL_MACHINE_AGE_MS = 600_000;
 const RESPONSE_DELAY_MS = { low: 30, high: 150 };
 
+/** Serves the HTTP interface of the cloud and decides when machines boot, fail and end. */
 export class SimulatedCloud {
   readonly machines = new Map<string, CloudMachine>();
   outage = false;
   /** Machines are up within a second or two. */
   fastBoots = false;
-  /** Share of rentals and deletions that get no answer and are carried out later. */
+  /** Share of scale-out and scale-in requests that get no answer and are carried out later. */
   lateShare = 0;
-  /** Refuses rentals while set. */
+  /** Refuses to scale out while set. */
   outOfCapacity = false;
   private readonly machinesByIdempotencyKey = new Map<string, string[]>();
   private readonly requestBucket: TokenBucket;
@@ -142,7 +146,7 @@
     spot: boolean,
     bootMs: number | null = null,
   ): CloudMachine {
-    // Machines that are up at the start were rented long before.
+    // Machines that are up at the start were created long before.
     const age = bootMs === null ? 0 : INITIAL_MACHINE_AGE_MS;
     const number = this.machines.size;
     const machine: CloudMachine = {
@@ -196,7 +200,7 @@
     this.onRemoved(machine);
   }
 
-  /** The cloud takes a spot machine back. */
+  /** The cloud interrupts a spot machine: it is off at once. */
   interrupt(machine: CloudMachine): void {
     if (machine.removedAt !== Infinity) return;
     machine.removedAt = this.queue.now;
--- a/src/simulation/controller-node.ts
+++ b/src/simulation/controller-node.ts
@@ -29,6 +29,7 @@
   readonly tuning: string;
 }
 
+/** A production controller on a simulated host, started again as a new process after each end. */
 export class ControllerNode {
   readonly host: Host;
   private handler: Handler | null = null;
--- a/src/simulation/defects.ts
+++ b/src/simulation/defects.ts
@@ -1,7 +1,10 @@
 /**
- * Faults of the model itself. With one of them the outside does not keep what PROTOCOL promises, the controllers break
- * rules through no fault of their own, and the judge has to find it: evidence that it sees faults. Only tests pass them.
+ * Defects of the simulated services and workers. With one of them the surroundings of the controllers do not keep what
+ * PROTOCOL promises, so that rules are broken although the controllers are correct, and the invariant checker has to
+ * find it: evidence that it detects violations. Only tests pass them.
  */
+
+/** One promise that is not kept; the first word names who breaks it. */
 export type Defect =
   | 'state-ignores-conditions'
   | 'state-watch-loses-deletions'
@@ -12,4 +15,5 @@
   | 'worker-reports-nothing'
   | 'worker-claims-done';
 
+/** The defects of one simulation. */
 export type Defects = ReadonlySet<Defect>;
--- a/src/simulation/fault-schedule.ts
+++ b/src/simulation/fault-schedule.ts
@@ -49,7 +49,7 @@
 const LATE_WRITE_DELAY_MS = { low: 2000, high: 12_000 };
 const IRREGULAR_REQUEST_INTERVAL_MS = 400;
 
-/** The simulated world, as far as faults reach into it. */
+/** The simulated cluster, as far as faults reach into it. */
 export interface FaultTarget {
   readonly queue: EventQueue;
   readonly trace: Trace;
@@ -65,11 +65,12 @@
   readonly links: WorkerLinks;
   readonly storeHost: Host;
   readonly userHost: Host;
-  /** Share of the jobs that end that are called off at the moment of the end. */
+  /** Share of the jobs that are cancelled at the moment at which they complete. */
   cancelOnCompletionShare: number;
   startNode(node: ControllerNode): void;
 }
 
+/** Activates each fault at its time or on its event, and tells the invariant checker whether any is active or still to come. */
 export class FaultSchedule {
   private waiting: WaitingFault[] = [];
   private active = 0;
@@ -344,7 +345,7 @@
     }
   }
 
-  /** Jobs that run are called off at nearly the same moment, and some of their machines hang. */
+  /** Jobs that run are cancelled at nearly the same moment, and some of their machines hang. */
   private cancelNow(number: number, hangS: number, random: RandomStream): void {
     const { users, queue, machines } = this.target;
     const chosen = random.sample(users.unfinished(), number).map((job) => job.id);
--- a/src/simulation/fuzz-run.ts
+++ b/src/simulation/fuzz-run.ts
@@ -5,6 +5,7 @@
 import { shrink, trialForRule } from './shrink.js';
 import { Simulation } from './simulation.js';
 
+/** A rule that a schedule has broken, with the shrunk scenario that breaks it too. */
 export interface FuzzFinding {
   readonly violation: Violation;
   /** The shrunk scenario, as a file that replays exactly. */
@@ -12,6 +13,7 @@
   readonly faults: readonly string[];
 }
 
+/** The result of one schedule. */
 export interface FuzzOutcome {
   readonly seed: number;
   readonly simulatedS: number;
--- a/src/simulation/fuzz.ts
+++ b/src/simulation/fuzz.ts
@@ -5,6 +5,7 @@
 import type { Rule } from './invariant-checker.js';
 import { formatScenario, type Scenario } from './scenario.js';
 
+/** Which schedules to run, how many processes to use at once, and who receives each outcome. */
 export interface FuzzOptions {
   readonly firstSeed: number;
   readonly runs: number;
--- a/src/simulation/gangs.ts
+++ b/src/simulation/gangs.ts
@@ -8,13 +8,15 @@
 import type { RandomStream } from './random.js';
 import type { Trace } from './trace.js';
 
+/** How long a gang's tasks wait for each other. */
 export interface GangTimes {
   /** How long a task waits for the others before it gives up, in milliseconds. */
   readonly startTimeoutMs: number;
-  /** Within this time a task notices that another is gone, and must all be told to stop, in milliseconds. */
+  /** Within this time a task notices that another is lost, and must all be told to stop, in milliseconds. */
   readonly peerTimeoutMs: number;
 }
 
+/** Why a task of a gang exits: done, another task was lost, the others did not come, or it was told to stop. */
 export type GangExit = 'done' | 'peers' | 'alone' | 'halted';
 
 /** One task of a gang on its machine. Timers and exits stand still while the machine hangs. */
@@ -131,7 +133,7 @@
     else member.after(delayMs, exit);
   }
 
-  /** The task is gone: killed, failed, or lost with its machine or its lease. */
+  /** The task has ended: killed, failed, or lost with its machine or its lease. */
   leave(member: GangMember): void {
     if (!this.members.delete(member) || !this.started.has(member)) return;
     if (this.phase === 'running' || this.phase === 'stopping') this.failAttempt();
@@ -208,7 +210,7 @@
   }
 }
 
-/** All gangs of the modelled world, by job and attempt. */
+/** All gangs of the simulated cluster, by job and attempt. */
 export class GangRegistry {
   private readonly attempts = new Map<string, GangAttempt>();
 
--- a/src/simulation/image-cache.ts
+++ b/src/simulation/image-cache.ts
@@ -7,6 +7,7 @@
   readonly waiting: Map<string, () => void>;
 }
 
+/** One machine's images; concurrent fetches share `gbPerS` evenly. */
 export class ImageCache {
   /** Size by image, least recently used first. */
   private readonly sizeByImage = new Map<string, number>();
@@ -35,7 +36,7 @@
     this.scheduleCompletion();
   }
 
-  /** The waiter is gone; a fetch that nobody waits for is given up. */
+  /** The waiter has ended; a fetch that nobody waits for is given up. */
   abandon(image: string, waiter: string): void {
     const fetch = this.fetches.get(image);
     if (!fetch?.waiting.delete(waiter) || fetch.waiting.size > 0) return;
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -6,6 +6,7 @@
 import type { UserJob } from './user-jobs.js';
 import type { MachineSpec, Observer, UserResponse } from './observer.js';
 
+/** The rules that are checked, by the names under which violations are reported. */
 export const RULES = [
   'ran_twice',
   'quota',
@@ -19,8 +20,10 @@
   'left_waiting',
   'gang_rejoined',
 ] as const;
+/** Name of a rule. */
 export type Rule = (typeof RULES)[number];
 
+/** One breach of a rule; each rule is reported once for each job, task or machine concerned. */
 export interface Violation {
   readonly rule: Rule;
   /** Simulated seconds since the start. */
@@ -30,6 +33,7 @@
   readonly detail: string;
 }
 
+/** A team's quota as the settings give it. */
 export interface TeamQuota {
   readonly name: string;
   /** 0: none. */
@@ -45,6 +49,7 @@
   readonly occupyingTasks: readonly string[];
 }
 
+/** What the rules are checked against; `cancelS` is in seconds. */
 export interface InvariantCheckerOptions {
   readonly teams: readonly TeamQuota[];
   readonly cancelS: number;
@@ -76,6 +81,7 @@
 
 const jobIdOf = (task: string): string => task.slice(0, task.lastIndexOf('/'));
 
+/** Observes the simulated cluster and collects violations; `finish` checks what only the end can tell. */
 export class InvariantChecker implements Observer {
   readonly violations: Violation[] = [];
   /** Counted, not rules: starts after a confirmed cancellation, and accepted jobs that were malformed. */
--- a/src/simulation/key-value-table.ts
+++ b/src/simulation/key-value-table.ts
@@ -1,10 +1,13 @@
 /** The consistent store itself: keys with versions, leases, and the latest changes. Knows nothing of time or faults. */
+
+/** A key's value, the revision that wrote it, and its lease, in the field names of the HTTP interface. */
 export interface Row {
   readonly data: unknown;
   readonly entry: number;
   readonly mooring: number | undefined;
 }
 
+/** One change of one key, in the names of the watch answer; `entry` is its revision. */
 export interface StoredChange {
   readonly put?: string;
   readonly drop?: string;
@@ -23,6 +26,7 @@
   }[];
 }
 
+/** How a transaction ends: applied, refused by its conditions, or attached to a lease that does not exist. */
 export type TransactionResult =
   | { readonly kind: 'done'; readonly ledger: number }
   | { readonly kind: 'conflict'; readonly failed: readonly string[]; readonly ledger: number }
@@ -30,6 +34,7 @@
 
 const MIN_KEPT_CHANGES = 10_000;
 
+/** Keys, leases and recent changes; every call takes effect at once. */
 export class KeyValueTable {
   readonly rows = new Map<string, Row>();
   readonly leases = new Set<number>();
--- a/src/simulation/load-balancer.ts
+++ b/src/simulation/load-balancer.ts
@@ -32,6 +32,7 @@
   skipUntil: number;
 }
 
+/** Forwards the requests of users to healthy controllers. */
 export class LoadBalancer {
   private readonly backends: Backend[];
 
--- a/src/simulation/machines.ts
+++ b/src/simulation/machines.ts
@@ -28,7 +28,7 @@
   lateCommandShare = 0;
   /** Answers and commands to these are lost. */
   readonly inboundLost = new Set<Host>();
-  /** Reports of these are lost. */
+  /** Heartbeats of these are lost. */
   readonly heartbeatsLost = new Set<Host>();
   private delayedHeartbeats: { readonly from: Host; readonly body: object }[] = [];
 
@@ -43,6 +43,7 @@
   }
 }
 
+/** A machine that is up, with its worker. */
 export interface SimulatedMachine {
   readonly spec: MachineSpec;
   readonly host: Host;
@@ -50,6 +51,7 @@
   readonly cloudMachine: CloudMachine;
 }
 
+/** What machines and their workers use of the simulated cluster. */
 export interface MachineEnvironment {
   readonly queue: EventQueue;
   readonly random: RandomStream;
@@ -65,6 +67,7 @@
   readonly cloud: () => SimulatedCloud;
 }
 
+/** Starts a worker on each machine that has booted and delivers commands and heartbeats. */
 export class SimulatedMachines {
   private readonly machinesById = new Map<string, SimulatedMachine>();
   private readonly byAddress = new Map<string, SimulatedMachine>();
@@ -140,7 +143,7 @@
     queue.after(delayMs, () => cloud().interrupt(machine.cloudMachine));
   }
 
-  /** Who answers at an address; a machine that is gone is silent. */
+  /** Who answers at an address; a machine that has been removed is silent. */
   endpointAt(address: string): { readonly host: Host; serve(call: Call, reply: Reply): void } | null {
     const machine = this.byAddress.get(address);
     if (!machine) return null;
@@ -190,7 +193,7 @@
     queue.after(delay, () => this.deliverHeartbeatCopy(node, body));
   }
 
-  /** An old report arrives again; nobody waits for its answer. */
+  /** An old heartbeat arrives again; nobody waits for its answer. */
   deliverHeartbeatCopy(node: ControllerNode, body: object): void {
     const call = {
       method: 'POST',
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -1,20 +1,22 @@
 /**
- * Hosts exchange requests and answers over connections: latency, jitter, loss with resend, and cuts that drop, hold or
- * refuse. A connection that was given up carries no late request; one that stands may deliver what was sent on it long
+ * Hosts exchange requests and answers over connections: latency, jitter, loss with resend, and partitions that drop, hold
+ * or refuse. A connection that was given up carries no late request; one that stands may deliver what was sent on it long
  * after the sender has given up (PROTOCOL, "Delayed messages").
  */
 import type { CallOutcome } from '../http/client.js';
 import type { EventQueue, Host } from './clock.js';
 import type { RandomStream } from './random.js';
 
+/** What a partition does to packets: lose them, keep them until it heals, or lose them and refuse connections. */
 export type PartitionMode = 'drop' | 'hold' | 'refuse';
 
-/** A part of the network in which nothing passes from one host to another. */
+/** A network fault that stops packets from some hosts to others. */
 export interface Partition {
   readonly mode: PartitionMode;
   blocks(from: Host, to: Host): boolean;
 }
 
+/** Latencies in milliseconds, within a zone and between zones. */
 export interface NetworkOptions {
   readonly sameZoneMs: number;
   readonly crossZoneMs: number;
@@ -24,12 +26,14 @@
   readonly loss: number;
 }
 
+/** An answer as it travels; `retryAfterS` is in seconds. */
 export interface Response {
   readonly status: number;
   readonly body: unknown;
   readonly retryAfterS?: number;
 }
 
+/** The outcome of an exchange, with the header Retry-After, in seconds, where the answer has one. */
 export type ExchangeOutcome = CallOutcome & { readonly retryAfterS?: number };
 
 interface HeldMessage {
@@ -49,10 +53,11 @@
 const RESEND_DELAY_MS = 200;
 const CONNECTION_IDLE_TIMEOUT_MS = 20_000;
 
+/** Delivers packets between hosts and keeps the partitions that stop them. */
 export class Network {
   private readonly partitions = new Set<Partition>();
   private heldMessages: HeldMessage[] = [];
-  /** Until when a connection stands, by sender, receiver and their lives. */
+  /** Until when a connection stands, by sender, receiver and their process lifetimes. */
   private readonly connections = new Map<string, number>();
   private readonly lastArrival = new Map<string, number>();
 
--- a/src/simulation/observer.ts
+++ b/src/simulation/observer.ts
@@ -1,6 +1,7 @@
-/** What can be seen from outside: tasks on machines, and what users ask and are told. The judge watches these. */
+/** What can be seen from outside: tasks on machines, and what users ask and are told. The invariant checker relies on it alone. */
 import type { UserJob } from './user-jobs.js';
 
+/** What does not change about a machine while it is up. */
 export interface MachineSpec {
   readonly id: string;
   readonly type: string;
@@ -11,8 +12,10 @@
   readonly memoryGb: number;
 }
 
+/** What a user asks for: to submit a job, to ask for its state, to cancel it. */
 export type UserRequestKind = 'submit' | 'ask' | 'cancel';
 
+/** One request of a user with its answer. */
 export interface UserResponse {
   readonly kind: UserRequestKind;
   readonly job: string;
@@ -26,10 +29,11 @@
   readonly irregular: boolean;
 }
 
+/** Notified of each event that can be seen from outside the controllers. */
 export interface Observer {
   /** The task holds its image on the machine: from now on it is there. */
   taskStarted(machine: MachineSpec, task: string): void;
-  /** It exited, was killed, or the machine is gone. */
+  /** It exited, was killed, or the machine has ended. */
   taskEnded(machine: MachineSpec, task: string, completed: boolean): void;
   /** All tasks of a gang run. */
   gangStarted(job: string): void;
--- a/src/simulation/random.ts
+++ b/src/simulation/random.ts
@@ -1,10 +1,11 @@
-/** Seeded random numbers. Each part of the model draws from a stream of its own, so that one does not shift another. */
+/** Seeded random numbers. Each component draws from a stream of its own, so that one does not shift another. */
 import { createHash } from 'node:crypto';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 const RESOLUTION = 1 << 30;
 
+/** A reproducible stream of random numbers. */
 export class RandomStream {
   private readonly generator;
 
--- a/src/simulation/scenario.ts
+++ b/src/simulation/scenario.ts
@@ -34,7 +34,7 @@
   report_s: v.optional(positiveNumber, 2),
   lease_s: v.optional(positiveNumber, 14),
   cancel_s: v.optional(positiveNumber, 34),
-  /** How long a gang's task waits for the others, and within which time it notices that one is gone. */
+  /** How long a gang's task waits for the others, and within which time it notices that one is lost. */
   gang_wait_s: v.optional(positiveNumber, 20),
   gang_peer_s: v.optional(positiveNumber, 5),
   max_connections: v.optional(positiveInteger, 1500),
@@ -228,13 +228,19 @@
   faults: v.optional(v.array(faultSchema), []),
 });
 
+/** A checked scenario with all defaults filled in; its field names are those of the file. */
 export type Scenario = v.InferOutput<typeof scenarioSchema>;
 /** A scenario as a file gives it, with defaults left out. */
 export type ScenarioInput = v.InferInput<typeof scenarioSchema>;
+/** The deployment of a scenario: zones, controllers, limits, teams and machines. */
 export type Deployment = Scenario['deployment'];
+/** One class of jobs and how they arrive. */
 export type Load = Scenario['load'][number];
+/** One fault, told apart by `kind`. */
 export type Fault = Scenario['faults'][number];
+/** A fault as a file gives it, with defaults left out. */
 export type FaultInput = NonNullable<ScenarioInput['faults']>[number];
+/** Name of an event that may set off a fault. */
 export type EventName = (typeof EVENTS)[number];
 
 function fieldPath(issue: v.BaseIssue<unknown>): string {
@@ -305,6 +311,7 @@
   return result.output;
 }
 
+/** Reads a scenario from TOML; `file` names it in errors. Throws ScenarioError. */
 export function parseScenario(text: string, file: string): Scenario {
   let data: unknown;
   try {
@@ -317,4 +324,5 @@
   return checkScenario(data, file);
 }
 
+/** The scenario as TOML, with all defaults written out; `parseScenario` reads it back. */
 export const formatScenario = (scenario: Scenario): string => stringify(scenario);
--- a/src/simulation/settings-text.ts
+++ b/src/simulation/settings-text.ts
@@ -4,6 +4,7 @@
 
 const host = (node: number): string => `10.0.0.${node + 1}`;
 
+/** The settings file (TOML) of the controller with the index `node`. */
 export function formatSettings(deployment: Deployment, node: number): string {
   const known = deployment.controllers
     .map((zone, index) => ({ label: `n${index}`, domain: zone, peer_addr: `${host(index)}:8081` }))
--- a/src/simulation/shrink.ts
+++ b/src/simulation/shrink.ts
@@ -87,5 +87,6 @@
   }
 }
 
+/** A smaller scenario that still breaks the rule of `trial`, or the scenario itself; costs at most `MAX_RUNS` runs. */
 export const shrink = (scenario: Scenario, trial: Trial): Promise<Scenario> =>
   new Shrinker(scenario, trial).run();
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -29,6 +29,7 @@
 /** Between the starts of controllers and machines at the beginning. */
 const START_SPREAD_MS = 400;
 
+/** How a scenario is run. */
 export interface SimulationOptions {
   readonly seed: number;
   readonly untilS?: number;
@@ -41,6 +42,7 @@
   readonly defects?: readonly Defect[];
 }
 
+/** What a run has shown; the fields are those that `simulate run --json` prints. */
 export interface SimulationResult {
   readonly scenario: string;
   readonly seed: number;
@@ -53,6 +55,7 @@
   readonly trace: readonly string[];
 }
 
+/** The simulated cluster of one scenario; an instance runs once. */
 export class Simulation {
   readonly queue = new EventQueue();
   readonly trace: Trace;
@@ -68,7 +71,7 @@
   readonly links = new WorkerLinks();
   readonly storeHost: Host;
   readonly userHost: Host;
-  /** Share of the jobs that end that are called off at the moment of the end. */
+  /** Share of the jobs that are cancelled at the moment at which they complete. */
   cancelOnCompletionShare = 0;
   private readonly cloudHost: Host;
   private readonly random: RandomStream;
@@ -221,7 +224,7 @@
     });
   }
 
-  /** Passes on to the judge what it sees, and to the faults what they may wait for. */
+  /** Passes on what is observed to the invariant checker, and to the faults what they may wait for. */
   private observer(): Observer {
     const { invariantChecker: checker } = this;
     return {
@@ -247,7 +250,7 @@
     };
   }
 
-  /** A user may call a job off at the very moment at which its last task completes. */
+  /** A user may cancel a job at the very moment at which its last task completes. */
   private countCompleted(task: string): void {
     const job = this.storage.jobOf(task);
     if (!job) return;
--- a/src/simulation/store-service.ts
+++ b/src/simulation/store-service.ts
@@ -6,6 +6,7 @@
 import type { RandomStream } from './random.js';
 import { KeyValueTable, type StoredChange, type TransactionBody } from './key-value-table.js';
 
+/** Requests and changes a second, kilobytes a value, changes a transaction. */
 export interface StoreServiceLimits {
   readonly rps: number;
   readonly writeRps: number;
@@ -20,6 +21,7 @@
   /** No answer, and carried out later. */
   | { readonly kind: 'late'; readonly delayMs: number };
 
+/** Sends the answer to a request; where it is never called, the caller gets no answer. */
 export type Reply = (response: Response) => void;
 
 const MAX_TRANSACTION_BYTES = 64 * 1024;
@@ -57,6 +59,7 @@
   endsAt: number;
 }
 
+/** Serves the HTTP interface of the state service over a table. */
 export class StoreService {
   readonly table: KeyValueTable;
   /** Nobody is served. */
--- a/src/simulation/trace.ts
+++ b/src/simulation/trace.ts
@@ -2,6 +2,7 @@
 import { createHash } from 'node:crypto';
 import type { EventQueue } from './clock.js';
 
+/** The history of one run; its lines are kept only if asked for. */
 export class Trace {
   readonly lines: string[] = [];
   private readonly hash = createHash('sha256');
--- a/src/simulation/user-jobs.ts
+++ b/src/simulation/user-jobs.ts
@@ -1,6 +1,9 @@
-/** The jobs that the model's users submit, and what is true of them: how long a task runs, what is saved, what is done. */
+/** The jobs that simulated users submit, and what is true of them: how long a task runs, what is saved, what is done. */
+
+/** Priority of a job, in the names of scenario files and of the HTTP interface. */
 export type UserPriority = 'critical' | 'urgent' | 'standard' | 'best_effort';
 
+/** A job as its user knows it; times in seconds, sizes in gigabytes. */
 export interface UserJob {
   readonly id: string;
   readonly class: string;
--- a/src/simulation/users.ts
+++ b/src/simulation/users.ts
@@ -15,12 +15,14 @@
 const SUBMIT_RETRY_PERIOD_MS = 60_000;
 const RETRY_DELAY_MS = 1000;
 const MAX_RETRY_DELAY_S = 30;
-/** How many looks at each node, and how far apart, `closeLooks` takes. */
+/** How often each node is polled, and how far apart, while `pollAllNodesOnChange` is set. */
 const POLL_ROUNDS = 3;
 const POLL_ROUND_INTERVAL_MS = 4;
 
+/** What a user is told that may set off a fault. */
 export type UserEvent = 'accepted' | 'cancel_confirmed' | 'job_done';
 
+/** The number of controllers, and who is notified of what users are told. */
 export interface UsersOptions {
   readonly controllers: number;
   readonly onEvent: (event: UserEvent, job: string) => void;
@@ -32,6 +34,7 @@
   cancelling: boolean;
 }
 
+/** Follows each job from its submission until its user knows how it ended. */
 export class Users {
   /** While set, users ask at all nodes at once after each change that they are told of. */
   pollAllNodesOnChange = false;
@@ -113,7 +116,7 @@
     }
   }
 
-  /** The whole life of one job with its user. */
+  /** One job from its submission to its end, as its user sees it. */
   async runJob(job: UserJob, cancelAfterMs: number | null): Promise<void> {
     const tracked: TrackedJob = { job, state: null, cancelling: false };
     this.trackedJobs.set(job.id, tracked);
--- a/src/simulation/worker.ts
+++ b/src/simulation/worker.ts
@@ -1,4 +1,4 @@
-/** One machine's worker: reports, sessions, tokens, lease, commands and tasks, as PROTOCOL says. */
+/** One machine's worker: heartbeats, agent epochs, fencing tokens, lease, commands and tasks, as PROTOCOL says. */
 import type { Call } from '../http/client.js';
 import type { EventQueue, Host, ScheduledTimer } from './clock.js';
 import type { Defects } from './defects.js';
@@ -40,6 +40,7 @@
   gang: { readonly attempt: GangAttempt; readonly member: GangMember } | null;
 }
 
+/** The times of the settings that workers keep. */
 export interface WorkerTimes {
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
@@ -48,6 +49,7 @@
 /** What a worker reaches: the controllers by number, null for no answer. */
 export type HeartbeatLink = (controller: number, body: object) => Promise<Response | null>;
 
+/** What a worker uses of the simulated cluster. */
 export interface WorkerEnvironment {
   readonly queue: EventQueue;
   readonly random: RandomStream;
@@ -66,6 +68,7 @@
 const MAX_FAILURE_DELAY_MS = 1500;
 const EPSILON = 1e-9;
 
+/** One machine's worker; `serve` takes commands, heartbeats go out through its environment. */
 export class Worker {
   /** Every task that it starts fails. */
   failing = false;
@@ -434,7 +437,7 @@
     this.noteStatusChange();
   }
 
-  /** The machine and all that was on it are gone. */
+  /** The machine has ended with all that was on it. */
   destroy(): void {
     this.host.end();
     for (const task of this.tasks.values()) this.removeTask(task, false);
