--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -32,6 +32,9 @@
 }
 
 const IDLE_TIMEOUT_MS = 20_000;
+const KIB = 1024;
+const MAX_HEAD_BYTES = 16 * KIB;
+const DEFAULT_MAX_BODY_BYTES = 4 * KIB * KIB;
 
 /** Connections of many clients together: beyond this many none is kept open for a later request. */
 export class KeepAliveLimit {
@@ -53,7 +56,7 @@
   constructor(
     private readonly address: Address,
     private readonly maxConnections: number,
-    private readonly bodyLimit = 4 * 1024 * 1024,
+    private readonly maxBodyBytes = DEFAULT_MAX_BODY_BYTES,
     private readonly keepAliveLimit = new KeepAliveLimit(Infinity),
   ) {}
 
@@ -112,7 +115,7 @@
   }
 
   private newParser(): HttpParser {
-    return new HttpParser('response', { maxHeadBytes: 16 * 1024, maxBodyBytes: this.bodyLimit });
+    return new HttpParser('response', { maxHeadBytes: MAX_HEAD_BYTES, maxBodyBytes: this.maxBodyBytes });
   }
 
   private send(connection: Connection, call: Call, resolve: (outcome: CallOutcome) => void): void {
@@ -127,24 +130,20 @@
     if (call.mayStillSend?.() === false) return this.closeConnection(connection);
     connection.exchange.sent = true;
     const body = call.body === undefined ? '' : JSON.stringify(call.body);
-    const type = call.body === undefined ? '' : 'Content-Type: application/json\r\n';
+    const contentType = call.body === undefined ? '' : 'Content-Type: application/json\r\n';
     connection.socket.write(
-      `${call.method} ${call.path} HTTP/1.1\r\nHost: ${this.address}\r\n${type}Content-Length: ${Buffer.byteLength(body)}\r\n\r\n${body}`,
+      `${call.method} ${call.path} HTTP/1.1\r\nHost: ${this.address}\r\n${contentType}Content-Length: ${Buffer.byteLength(body)}\r\n\r\n${body}`,
     );
   }
 
   private receive(connection: Connection, data: Buffer): void {
     try {
       const messages = connection.parser.push(data);
-      if (messages.length === 0) return;
+      const [message] = messages;
+      if (!message) return;
       // More than one answer, or one that nobody asked for: the stream cannot be trusted any more.
       if (messages.length > 1 || !connection.exchange) return this.closeConnection(connection);
-      this.completeExchange(
-        connection,
-        messages[0]?.startLine[1] ?? '',
-        messages[0]?.body ?? Buffer.alloc(0),
-        messages[0]?.keepAlive ?? false,
-      );
+      this.completeExchange(connection, message.startLine[1], message.body, message.keepAlive);
     } catch {
       this.closeConnection(connection);
     }
@@ -161,18 +160,23 @@
     }
   }
 
-  private completeExchange(connection: Connection, status: string, raw: Buffer, keep: boolean): void {
+  private completeExchange(connection: Connection, status: string, bytes: Buffer, keepAlive: boolean): void {
     const exchange = connection.exchange;
     if (!exchange) return;
     let body: unknown;
     try {
-      body = raw.length === 0 ? null : JSON.parse(raw.toString('utf8'));
+      body = bytes.length === 0 ? null : JSON.parse(bytes.toString('utf8'));
     } catch {
       return this.closeConnection(connection);
     }
     clearTimeout(exchange.timer);
     connection.exchange = null;
-    if (keep && this.keepAliveLimit.mayKeepAlive && !connection.socket.destroyed && connection.parser.idle) {
+    if (
+      keepAlive &&
+      this.keepAliveLimit.mayKeepAlive &&
+      !connection.socket.destroyed &&
+      connection.parser.idle
+    ) {
       this.idleConnections.push(connection);
       this.waitingCalls.shift()?.();
     } else this.closeConnection(connection);
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -3,6 +3,11 @@
  * use (Content-Length and chunked bodies) and refuses everything ambiguous: two lengths, a length beside
  * chunks, folded headers, control characters.
  */
+import { parseHeaderFields } from './header-fields.js';
+import { HttpError, malformed } from './http-error.js';
+import { HTTP_STATUS } from './status.js';
+
+export { HttpError };
 
 /** Sizes above which a message is refused. */
 export interface ParserLimits {
@@ -19,22 +24,21 @@
   readonly keepAlive: boolean;
 }
 
-/** A message that cannot be read; `status` is what a server answers. */
-export class HttpError extends Error {
-  constructor(
-    readonly status: number,
-    message: string,
-  ) {
-    super(message);
-  }
-}
-
-const HEADER_NAME_PATTERN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
-// Anything outside printable ASCII, tab and Latin-1 has no place in a header value.
-const HEADER_VALUE_PATTERN = /^[\t\x20-\x7e\x80-\xff]*$/;
-const MAX_HEADERS = 100;
 const MAX_CHUNK_LINE_BYTES = 1024;
-
+const REQUEST_LINE_PATTERN = /^([A-Z]{1,16}) ([\x21-\x7e]{1,2048}) (HTTP\/1\.[01])$/;
+const STATUS_LINE_PATTERN = /^(HTTP\/1\.[01]) (\d{3})(?: ([\t\x20-\x7e\x80-\xff]*))?$/;
+const CONTENT_LENGTH_PATTERN = /^\d{1,15}$/;
+const CHUNK_SIZE_PATTERN = /^([0-9a-fA-F]{1,8})(?:[ \t]*;.*)?$/;
+const LINE_END = '\r\n';
+const HEAD_END = '\r\n\r\n';
+const CARRIAGE_RETURN = 0x0d;
+const LINE_FEED = 0x0a;
+/** Bytes with which the method of a request may begin. */
+const FIRST_METHOD_BYTE = { low: 0x41, high: 0x5a };
+const HEXADECIMAL = 16;
+
+/** What one step came to: a complete message, progress within one, or too few bytes for the step. */
+type ParseStep = HttpMessage | 'progress' | 'more';
 type ParserPhase = 'head' | 'length' | 'chunk-size' | 'chunk-data' | 'chunk-end' | 'trailer' | 'until-close';
 
 /** Reads the bytes of one connection; an instance that has thrown must not be used again. */
@@ -42,7 +46,7 @@
   private buffer: Buffer = Buffer.alloc(0);
   private phase: ParserPhase = 'head';
   private startLine: [string, string, string] = ['', '', ''];
-  private headers = new Map<string, string>();
+  private headers: ReadonlyMap<string, string> = new Map();
   private expectedBytes = 0;
   private chunks: Buffer[] = [];
   private bodyBytes = 0;
@@ -62,9 +66,9 @@
     this.buffer = this.buffer.length === 0 ? data : Buffer.concat([this.buffer, data]);
     const messages: HttpMessage[] = [];
     for (;;) {
-      const message = this.parseNext();
-      if (message === 'more') return messages;
-      if (message !== null) messages.push(message);
+      const step = this.parseNext();
+      if (step === 'more') return messages;
+      if (step !== 'progress') messages.push(step);
     }
   }
 
@@ -72,10 +76,10 @@
   end(): HttpMessage | null {
     if (this.phase === 'until-close') return this.completeMessage();
     if (this.idle) return null;
-    throw new HttpError(400, 'message cut short');
+    throw malformed('message cut short');
   }
 
-  private parseNext(): HttpMessage | null | 'more' {
+  private parseNext(): ParseStep {
     switch (this.phase) {
       case 'head':
         return this.readHead();
@@ -95,136 +99,121 @@
     }
   }
 
-  private readHead(): HttpMessage | null | 'more' {
-    const end = this.buffer.indexOf('\r\n\r\n');
+  private readHead(): ParseStep {
+    const end = this.buffer.indexOf(HEAD_END);
     if (end < 0) {
-      if (this.buffer.length > this.limits.maxHeadBytes) throw new HttpError(431, 'head too large');
+      if (this.buffer.length > this.limits.maxHeadBytes)
+        throw new HttpError(HTTP_STATUS.headerFieldsTooLarge, 'head too large');
       if (this.kind === 'request') this.checkFirstBytes();
       return 'more';
     }
-    if (end > this.limits.maxHeadBytes) throw new HttpError(431, 'head too large');
-    const lines = this.buffer.toString('latin1', 0, end).split('\r\n');
-    this.buffer = this.buffer.subarray(end + 4);
+    if (end > this.limits.maxHeadBytes)
+      throw new HttpError(HTTP_STATUS.headerFieldsTooLarge, 'head too large');
+    const lines = this.buffer.toString('latin1', 0, end).split(LINE_END);
+    this.buffer = this.buffer.subarray(end + HEAD_END.length);
     this.readStartLine(lines[0] ?? '');
-    this.readHeaders(lines.slice(1));
+    this.headers = parseHeaderFields(lines.slice(1));
     return this.beginBody();
   }
 
   /** Refuses a peer that does not speak HTTP without waiting for a full head. */
   private checkFirstBytes(): void {
     const first = this.buffer[0];
-    if (first !== undefined && !(first >= 0x41 && first <= 0x5a))
-      throw new HttpError(400, 'not an HTTP request');
+    if (first !== undefined && !(first >= FIRST_METHOD_BYTE.low && first <= FIRST_METHOD_BYTE.high))
+      throw malformed('not an HTTP request');
   }
 
   private readStartLine(line: string): void {
-    const request = /^([A-Z]{1,16}) ([\x21-\x7e]{1,2048}) (HTTP\/1\.[01])$/.exec(line);
-    const response = /^(HTTP\/1\.[01]) (\d{3})(?: ([\t\x20-\x7e\x80-\xff]*))?$/.exec(line);
-    const match = this.kind === 'request' ? request : response;
-    if (!match) throw new HttpError(400, `bad ${this.kind} line`);
+    const match = (this.kind === 'request' ? REQUEST_LINE_PATTERN : STATUS_LINE_PATTERN).exec(line);
+    if (!match) throw malformed(`bad ${this.kind} line`);
     this.startLine = [match[1] ?? '', match[2] ?? '', match[3] ?? ''];
   }
 
-  private readHeaders(lines: readonly string[]): void {
-    if (lines.length > MAX_HEADERS) throw new HttpError(431, 'too many headers');
-    this.headers = new Map();
-    for (const line of lines) {
-      const colon = line.indexOf(':');
-      const key = line.slice(0, colon).toLowerCase();
-      const value = line.slice(colon + 1).trim();
-      if (colon <= 0 || !HEADER_NAME_PATTERN.test(key) || !HEADER_VALUE_PATTERN.test(value))
-        throw new HttpError(400, 'bad header');
-      const previous = this.headers.get(key);
-      if (
-        previous !== undefined &&
-        (key === 'content-length' || key === 'transfer-encoding' || key === 'host')
-      ) {
-        throw new HttpError(400, `repeated ${key}`);
-      }
-      this.headers.set(key, previous === undefined ? value : `${previous}, ${value}`);
-    }
-  }
-
-  private beginBody(): HttpMessage | null {
+  private beginBody(): ParseStep {
     this.chunks = [];
     this.bodyBytes = 0;
     const length = this.headers.get('content-length');
     const transferEncoding = this.headers.get('transfer-encoding');
     if (transferEncoding !== undefined) {
-      if (length !== undefined) throw new HttpError(400, 'length beside transfer-encoding');
-      if (transferEncoding.toLowerCase() !== 'chunked') throw new HttpError(501, 'unknown transfer-encoding');
+      if (length !== undefined) throw malformed('length beside transfer-encoding');
+      if (transferEncoding.toLowerCase() !== 'chunked')
+        throw new HttpError(HTTP_STATUS.notImplemented, 'unknown transfer-encoding');
       this.phase = 'chunk-size';
-      return null;
+      return 'progress';
     }
     if (length !== undefined) {
-      if (!/^\d{1,15}$/.test(length)) throw new HttpError(400, 'bad content-length');
+      if (!CONTENT_LENGTH_PATTERN.test(length)) throw malformed('bad content-length');
       this.expectedBytes = Number(length);
-      if (this.expectedBytes > this.limits.maxBodyBytes) throw new HttpError(413, 'body too large');
+      this.checkBodySize(this.expectedBytes);
       this.phase = 'length';
-      return null;
+      return 'progress';
     }
     const status = this.startLine[1];
     if (this.kind === 'response' && status !== '204' && status !== '304') {
       this.phase = 'until-close';
-      return null;
+      return 'progress';
     }
     return this.completeMessage();
   }
 
+  private checkBodySize(bytes: number): void {
+    if (bytes > this.limits.maxBodyBytes) throw new HttpError(HTTP_STATUS.contentTooLarge, 'body too large');
+  }
+
   private consumeBody(count: number): void {
     this.bodyBytes += count;
-    if (this.bodyBytes > this.limits.maxBodyBytes) throw new HttpError(413, 'body too large');
+    this.checkBodySize(this.bodyBytes);
     this.chunks.push(this.buffer.subarray(0, count));
     this.buffer = this.buffer.subarray(count);
   }
 
-  private readSized(): HttpMessage | 'more' {
+  private readSized(): ParseStep {
     if (this.buffer.length < this.expectedBytes) return 'more';
     this.consumeBody(this.expectedBytes);
     return this.completeMessage();
   }
 
+  /** A line without its end; null: it is not complete yet. */
   private consumeLine(): string | null {
-    const end = this.buffer.indexOf('\r\n');
+    const end = this.buffer.indexOf(LINE_END);
     if (end < 0 ? this.buffer.length > MAX_CHUNK_LINE_BYTES : end > MAX_CHUNK_LINE_BYTES)
-      throw new HttpError(400, 'chunk line too long');
+      throw malformed('chunk line too long');
     if (end < 0) return null;
     const line = this.buffer.toString('latin1', 0, end);
-    this.buffer = this.buffer.subarray(end + 2);
+    this.buffer = this.buffer.subarray(end + LINE_END.length);
     return line;
   }
 
-  private readChunkSize(): null | 'more' {
+  private readChunkSize(): ParseStep {
     const line = this.consumeLine();
     if (line === null) return 'more';
-    const match = /^([0-9a-fA-F]{1,8})(?:[ \t]*;.*)?$/.exec(line);
-    if (!match) throw new HttpError(400, 'bad chunk size');
-    this.expectedBytes = parseInt(match[1] ?? '', 16);
-    if (this.bodyBytes + this.expectedBytes > this.limits.maxBodyBytes)
-      throw new HttpError(413, 'body too large');
+    const match = CHUNK_SIZE_PATTERN.exec(line);
+    if (!match) throw malformed('bad chunk size');
+    this.expectedBytes = parseInt(match[1] ?? '', HEXADECIMAL);
+    this.checkBodySize(this.bodyBytes + this.expectedBytes);
     this.phase = this.expectedBytes === 0 ? 'trailer' : 'chunk-data';
-    return null;
+    return 'progress';
   }
 
-  private readChunkData(): null | 'more' {
+  private readChunkData(): ParseStep {
     if (this.buffer.length < this.expectedBytes) return 'more';
     this.consumeBody(this.expectedBytes);
     this.phase = 'chunk-end';
-    return null;
+    return 'progress';
   }
 
-  private readChunkEnd(): null | 'more' {
-    if (this.buffer.length < 2) return 'more';
-    if (this.buffer[0] !== 0x0d || this.buffer[1] !== 0x0a) throw new HttpError(400, 'bad chunk end');
-    this.buffer = this.buffer.subarray(2);
+  private readChunkEnd(): ParseStep {
+    if (this.buffer.length < LINE_END.length) return 'more';
+    if (this.buffer[0] !== CARRIAGE_RETURN || this.buffer[1] !== LINE_FEED) throw malformed('bad chunk end');
+    this.buffer = this.buffer.subarray(LINE_END.length);
     this.phase = 'chunk-size';
-    return null;
+    return 'progress';
   }
 
-  private readTrailer(): HttpMessage | null | 'more' {
+  private readTrailer(): ParseStep {
     const line = this.consumeLine();
     if (line === null) return 'more';
-    return line === '' ? this.completeMessage() : null;
+    return line === '' ? this.completeMessage() : 'progress';
   }
 
   private completeMessage(): HttpMessage {
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -3,6 +3,7 @@
 import type { Log } from '../logging/log.js';
 import type { Address, Millis } from '../model/units.js';
 import { HttpError, HttpParser, type HttpMessage } from './parser.js';
+import { HTTP_STATUS } from './status.js';
 
 /** A request as its handler sees it, the body unread. */
 export interface HttpRequest {
@@ -41,24 +42,32 @@
   readonly responseTimeout: Millis;
 }
 
-const PARSER_LIMITS = { maxHeadBytes: 16 * 1024, maxBodyBytes: 64 * 1024 };
-const MAX_UNSENT_BYTES = 1024 * 1024;
+const KIB = 1024;
+const PARSER_LIMITS = { maxHeadBytes: 16 * KIB, maxBodyBytes: 64 * KIB };
+/** A client that leaves more than this unread is disconnected. */
+const MAX_UNSENT_BYTES = 1024 * KIB;
+/** Requests that a client may send ahead of their answers. */
+const MAX_PENDING_REQUESTS = 8;
+/** When a client whose request has failed or timed out may send it again. */
+const RETRY_AFTER_S = 1;
+/** Connections that the operating system accepts ahead of the server. */
+const LISTEN_BACKLOG = 511;
 const REASON_PHRASES: Record<number, string> = {
-  200: 'OK',
-  201: 'Created',
-  400: 'Bad Request',
-  404: 'Not Found',
-  405: 'Method Not Allowed',
-  409: 'Conflict',
-  413: 'Content Too Large',
-  421: 'Misdirected Request',
-  422: 'Unprocessable Content',
-  429: 'Too Many Requests',
-  431: 'Request Header Fields Too Large',
-  500: 'Internal Server Error',
-  501: 'Not Implemented',
-  503: 'Service Unavailable',
-  504: 'Gateway Timeout',
+  [HTTP_STATUS.ok]: 'OK',
+  [HTTP_STATUS.created]: 'Created',
+  [HTTP_STATUS.badRequest]: 'Bad Request',
+  [HTTP_STATUS.notFound]: 'Not Found',
+  [HTTP_STATUS.methodNotAllowed]: 'Method Not Allowed',
+  [HTTP_STATUS.conflict]: 'Conflict',
+  [HTTP_STATUS.contentTooLarge]: 'Content Too Large',
+  [HTTP_STATUS.misdirectedRequest]: 'Misdirected Request',
+  [HTTP_STATUS.unprocessableContent]: 'Unprocessable Content',
+  [HTTP_STATUS.tooManyRequests]: 'Too Many Requests',
+  [HTTP_STATUS.headerFieldsTooLarge]: 'Request Header Fields Too Large',
+  [HTTP_STATUS.internalServerError]: 'Internal Server Error',
+  [HTTP_STATUS.notImplemented]: 'Not Implemented',
+  [HTTP_STATUS.serviceUnavailable]: 'Service Unavailable',
+  [HTTP_STATUS.gatewayTimeout]: 'Gateway Timeout',
 };
 
 /** The bytes of a response as text, head and body. */
@@ -100,12 +109,13 @@
     try {
       this.pendingRequests.push(...this.parser.push(data));
     } catch (error) {
-      const status = error instanceof HttpError ? error.status : 400;
+      const status = error instanceof HttpError ? error.status : HTTP_STATUS.badRequest;
       this.reject(status, error instanceof HttpError ? error.message : 'bad request');
       return;
     }
     // The protocol has no pipelining: a flood of requests without waiting is a misuse, not a load to queue.
-    if (this.pendingRequests.length > 8) return this.reject(429, 'too many requests at once');
+    if (this.pendingRequests.length > MAX_PENDING_REQUESTS)
+      return this.reject(HTTP_STATUS.tooManyRequests, 'too many requests at once');
     if (!this.parser.idle && (wasIdle || this.pendingRequests.length > 0))
       this.restartTimer(this.options.receiveTimeout);
     void this.handlePending();
@@ -135,6 +145,7 @@
     this.handling = false;
   }
 
+  /** With many connections open, this one makes place for another client. */
   private mustFreeConnection(path: string): boolean {
     return this.isCrowded() && this.options.crowding?.mayCloseAfter(path) === true;
   }
@@ -144,9 +155,9 @@
     let timer: NodeJS.Timeout | undefined;
     const timeout = new Promise<HttpResponse>((resolve) => {
       const timeoutResponse: HttpResponse = {
-        status: 503,
+        status: HTTP_STATUS.serviceUnavailable,
         body: { error: 'not answered in time' },
-        retryAfterS: 1,
+        retryAfterS: RETRY_AFTER_S,
       };
       timer = setTimeout(() => resolve(timeoutResponse), this.options.responseTimeout);
     });
@@ -154,7 +165,11 @@
       return await Promise.race([this.handler({ method, path, body: message.body }), timeout]);
     } catch (error) {
       this.log.error({ err: error, method, path }, 'request failed');
-      return { status: 500, body: { error: 'internal error' }, retryAfterS: 1 };
+      return {
+        status: HTTP_STATUS.internalServerError,
+        body: { error: 'internal error' },
+        retryAfterS: RETRY_AFTER_S,
+      };
     } finally {
       clearTimeout(timer);
     }
@@ -185,7 +200,7 @@
   server.maxConnections = options.maxConnections;
   return new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen({ ...parseAddress(address), backlog: 511 }, () => {
+    server.listen({ ...parseAddress(address), backlog: LISTEN_BACKLOG }, () => {
       server.off('error', reject);
       server.on('error', (err) => log.error({ err }, 'server'));
       resolve(server);
