--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -3,13 +3,10 @@
 import { Command, CommanderError } from 'commander';
 import { Controller, networkPorts } from '../controller.js';
 import { openLog } from '../logging/log.js';
-import {
-  TUNING_PROPERTIES,
-  loadSettings,
-  loadTuning,
-  parseLogLevel,
-  SettingsError,
-} from '../settings/settings.js';
+import { parseLogLevel } from '../settings/log-level.js';
+import { SettingsError } from '../settings/settings-error.js';
+import { loadSettings } from '../settings/settings.js';
+import { TUNING_PROPERTIES, loadTuning } from '../settings/tuning.js';
 import { systemClock } from '../model/units.js';
 import { CommandError } from './command-error.js';
 
--- a/src/cli/simulate.ts
+++ b/src/cli/simulate.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import type { Command } from 'commander';
 import { InvalidArgumentError, Option } from 'commander';
-import { parseLogLevel, type LogLevel } from '../settings/settings.js';
+import { parseLogLevel, type LogLevel } from '../settings/log-level.js';
 import { fuzz } from '../simulation/fuzz.js';
 import type { FuzzOutcome } from '../simulation/fuzz-run.js';
 import { RULES, type Rule } from '../simulation/invariant-checker.js';
--- a/src/logging/log.ts
+++ b/src/logging/log.ts
@@ -1,6 +1,6 @@
 /** Structured logs to standard error, one JSON object a line. */
 import { pino, type Logger } from 'pino';
-import type { LogLevel } from '../settings/settings.js';
+import type { LogLevel } from '../settings/log-level.js';
 import type { ControllerId } from '../model/units.js';
 
 /** The logger that every module takes. */
--- /dev/null
+++ b/src/settings/schema.ts
@@ -0,0 +1,137 @@
+/**
+ * The schema of the platform's settings file: field names, types, ranges and defaults as the file has them, and the error
+ * that names the first field at fault. What the fields mean together is checked in settings.ts.
+ */
+import * as v from 'valibot';
+import { SettingsError } from './settings-error.js';
+
+const MAX_PORT = 65_535;
+
+const nonNegativeNumber = v.pipe(
+  v.number('a number'),
+  v.finite('a finite number'),
+  v.minValue(0, 'a number of at least 0'),
+);
+const positiveNumber = v.pipe(
+  v.number('a number'),
+  v.finite('a finite number'),
+  v.gtValue(0, 'a number above 0'),
+);
+const positiveInteger = v.pipe(
+  v.number('a whole number'),
+  v.integer('a whole number'),
+  v.minValue(1, 'a whole number of at least 1'),
+);
+const nonEmptyString = v.pipe(v.string('a text'), v.nonEmpty('a text that is not empty'));
+const addressString = v.pipe(
+  v.string('an address like 10.0.0.1:8080'),
+  v.regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'an address like 10.0.0.1:8080'),
+  v.check(
+    (address) => Number(address.slice(address.indexOf(':') + 1)) <= MAX_PORT,
+    `a port of at most ${MAX_PORT}`,
+  ),
+);
+const table = <T extends v.ObjectEntries>(entries: T) => v.object(entries, 'a table with all its fields');
+
+const objectiveSchema = v.object({
+  kind: v.string(),
+  class: v.optional(v.nullable(v.string())),
+  times: v.optional(v.nullable(v.number())),
+});
+
+/** Settings of earlier deployments don't say how long a gang's tasks wait for each other, in seconds. */
+const DEFAULT_GANG_WAIT_S = 30;
+
+const settingsSchema = table({
+  label: nonEmptyString,
+  domain: nonEmptyString,
+  bind: addressString,
+  mesh_addr: addressString,
+  known: v.optional(
+    v.array(
+      table({ label: nonEmptyString, domain: nonEmptyString, peer_addr: addressString }),
+      'a list of tables',
+    ),
+    [],
+  ),
+  services: table({ cloud: addressString, state: addressString }),
+  facts: table({
+    zones: v.array(nonEmptyString, 'a list of texts'),
+    teams: v.array(
+      table({
+        name: nonEmptyString,
+        cpus: v.optional(nonNegativeNumber, 0),
+        cpus_max: v.optional(nonNegativeNumber, 0),
+        gpus: v.optional(nonNegativeNumber, 0),
+        gpus_max: v.optional(nonNegativeNumber, 0),
+      }),
+      'a list of tables',
+    ),
+    workers: table({
+      report_s: positiveNumber,
+      lease_s: positiveNumber,
+      cancel_s: positiveNumber,
+      gang_wait_s: v.optional(positiveNumber, DEFAULT_GANG_WAIT_S),
+    }),
+    state: table({
+      rps: positiveNumber,
+      write_rps: positiveNumber,
+      value_kb: positiveNumber,
+      txn_ops: positiveInteger,
+      // Limits that will hold from some moment on.
+      next: v.optional(
+        v.object({
+          rps: v.optional(positiveNumber),
+          write_rps: v.optional(positiveNumber),
+          value_kb: v.optional(positiveNumber),
+          txn_ops: v.optional(positiveInteger),
+        }),
+        {},
+      ),
+    }),
+    cloud: table({ rps: positiveNumber, list_lag_s: nonNegativeNumber }),
+    quota: table({ max_connections: positiveInteger }),
+    // Service-level objectives help to rank jobs; a malformed one is no reason not to start.
+    objectives: v.optional(v.fallback(v.array(objectiveSchema), []), []),
+  }),
+});
+
+/** A settings file in its own field names, with defaults filled in. */
+export type SettingsFile = v.InferOutput<typeof settingsSchema>;
+
+/** The path of the field at fault, like `facts.teams[0].name`; empty for the whole file. */
+function fieldPath(issue: v.BaseIssue<unknown>): string {
+  const path = issue.path ?? [];
+  return path
+    .map((step) => (typeof step.key === 'number' ? `[${step.key}]` : `.${String(step.key)}`))
+    .join('')
+    .slice(1);
+}
+
+/** The fields of a valibot schema by which a nested one is found. */
+interface AnySchema {
+  readonly message?: unknown;
+  readonly entries?: Readonly<Record<string, AnySchema>>;
+  readonly item?: AnySchema;
+  readonly wrapped?: AnySchema;
+}
+
+/** What is expected at a place: a missing field is reported by its table, which only knows that it is missing. */
+function expectedTypeAt(issue: v.BaseIssue<unknown>): string {
+  let current: AnySchema | undefined = settingsSchema;
+  for (const step of issue.path ?? []) {
+    current = current?.wrapped ?? current;
+    current = typeof step.key === 'number' ? current?.item : current?.entries?.[String(step.key)];
+  }
+  return typeof current?.message === 'string' ? current.message : issue.message;
+}
+
+/** Checks the data of a parsed file; `file` names it in errors. Throws SettingsError. */
+export function checkSettingsFile(data: unknown, file: string): SettingsFile {
+  const result = v.safeParse(settingsSchema, data, { abortEarly: true });
+  if (result.success) return result.output;
+  const issue = result.issues[0];
+  const got = issue.received === 'undefined' ? 'nothing' : issue.received;
+  const expected = issue.received === 'undefined' ? expectedTypeAt(issue) : issue.message;
+  throw new SettingsError(`${file}: ${fieldPath(issue) || '(top)'}: expected ${expected}, got ${got}`);
+}
