--- a/src/simulation/random.ts
+++ b/src/simulation/random.ts
@@ -5,6 +5,12 @@
 
 const RESOLUTION = 1 << 30;
 
+/** Bounds of random numbers, `high` excluded. */
+export interface Bounds {
+  readonly low: number;
+  readonly high: number;
+}
+
 /** A reproducible stream of random numbers. */
 export class RandomStream {
   private readonly generator;
@@ -29,10 +35,16 @@
     return uniformInt(this.generator, 0, RESOLUTION - 1) / RESOLUTION;
   }
 
+  /** From `low` (included) to `high` (excluded). */
   between(low: number, high: number): number {
     return low + (high - low) * this.unit();
   }
 
+  within({ low, high }: Bounds): number {
+    return this.between(low, high);
+  }
+
+  /** True with the probability `share`. */
   chance(share: number): boolean {
     return this.unit() < share;
   }
--- a/src/simulation/scenario.ts
+++ b/src/simulation/scenario.ts
@@ -170,8 +170,8 @@
 };
 const mode = { mode: v.optional(v.picklist(['drop', 'hold', 'refuse'], 'drop, hold or refuse'), 'hold') };
 
-const faultKind = <K extends string, T extends v.ObjectEntries>(k: K, entries: T) =>
-  v.strictObject({ kind: v.literal(k), ...entries });
+const faultKind = <K extends string, T extends v.ObjectEntries>(kind: K, entries: T) =>
+  v.strictObject({ kind: v.literal(kind), ...entries });
 
 const faultSchema = v.variant('kind', [
   faultKind('controller_end', { ...timing, ...oneNode, restart_s: v.optional(nonNegativeNumber) }),
@@ -245,55 +245,73 @@
 
 function fieldPath(issue: v.BaseIssue<unknown>): string {
   return (issue.path ?? [])
-    .map((p) => (typeof p.key === 'number' ? `[${p.key}]` : `.${String(p.key)}`))
+    .map((step) => (typeof step.key === 'number' ? `[${step.key}]` : `.${String(step.key)}`))
     .join('')
     .slice(1);
 }
 
+type ExpectKnown = (field: string, known: readonly string[], used: string | undefined) => void;
+
 /** Names that the scenario uses must be those that it defines. */
 function checkNames(scenario: Scenario, file: string): void {
-  const { zones, types, teams, machines, controllers, lease_s, cancel_s } = scenario.deployment;
-  if (cancel_s <= lease_s)
-    throw new ScenarioError(`${file}: deployment.cancel_s: expected more than lease_s (${lease_s})`);
-  const typeNames = types.map((t) => t.name);
-  const expect = (field: string, known: readonly string[], used: string | undefined): void => {
+  const { lease_s: leaseS, cancel_s: cancelS } = scenario.deployment;
+  if (cancelS <= leaseS)
+    throw new ScenarioError(`${file}: deployment.cancel_s: expected more than lease_s (${leaseS})`);
+  const expectKnown: ExpectKnown = (field, known, used) => {
     if (used !== undefined && !known.includes(used))
       throw new ScenarioError(`${file}: ${field}: expected one of ${known.join(', ')}, got "${used}"`);
   };
-  controllers.forEach((zone, i) => expect(`deployment.controllers[${i}]`, zones, zone));
-  types.forEach((t, i) =>
-    t.zones?.forEach((zone, j) => expect(`deployment.types[${i}].zones[${j}]`, zones, zone)),
+  checkDeploymentNames(scenario.deployment, expectKnown);
+  checkLoadNames(scenario, expectKnown);
+  checkFaults(scenario, file, expectKnown);
+}
+
+function checkDeploymentNames(deployment: Deployment, expectKnown: ExpectKnown): void {
+  const { zones, types, machines, controllers } = deployment;
+  const typeNames = types.map((type) => type.name);
+  controllers.forEach((zone, index) => expectKnown(`deployment.controllers[${index}]`, zones, zone));
+  types.forEach((type, index) =>
+    type.zones?.forEach((zone, zoneIndex) =>
+      expectKnown(`deployment.types[${index}].zones[${zoneIndex}]`, zones, zone),
+    ),
   );
-  machines.forEach((m, i) => {
-    expect(`deployment.machines[${i}].type`, typeNames, m.type);
-    expect(`deployment.machines[${i}].zone`, zones, m.zone);
+  machines.forEach((machine, index) => {
+    expectKnown(`deployment.machines[${index}].type`, typeNames, machine.type);
+    expectKnown(`deployment.machines[${index}].zone`, zones, machine.zone);
   });
-  scenario.load.forEach((l, i) => {
-    expect(
-      `load[${i}].team`,
-      teams.map((t) => t.name),
-      l.team,
+}
+
+function checkLoadNames({ deployment, load: loads }: Scenario, expectKnown: ExpectKnown): void {
+  const typeNames = deployment.types.map((type) => type.name);
+  const teamNames = deployment.teams.map((team) => team.name);
+  loads.forEach((load, index) => {
+    expectKnown(`load[${index}].team`, teamNames, load.team);
+    expectKnown(`load[${index}].zone`, deployment.zones, load.zone);
+    load.types?.forEach((type, typeIndex) =>
+      expectKnown(`load[${index}].types[${typeIndex}]`, typeNames, type),
     );
-    expect(`load[${i}].zone`, zones, l.zone);
-    l.types?.forEach((t, j) => expect(`load[${i}].types[${j}]`, typeNames, t));
   });
-  scenario.faults.forEach((f, i) => {
-    if ('zone' in f) expect(`faults[${i}].zone`, zones, f.zone);
-    if ('other_zone' in f) expect(`faults[${i}].other_zone`, zones, f.other_zone);
-    if ('class' in f)
-      expect(
-        `faults[${i}].class`,
-        scenario.load.map((l) => l.class),
-        f.class,
-      );
-    if ('node' in f && typeof f.node === 'number' && f.node >= controllers.length)
-      throw new ScenarioError(`${file}: faults[${i}].node: expected less than ${controllers.length}`);
-    if (f.key !== undefined && f.on !== 'commit')
-      throw new ScenarioError(`${file}: faults[${i}].key: expected only with on = "commit"`);
+}
+
+function checkFaults(
+  { deployment, load: loads, faults }: Scenario,
+  file: string,
+  expectKnown: ExpectKnown,
+): void {
+  const { zones, controllers } = deployment;
+  const classes = loads.map((load) => load.class);
+  faults.forEach((fault, index) => {
+    if ('zone' in fault) expectKnown(`faults[${index}].zone`, zones, fault.zone);
+    if ('other_zone' in fault) expectKnown(`faults[${index}].other_zone`, zones, fault.other_zone);
+    if ('class' in fault) expectKnown(`faults[${index}].class`, classes, fault.class);
+    if ('node' in fault && typeof fault.node === 'number' && fault.node >= controllers.length)
+      throw new ScenarioError(`${file}: faults[${index}].node: expected less than ${controllers.length}`);
+    if (fault.key !== undefined && fault.on !== 'commit')
+      throw new ScenarioError(`${file}: faults[${index}].key: expected only with on = "commit"`);
   });
 }
 
-/** Fills in the defaults and checks everything. */
+/** Fills in the defaults and checks everything; `file` names the scenario in errors. Throws ScenarioError. */
 export function checkScenario(input: unknown, file: string): Scenario {
   const result = v.safeParse(scenarioSchema, input, { abortEarly: true });
   if (!result.success) {
--- a/src/simulation/shrink.ts
+++ b/src/simulation/shrink.ts
@@ -7,6 +7,8 @@
 const MAX_RUNS = 80;
 const AFTER_VIOLATION_S = 0.5;
 const MIN_FAULT_DURATION_S = 0.5;
+/** Shrunk durations are whole tenths of a second. */
+const STEPS_PER_S = 10;
 
 /** When the scenario breaks the rule first, in simulated seconds, or null. */
 export type Trial = (scenario: Scenario) => Promise<number | null>;
@@ -32,8 +34,8 @@
     this.runs += 1;
     const violatedAtS = await this.trial(candidate);
     if (violatedAtS === null) return false;
-    const duration_s = Math.min(candidate.duration_s, Math.ceil((violatedAtS + AFTER_VIOLATION_S) * 10) / 10);
-    this.best = { ...candidate, duration_s };
+    const endS = Math.ceil((violatedAtS + AFTER_VIOLATION_S) * STEPS_PER_S) / STEPS_PER_S;
+    this.best = { ...candidate, duration_s: Math.min(candidate.duration_s, endS) };
     return true;
   }
 
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -25,7 +25,11 @@
 import { Trace } from './trace.js';
 import { Users } from './users.js';
 
+/** Relative: 0.0005 is 0.05% fast. */
 const MAX_CLOCK_DRIFT = 0.0005;
+const STANDARD_ERROR = 2;
+/** When heartbeats that were kept until the next failover arrive after it. */
+const DELAYED_HEARTBEAT_MS = { low: 1, high: 50 };
 /** Between the starts of controllers and machines at the beginning. */
 const START_SPREAD_MS = 400;
 
@@ -119,17 +123,22 @@
   }
 
   private buildNetwork(): Network {
-    const { same_zone_ms, cross_zone_ms, jitter, loss } = this.scenario.deployment.network;
-    const options = { sameZoneMs: same_zone_ms, crossZoneMs: cross_zone_ms, jitter, loss };
+    const {
+      same_zone_ms: sameZoneMs,
+      cross_zone_ms: crossZoneMs,
+      jitter,
+      loss,
+    } = this.scenario.deployment.network;
+    const options = { sameZoneMs, crossZoneMs, jitter, loss };
     return new Network(this.queue, options, this.random.fork('network'));
   }
 
   private buildStoreService(defects: Defects): StoreService {
-    const { rps, write_rps, value_kb, txn_ops } = this.scenario.deployment.state;
-    const limits = { rps, writeRps: write_rps, valueKb: value_kb, txnOps: txn_ops };
-    const state = new StoreService(this.queue, limits, this.random.fork('state'), defects);
-    state.onCommit = (body, from) => this.onCommit(body, from);
-    return state;
+    const { rps, write_rps: writeRps, value_kb: valueKb, txn_ops: txnOps } = this.scenario.deployment.state;
+    const limits = { rps, writeRps, valueKb, txnOps };
+    const storeService = new StoreService(this.queue, limits, this.random.fork('state'), defects);
+    storeService.onCommit = (body, from) => this.onCommit(body, from);
+    return storeService;
   }
 
   private buildCloud(): SimulatedCloud {
@@ -157,10 +166,10 @@
   }
 
   private buildInvariantChecker(): InvariantChecker {
-    const { teams, cancel_s } = this.scenario.deployment;
+    const { teams, cancel_s: cancelS } = this.scenario.deployment;
     const checker = new InvariantChecker(this.queue, {
       teams: teams.map((team) => ({ name: team.name, cpusMax: team.cpus_max, gpusMax: team.gpus_max })),
-      cancelS: cancel_s,
+      cancelS,
       machines: () => this.machines.usableMachines(),
     });
     checker.onViolation = (violation) => {
@@ -171,14 +180,14 @@
   }
 
   private buildGangs(observer: Observer): GangRegistry {
-    const { gang_wait_s, gang_peer_s } = this.scenario.deployment;
+    const { gang_wait_s: gangWaitS, gang_peer_s: gangPeerS } = this.scenario.deployment;
     return new GangRegistry({
       queue: this.queue,
       random: this.random.fork('gangs'),
       storage: this.storage,
       trace: this.trace,
       observer,
-      times: { startTimeoutMs: gang_wait_s * 1000, peerTimeoutMs: gang_peer_s * 1000 },
+      times: { startTimeoutMs: gangWaitS * 1000, peerTimeoutMs: gangPeerS * 1000 },
     });
   }
 
@@ -191,9 +200,9 @@
         ? silentLog()
         : pino(
             { level, base: { node: name }, timestamp: () => `,"atS":${this.queue.now / 1000}` },
-            pino.destination({ fd: 2, sync: true }),
+            pino.destination({ fd: STANDARD_ERROR, sync: true }),
           );
-    const environmentOf = (name: string): ControllerEnvironment => ({
+    const buildEnvironment = (name: string): ControllerEnvironment => ({
       queue: this.queue,
       network: this.network,
       trace: this.trace,
@@ -210,7 +219,7 @@
     return deployment.controllers.map((_, index) => {
       const name = `n${index}`;
       const settings = parseSettings(formatSettings(deployment, index), `${name}.toml`);
-      return new ControllerNode(name, settings, random.between(0, MAX_CLOCK_DRIFT), environmentOf(name));
+      return new ControllerNode(name, settings, random.between(0, MAX_CLOCK_DRIFT), buildEnvironment(name));
     });
   }
 
@@ -265,9 +274,11 @@
     if (!keys.some((key) => key.startsWith(SHARDS_PREFIX))) return;
     this.trace.add(`${from} writes ${keys.join(' ')}`);
     this.faults.onEvent({ name: 'part_claimed', node: from, keys });
-    for (const { body: report } of this.links.takeDelayedHeartbeats())
+    for (const { body: heartbeat } of this.links.takeDelayedHeartbeats())
       for (const node of this.nodes)
-        this.queue.after(this.random.between(1, 50), () => this.machines.deliverHeartbeatCopy(node, report));
+        this.queue.after(this.random.within(DELAYED_HEARTBEAT_MS), () =>
+          this.machines.deliverHeartbeatCopy(node, heartbeat),
+        );
   }
 
   startNode(node: ControllerNode): void {
