--- a/src/simulation/arrivals.ts
+++ b/src/simulation/arrivals.ts
@@ -7,6 +7,11 @@
 /** Jobs of the start come within this time. */
 const INITIAL_ARRIVALS_MS = 2000;
 const NO_CANCELLATION = null;
+const MS_PER_MINUTE = 60_000;
+/** Users' estimates are this many times the real run time. */
+const ESTIMATE_FACTOR = { low: 0.6, high: 1.6 };
+const ID_PREFIX = { low: 100, high: 999 };
+const ID_DIGITS = 5;
 
 /** Submits a job; `cancelAfterMs` counts from its acceptance, null: its user does not cancel it. */
 export type SubmitJob = (job: UserJob, cancelAfterMs: number | null) => void;
@@ -37,7 +42,7 @@
   }
 
   private scheduleNext(load: Load, random: RandomStream): void {
-    const perMs = (load.per_minute * (this.rateFactors.get(load.class) ?? 1)) / 60_000;
+    const perMs = (load.per_minute * (this.rateFactors.get(load.class) ?? 1)) / MS_PER_MINUTE;
     const delayMs = -Math.log(1 - random.unit()) / perMs;
     this.queue.after(delayMs, () => {
       if (this.queue.now > load.until_s * 1000) return;
@@ -52,7 +57,7 @@
     const runS = random.between(load.run_s[0], load.run_s[1]);
     const job: UserJob = {
       // Ids are chosen by the users and come in no order.
-      id: `req-${random.integer(100, 999)}${String(this.jobCount).padStart(5, '0')}`,
+      id: `req-${random.integer(ID_PREFIX.low, ID_PREFIX.high)}${String(this.jobCount).padStart(ID_DIGITS, '0')}`,
       class: load.class,
       team: load.team,
       shape: load.shape,
@@ -68,7 +73,7 @@
       spot: load.spot,
       image: `${load.class}-${random.integer(1, load.images)}`,
       imageGb: load.image_gb,
-      estimateS: runS * random.between(0.6, 1.6),
+      estimateS: runS * random.within(ESTIMATE_FACTOR),
       checkpointIntervalS: load.checkpoint_s,
       checkpointDurationS: load.save_s,
       runS: service ? Infinity : runS,
--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -1,5 +1,6 @@
 /** The cloud: provisions machines by type, zone and kind, boots them, lists them late, and interrupts spot machines. */
 import type { Call } from '../http/client.js';
+import { HTTP_STATUS } from '../http/status.js';
 import type { EventQueue } from './clock.js';
 import type { Response } from './network.js';
 import type { RandomStream } from './random.js';
@@ -59,6 +60,20 @@
 const FAILED_BOOT_SHARE = 0.01;
 const INITIAL_MACHINE_AGE_MS = 600_000;
 const RESPONSE_DELAY_MS = { low: 30, high: 150 };
+const LATE_EXECUTION_MS = { low: 2000, high: 12_000 };
+const FAST_BOOT_MS = { low: 300, high: 2000 };
+/** Boots take this many times what their type says; slow ones that many times longer. */
+const BOOT_TIME_FACTOR = { low: 0.6, high: 1.5 };
+const SLOW_BOOT_FACTOR = { low: 2, high: 4 };
+/** How old a list may be, as a share of the lag that the settings tell. */
+const MIN_LIST_LAG_SHARE = 0.5;
+const MAX_LIST_LAG_SHARE = 1.2;
+const STALE_LIST_LAG_SHARE = 2;
+const STALE_LIST_PROBABILITY = 0.2;
+const MAX_LISTED_MACHINES = 500;
+const MACHINES_PER_SUBNET = 250;
+/** Seconds' worth of requests that may come at once. */
+const REQUEST_BURST_S = 2;
 
 /** Serves the HTTP interface of the cloud and decides when machines boot, fail and end. */
 export class SimulatedCloud {
@@ -81,7 +96,7 @@
     private readonly onReady: (machine: CloudMachine) => void,
     private readonly onRemoved: (machine: CloudMachine) => void,
   ) {
-    this.requestBucket = new TokenBucket(queue, options.rps, 2);
+    this.requestBucket = new TokenBucket(queue, options.rps, REQUEST_BURST_S);
   }
 
   get types(): readonly SimulatedInstanceType[] {
@@ -89,7 +104,7 @@
   }
 
   serve(call: Call, reply: Reply): void {
-    const delay = this.random.between(RESPONSE_DELAY_MS.low, RESPONSE_DELAY_MS.high);
+    const delay = this.random.within(RESPONSE_DELAY_MS);
     this.queue.after(delay, () => {
       const response = this.handle(call);
       if (response) reply(response);
@@ -97,28 +112,28 @@
   }
 
   private handle(call: Call): Response | null {
-    if (!this.requestBucket.take(1)) return { status: 429, body: {} };
-    if (this.outage) return { status: 503, body: { error: 'trouble' } };
+    if (!this.requestBucket.take(1)) return { status: HTTP_STATUS.tooManyRequests, body: {} };
+    if (this.outage) return { status: HTTP_STATUS.serviceUnavailable, body: { error: 'trouble' } };
     const url = new URL(call.path, 'http://cloud');
     if (url.pathname === '/catalog')
-      return { status: 200, body: { hulls: this.options.types.map(encodeInstanceType) } };
+      return { status: HTTP_STATUS.ok, body: { hulls: this.options.types.map(encodeInstanceType) } };
     if (call.method === 'GET') return this.list(url);
     const carryOut = (): Response =>
       url.pathname === '/hosts/delete'
         ? this.scaleIn(call.body as { berths: string[] })
         : this.scaleOut(call.body as ScaleOutBody);
     if (!this.random.chance(this.lateShare)) return carryOut();
-    this.queue.after(this.random.between(2000, 12_000), carryOut);
+    this.queue.after(this.random.within(LATE_EXECUTION_MS), carryOut);
     return null;
   }
 
   private scaleOut(body: ScaleOutBody): Response {
     const existing = this.machinesByIdempotencyKey.get(body.charter);
-    if (existing) return { status: 200, body: { berths: existing } };
+    if (existing) return { status: HTTP_STATUS.ok, body: { berths: existing } };
     const type = this.options.types.find((type) => type.name === body.hull);
     const valid =
       type?.zones.includes(body.harbor) && body.number >= 1 && body.number <= MAX_MACHINES_PER_SCALE_OUT;
-    if (!type || !valid) return { status: 400, body: { error: 'malformed' } };
+    if (!type || !valid) return { status: HTTP_STATUS.badRequest, body: { error: 'malformed' } };
     const rented = [...this.machines.values()].filter(
       (machine) =>
         machine.removedAt === Infinity &&
@@ -127,7 +142,8 @@
         machine.spot === body.driftboats,
     ).length;
     const count = Math.min(body.number, this.options.capacity - rented);
-    if (count <= 0 || this.outOfCapacity) return { status: 503, body: { error: 'no capacity' } };
+    if (count <= 0 || this.outOfCapacity)
+      return { status: HTTP_STATUS.serviceUnavailable, body: { error: 'no capacity' } };
     const machineIds = Array.from(
       { length: count },
       () => this.create(type, body.harbor, body.driftboats).id,
@@ -136,7 +152,7 @@
     this.trace.add(
       `cloud rents ${machineIds.join(' ')} (${type.name}, ${body.harbor}${body.driftboats ? ', spot' : ''})`,
     );
-    return { status: 200, body: { berths: machineIds } };
+    return { status: HTTP_STATUS.ok, body: { berths: machineIds } };
   }
 
   /** A machine that boots by itself, as long as its type takes; or one of the start, up after `bootMs`. */
@@ -154,7 +170,7 @@
       type,
       zone,
       spot,
-      endpoint: `10.1.${Math.floor(number / 250)}.${number % 250}:9000`,
+      endpoint: `10.1.${Math.floor(number / MACHINES_PER_SUBNET)}.${number % MACHINES_PER_SUBNET}:9000`,
       rentedAt: this.queue.now - age,
       readyAt: Infinity,
       failedAt: Infinity,
@@ -168,9 +184,9 @@
 
   private bootTime(type: SimulatedInstanceType): number {
     if (this.random.chance(FAILED_BOOT_SHARE)) return Infinity;
-    if (this.fastBoots) return this.random.between(300, 2000);
-    const straggles = this.random.chance(SLOW_BOOT_SHARE) ? this.random.between(2, 4) : 1;
-    return type.bootS * 1000 * this.random.between(0.6, 1.5) * straggles;
+    if (this.fastBoots) return this.random.within(FAST_BOOT_MS);
+    const slowness = this.random.chance(SLOW_BOOT_SHARE) ? this.random.within(SLOW_BOOT_FACTOR) : 1;
+    return type.bootS * 1000 * this.random.within(BOOT_TIME_FACTOR) * slowness;
   }
 
   private boot(machine: CloudMachine): void {
@@ -181,7 +197,7 @@
   }
 
   private scaleIn(body: { berths: string[] }): Response {
-    if (body.berths.length > MAX_MACHINES_PER_SCALE_IN) return { status: 400, body: {} };
+    if (body.berths.length > MAX_MACHINES_PER_SCALE_IN) return { status: HTTP_STATUS.badRequest, body: {} };
     for (const id of body.berths) {
       const machine = this.machines.get(id);
       if (!machine || machine.removedAt !== Infinity) continue;
@@ -189,7 +205,7 @@
       this.trace.add(`${id} is deleted`);
       this.onRemoved(machine);
     }
-    return { status: 200, body: {} };
+    return { status: HTTP_STATUS.ok, body: {} };
   }
 
   /** The machine stops on its own. */
@@ -210,15 +226,16 @@
 
   /** As things stood some time ago; a list may be older than the one before it. */
   private list(url: URL): Response {
-    const lag = this.options.listLagS * 1000;
-    const at = this.queue.now - lag * this.random.between(0.5, this.random.chance(0.2) ? 2 : 1.2);
+    const lagMs = this.options.listLagS * 1000;
+    const maxShare = this.random.chance(STALE_LIST_PROBABILITY) ? STALE_LIST_LAG_SHARE : MAX_LIST_LAG_SHARE;
+    const at = this.queue.now - lagMs * this.random.between(MIN_LIST_LAG_SHARE, maxShare);
     const after = url.searchParams.get('from') ?? '';
-    const limit = Math.min(500, Number(url.searchParams.get('most') ?? 500));
+    const limit = Math.min(MAX_LISTED_MACHINES, Number(url.searchParams.get('most') ?? MAX_LISTED_MACHINES));
     const listed = [...this.machines.values()].filter(
       (machine) => machine.id > after && machine.rentedAt <= at && at < machine.removedAt,
     );
     const machineIds = listed.slice(0, limit).map((machine) => encodeMachine(machine, at));
-    return { status: 200, body: { berths: machineIds, hasNext: listed.length > limit } };
+    return { status: HTTP_STATUS.ok, body: { berths: machineIds, hasNext: listed.length > limit } };
   }
 }
 
--- a/src/simulation/controller-node.ts
+++ b/src/simulation/controller-node.ts
@@ -1,6 +1,7 @@
 /** The real controllers, each on a host of its own, with ports that lead into the model. */
 import { Controller, type Ports } from '../controller.js';
 import type { Call, CallOutcome } from '../http/client.js';
+import { HTTP_STATUS } from '../http/status.js';
 import type { Handler } from '../http/server.js';
 import type { Log } from '../logging/log.js';
 import { frame, FrameReader, type PeerTransport } from '../peers/peer-transport.js';
@@ -65,12 +66,16 @@
 
   /** A request has arrived at this node. */
   serve(call: Call, reply: Reply): void {
-    if (!this.handler) return reply({ status: 503, body: { error: 'starting' } });
+    if (!this.handler) return reply({ status: HTTP_STATUS.serviceUnavailable, body: { error: 'starting' } });
     const body = Buffer.from(call.body === undefined ? '' : JSON.stringify(call.body));
     let responded = false;
     const timeout = this.host.after(RESPONSE_TIMEOUT_MS, () => {
       responded = true;
-      reply({ status: 503, body: { error: 'not answered in time' }, retryAfterS: 1 });
+      reply({
+        status: HTTP_STATUS.serviceUnavailable,
+        body: { error: 'not answered in time' },
+        retryAfterS: 1,
+      });
     });
     const { lifetime } = this.host;
     const handled = Promise.resolve(this.handler({ method: call.method, path: call.path, body }));
@@ -82,7 +87,7 @@
       },
       (error: unknown) => {
         this.environment.trace.add(`${this.name} fails at ${call.path}: ${String(error)}`);
-        reply({ status: 500, body: { error: 'internal error' } });
+        reply({ status: HTTP_STATUS.internalServerError, body: { error: 'internal error' } });
       },
     );
   }
--- a/src/simulation/fault-schedule.ts
+++ b/src/simulation/fault-schedule.ts
@@ -48,6 +48,8 @@
 const MAX_HANGING_MACHINES = 8;
 const LATE_WRITE_DELAY_MS = { low: 2000, high: 12_000 };
 const IRREGULAR_REQUEST_INTERVAL_MS = 400;
+/** Controllers restart after this many times the deployment's restart time. */
+const RESTART_TIME_FACTOR = { low: 0.8, high: 1.2 };
 
 /** The simulated cluster, as far as faults reach into it. */
 export interface FaultTarget {
@@ -107,7 +109,7 @@
       const { fault } = waiting;
       if (fault.on !== event.name) continue;
       const prefix = fault.key;
-      if (prefix !== undefined && !event.keys?.some((k) => k.startsWith(prefix))) continue;
+      if (prefix !== undefined && !event.keys?.some((key) => key.startsWith(prefix))) continue;
       waiting.remainingEvents -= 1;
       if (waiting.remainingEvents > 0) continue;
       this.waiting = this.waiting.filter((other) => other !== waiting);
@@ -155,8 +157,8 @@
     if (!node.host.up) return;
     node.end();
     this.onEvent({ name: 'controller_ended', node: node.name });
-    const after = restartS ?? this.target.scenario.deployment.restart_s * random.between(0.8, 1.2);
-    this.target.queue.after(after * 1000, () => this.target.startNode(node));
+    const delayS = restartS ?? this.target.scenario.deployment.restart_s * random.within(RESTART_TIME_FACTOR);
+    this.target.queue.after(delayS * 1000, () => this.target.startNode(node));
   }
 
   private partition(mode: PartitionMode, blocks: Partition['blocks']): () => void {
@@ -201,11 +203,11 @@
   }
 
   private partitionNode(fault: Extract<Fault, { kind: 'node_cut' }>, host: Host): () => void {
-    const { storeHost: stateHost, userHost, nodes } = this.target;
+    const { storeHost, userHost, nodes } = this.target;
     const everything = !fault.from_state && !fault.from_peers && !fault.from_workers && !fault.from_users;
     const isCutOff = (other: Host): boolean => {
       if (everything) return true;
-      if (other === stateHost) return fault.from_state;
+      if (other === storeHost) return fault.from_state;
       if (other === userHost) return fault.from_users;
       if (nodes.some((node) => node.host === other)) return fault.from_peers;
       return other.name.startsWith('m-') && fault.from_workers;
@@ -215,26 +217,26 @@
 
   private applyToServices(activation: FaultActivation): EndFault | undefined {
     const { fault, random } = activation;
-    const { storeService: state, cloud, links } = this.target;
+    const { storeService, cloud, links } = this.target;
     switch (fault.kind) {
       case 'state_outage':
-        state.outage = true;
-        return () => state.endOutage();
+        storeService.outage = true;
+        return () => storeService.endOutage();
       case 'state_refuses': {
         const { name } = this.selectNode(fault.node, activation);
-        state.refusedControllers.add(name);
-        return () => state.endRefusal(name);
+        storeService.refusedControllers.add(name);
+        return () => storeService.endRefusal(name);
       }
       case 'state_slow':
-        state.extraDelayMs = fault.slow_ms;
-        return () => (state.extraDelayMs = 0);
+        storeService.extraDelayMs = fault.slow_ms;
+        return () => (storeService.extraDelayMs = 0);
       case 'late_writes': {
-        const late = (): number => random.between(LATE_WRITE_DELAY_MS.low, LATE_WRITE_DELAY_MS.high);
-        state.nextTransactionFate = () => {
+        const late = (): number => random.within(LATE_WRITE_DELAY_MS);
+        storeService.nextTransactionFate = () => {
           if (!random.chance(fault.share)) return { kind: 'normal' };
           return fault.at_once ? { kind: 'answer-lost' } : { kind: 'late', delayMs: late() };
         };
-        return () => (state.nextTransactionFate = () => ({ kind: 'normal' }));
+        return () => (storeService.nextTransactionFate = () => ({ kind: 'normal' }));
       }
       case 'late_reports':
         links.lateHeartbeats = { share: fault.share, forNext: fault.for_next };
@@ -351,9 +353,9 @@
     const chosen = random.sample(users.unfinished(), number).map((job) => job.id);
     for (const id of chosen) queue.after(random.between(0, CANCEL_SPREAD_MS), () => users.cancel(id));
     if (hangS <= 0) return;
-    const holds = (machine: SimulatedMachine): boolean =>
+    const runsChosen = (machine: SimulatedMachine): boolean =>
       machine.worker.occupyingTasks().some((task) => chosen.includes(task.slice(0, task.lastIndexOf('/'))));
-    for (const machine of machines.all().filter(holds).slice(0, MAX_HANGING_MACHINES))
+    for (const machine of machines.all().filter(runsChosen).slice(0, MAX_HANGING_MACHINES))
       machine.worker.hang(hangS * 1000);
   }
 }
--- a/src/simulation/image-cache.ts
+++ b/src/simulation/image-cache.ts
@@ -1,6 +1,11 @@
 /** The images of one machine: fetches that share a rate, and a cache of the most recently used ones. */
 import type { EventQueue, ScheduledTimer } from './clock.js';
 
+/** Added to the wait for a fetch: rounding then never leaves a rest of it. */
+const COMPLETION_MARGIN_MS = 0.001;
+/** What is left below this counts as fetched. */
+const EPSILON_GB = 1e-6;
+
 interface Fetch {
   readonly gb: number;
   leftGb: number;
@@ -22,16 +27,16 @@
   ) {}
 
   /** Calls back once the image is here, maybe at once; `waiter` names who waits. */
-  request(image: string, gb: number, waiter: string, ready: () => void): void {
+  request(image: string, gb: number, waiter: string, onReady: () => void): void {
     const size = this.sizeByImage.get(image);
     if (size !== undefined) {
       this.sizeByImage.delete(image);
       this.sizeByImage.set(image, size);
-      return ready();
+      return onReady();
     }
     this.advanceFetches();
     const fetch = this.fetches.get(image) ?? { gb, leftGb: gb, waiting: new Map<string, () => void>() };
-    fetch.waiting.set(waiter, ready);
+    fetch.waiting.set(waiter, onReady);
     this.fetches.set(image, fetch);
     this.scheduleCompletion();
   }
@@ -46,31 +51,31 @@
   }
 
   private advanceFetches(): void {
-    const elapsed = (this.queue.now - this.updatedAt) / 1000;
+    const elapsedS = (this.queue.now - this.updatedAt) / 1000;
     this.updatedAt = this.queue.now;
-    const each = (elapsed * this.gbPerS) / Math.max(1, this.fetches.size);
-    for (const fetch of this.fetches.values()) fetch.leftGb -= each;
+    const fetchedGb = (elapsedS * this.gbPerS) / Math.max(1, this.fetches.size);
+    for (const fetch of this.fetches.values()) fetch.leftGb -= fetchedGb;
   }
 
   private scheduleCompletion(): void {
     this.timer?.cancel();
     if (this.fetches.size === 0) return;
-    const least = Math.min(...[...this.fetches.values()].map((f) => f.leftGb));
-    const wait = (Math.max(0, least) * this.fetches.size * 1000) / this.gbPerS;
-    this.timer = this.queue.after(wait + 0.001, () => this.completeFetches());
+    const leastGb = Math.min(...[...this.fetches.values()].map((f) => f.leftGb));
+    const waitMs = (Math.max(0, leastGb) * this.fetches.size * 1000) / this.gbPerS;
+    this.timer = this.queue.after(waitMs + COMPLETION_MARGIN_MS, () => this.completeFetches());
   }
 
   private completeFetches(): void {
     this.advanceFetches();
-    const ready: (() => void)[] = [];
+    const callbacks: (() => void)[] = [];
     for (const [image, fetch] of this.fetches) {
-      if (fetch.leftGb > 1e-6) continue;
+      if (fetch.leftGb > EPSILON_GB) continue;
       this.fetches.delete(image);
       this.store(image, fetch.gb);
-      ready.push(...fetch.waiting.values());
+      callbacks.push(...fetch.waiting.values());
     }
     this.scheduleCompletion();
-    for (const run of ready) run();
+    for (const callback of callbacks) callback();
   }
 
   private store(image: string, gb: number): void {
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -79,6 +79,12 @@
 const MAX_STARTABLE_WAIT_MS = 90_000;
 const CANCEL_SLACK_MS = 1;
 
+// The status codes by which the wire tells what became of a request; kept here, as no code is shared.
+const OK_STATUS = 200;
+const CREATED_STATUS = 201;
+const NOT_FOUND_STATUS = 404;
+const REJECTED_STATUSES: readonly (number | null)[] = [400, 422];
+
 const jobIdOf = (task: string): string => task.slice(0, task.lastIndexOf('/'));
 
 /** Observes the simulated cluster and collects violations; `finish` checks what only the end can tell. */
@@ -94,7 +100,7 @@
     done: 0,
     cancelled: 0,
   };
-  onViolation: (v: Violation) => void = () => undefined;
+  onViolation: (violation: Violation) => void = () => undefined;
   private readonly jobs = new Map<string, JobObservation>();
   private readonly reportedViolations = new Set<string>();
   private faultFreeSince: number | null = null;
@@ -188,7 +194,7 @@
     if (job.types && !job.types.includes(machine.type)) reject(`type ${machine.type} is not allowed`);
     if (job.zone !== null && job.zone !== machine.zone) reject(`zone ${machine.zone} is not ${job.zone}`);
     if (machine.spot && !job.spot) reject('a spot machine');
-    const zones = [...record.machineByTask].filter(([name]) => name !== task).map(([, m]) => m.zone);
+    const zones = [...record.machineByTask].filter(([name]) => name !== task).map(([, other]) => other.zone);
     if (job.sameZone && zones.some((z) => z !== machine.zone)) reject('another zone than its other tasks');
     const here = zones.filter((z) => z === machine.zone).length + 1;
     if (job.spread && here > Math.ceil(job.tasks / 2)) reject(`${here} of ${job.tasks} tasks in one zone`);
@@ -206,10 +212,10 @@
     if (!limit) return;
     let cpus = 0;
     let gpus = 0;
-    for (const { job, machineByTask: on } of this.jobs.values()) {
+    for (const { job, machineByTask } of this.jobs.values()) {
       if (job.team !== team) continue;
-      cpus += on.size * job.cpus;
-      gpus += on.size * job.gpus;
+      cpus += machineByTask.size * job.cpus;
+      gpus += machineByTask.size * job.gpus;
     }
     if (limit.cpusMax > 0 && cpus > limit.cpusMax + EPSILON)
       this.reportViolation('quota', team, `${team} uses ${cpus} CPUs of at most ${limit.cpusMax}`);
@@ -221,7 +227,7 @@
     const record = this.jobs.get(response.job);
     if (response.kind === 'ask' && record) this.recordPoll(record, response);
     if (response.status === null) return;
-    const accepted = response.status === 200 || response.status === 201;
+    const accepted = response.status === OK_STATUS || response.status === CREATED_STATUS;
     if (!record) {
       if (accepted && !response.irregular)
         this.reportViolation(
@@ -243,7 +249,7 @@
   }
 
   private recordPoll(record: JobObservation, response: UserResponse): void {
-    const answered = response.status === 200 || response.status === 404;
+    const answered = response.status === OK_STATUS || response.status === NOT_FOUND_STATUS;
     this.recentPolls.push({ at: response.answeredAt, answered });
     if (answered) {
       record.lastAnswerAt = response.answeredAt;
@@ -253,9 +259,9 @@
 
   private checkRejection(record: JobObservation, response: UserResponse): void {
     const known = record.acceptedAt !== null && response.sentAt >= record.acceptedAt;
-    if (known && response.status === 404)
+    if (known && response.status === NOT_FOUND_STATUS)
       this.reportViolation('forgotten', response.job, `${response.job} was accepted and gets 404`);
-    if (response.kind !== 'submit' || (response.status !== 400 && response.status !== 422)) return;
+    if (response.kind !== 'submit' || !REJECTED_STATUSES.includes(response.status)) return;
     if (known)
       this.reportViolation(
         'forgotten',
@@ -405,10 +411,10 @@
 
 /** How many tasks of the job the machine has room for, those of the job that are there already included. */
 function slotsOn(machine: MachineView, job: UserJob): number {
-  const { spec: facts, free } = machine;
-  if (job.types && !job.types.includes(facts.type)) return 0;
-  if (job.zone !== null && job.zone !== facts.zone) return 0;
-  if (facts.spot && !job.spot) return 0;
+  const { spec, free } = machine;
+  if (job.types && !job.types.includes(spec.type)) return 0;
+  if (job.zone !== null && job.zone !== spec.zone) return 0;
+  if (spec.spot && !job.spot) return 0;
   const fit = (has: number, needs: number): number =>
     needs > 0 ? Math.floor(has / needs + EPSILON) : Infinity;
   const more = Math.min(fit(free.cpus, job.cpus), fit(free.gpus, job.gpus), fit(free.memoryGb, job.memoryGb));
--- a/src/simulation/load-balancer.ts
+++ b/src/simulation/load-balancer.ts
@@ -1,5 +1,6 @@
 /** The load balancer before the controllers: health probes, removal with growing pauses, fewest open connections. */
 import type { Call } from '../http/client.js';
+import { HTTP_STATUS } from '../http/status.js';
 import type { Millis } from '../model/units.js';
 import type { EventQueue, Host } from './clock.js';
 import type { ControllerNode } from './controller-node.js';
@@ -17,6 +18,12 @@
 const CONNECT_TIMEOUT_MS = 500;
 const MAX_ATTEMPTS = 3;
 const SKIP_BACKEND_MS = 3000;
+const SKIP_AFTER_FAILURES = 3;
+const PROBE_INTERVAL_FACTOR = { low: 0.95, high: 1.05 };
+/** Share of the requests with which a backend that has just turned healthy begins. */
+const SLOW_START_SHARE = 0.05;
+/** How long the other side takes to refuse a connection. */
+const REFUSAL_DELAY_MS = 1;
 
 interface Backend {
   readonly node: ControllerNode;
@@ -60,10 +67,12 @@
   }
 
   private probe(backend: Backend): void {
-    this.queue.after(PROBE_INTERVAL_MS * this.random.between(0.95, 1.05), () => this.probe(backend));
+    this.queue.after(PROBE_INTERVAL_MS * this.random.within(PROBE_INTERVAL_FACTOR), () =>
+      this.probe(backend),
+    );
     const call: Call = { method: 'GET', path: '/up', timeout: PROBE_TIMEOUT_MS as Millis };
     void this.exchange(backend, call).then((outcome) =>
-      this.updateHealth(backend, outcome.kind === 'answer' && outcome.status === 200),
+      this.updateHealth(backend, outcome.kind === 'answer' && outcome.status === HTTP_STATUS.ok),
     );
   }
 
@@ -71,7 +80,7 @@
     const { now } = this.queue;
     backend.probes = [...backend.probes, succeeded].slice(-PROBE_WINDOW);
     const lastTwo = backend.probes.slice(-2);
-    const failures = backend.probes.filter((p) => !p).length;
+    const failures = backend.probes.filter((succeeded) => !succeeded).length;
     if (backend.healthy) {
       if (lastTwo.some(Boolean) && failures < UNHEALTHY_FAILURE_COUNT) return;
       backend.healthy = false;
@@ -101,12 +110,12 @@
     const { now } = this.queue;
     const load = (backend: Backend): number =>
       (backend.openConnections + 1 + this.random.unit() / 2) /
-      Math.min(1, 0.05 + (now - backend.healthySince) / SLOW_START_MS);
+      Math.min(1, SLOW_START_SHARE + (now - backend.healthySince) / SLOW_START_MS);
     return this.backends
       .filter((backend) => backend.healthy && now >= backend.skipUntil)
-      .map((backend) => ({ b: backend, load: load(backend) }))
-      .sort((x, y) => x.load - y.load)
-      .map(({ b: backend }) => backend);
+      .map((backend) => ({ backend, load: load(backend) }))
+      .sort((one, other) => one.load - other.load)
+      .map(({ backend }) => backend);
   }
 
   /** One request on a new connection. */
@@ -126,12 +135,14 @@
       return true;
     }
     backend.consecutiveFailures += 1;
-    if (backend.consecutiveFailures >= 3) {
+    if (backend.consecutiveFailures >= SKIP_AFTER_FAILURES) {
       backend.consecutiveFailures = 0;
       backend.skipUntil = this.queue.now + SKIP_BACKEND_MS;
     }
     const refused = partition ? partition.mode === 'refuse' : true;
-    await new Promise<void>((resolve) => this.queue.after(refused ? 1 : CONNECT_TIMEOUT_MS, resolve));
+    await new Promise<void>((resolve) =>
+      this.queue.after(refused ? REFUSAL_DELAY_MS : CONNECT_TIMEOUT_MS, resolve),
+    );
     return false;
   }
 
--- a/src/simulation/machines.ts
+++ b/src/simulation/machines.ts
@@ -1,5 +1,6 @@
 /** The machines that are up, each with its worker, and their links to the controllers. */
 import type { Call } from '../http/client.js';
+import type { Millis } from '../model/units.js';
 import { Host, type EventQueue } from './clock.js';
 import type { SimulatedCloud, CloudMachine } from './cloud.js';
 import type { ControllerNode } from './controller-node.js';
@@ -14,14 +15,24 @@
 import type { Trace } from './trace.js';
 import { Worker, type WorkerTimes } from './worker.js';
 
-const HEARTBEAT_TIMEOUT_MS = 4000;
+const HEARTBEAT_TIMEOUT_MS = 4000 as Millis;
 const LATE_COMMAND_DELAY_MS = { low: 2000, high: 16_000 };
 /** Machines of one type differ by a tenth in speed, and by a third in how fast they fetch. */
 const SLOWNESS_FACTOR = { low: 0.95, high: 1.05 };
 const FETCH_RATE_FACTOR = { low: 0.75, high: 1.25 };
+/** A spot machine ends after this many times the notice that it got. */
+const NOTICE_FACTOR = { low: 0.5, high: 1.5 };
+const MIN_LATE_HEARTBEAT_MS = 2000;
 /** A machine counts as one with room from this long after it is up. */
 const USABLE_AFTER_MS = 30_000;
 
+const heartbeatCall = (body: object): Call => ({
+  method: 'POST',
+  path: '/agent/beat',
+  body,
+  timeout: HEARTBEAT_TIMEOUT_MS,
+});
+
 /** What happens to messages between workers and controllers besides the network's own faults. */
 export class WorkerLinks {
   lateHeartbeats = { share: 0, forNext: false };
@@ -109,7 +120,7 @@
     const host = new Host(cloudMachine.id, cloudMachine.zone, queue);
     const machineRandom = random.fork(cloudMachine.id);
     const speed = {
-      gbPerS: type.fetchGbPerS * machineRandom.between(FETCH_RATE_FACTOR.low, FETCH_RATE_FACTOR.high),
+      gbPerS: type.fetchGbPerS * machineRandom.within(FETCH_RATE_FACTOR),
       cacheGb: type.cacheGb,
     };
     const worker = new Worker(spec, host, cloudMachine.endpoint, speed, {
@@ -118,7 +129,7 @@
       controllers: this.environment.nodes.map((n) => n.name),
       sendHeartbeat: (controller, body) => this.sendHeartbeat(host, controller, body),
     });
-    worker.slowness = machineRandom.between(SLOWNESS_FACTOR.low, SLOWNESS_FACTOR.high);
+    worker.slowness = machineRandom.within(SLOWNESS_FACTOR);
     const machine: SimulatedMachine = { spec, host, worker, cloudMachine };
     this.machinesById.set(cloudMachine.id, machine);
     this.byAddress.set(cloudMachine.endpoint, machine);
@@ -138,7 +149,7 @@
   /** With a notice of about that many seconds; 0: with none. */
   interrupt(machine: SimulatedMachine, noticeS: number): void {
     const { queue, random, cloud } = this.environment;
-    const delayMs = noticeS * 1000 * random.between(0.5, 1.5);
+    const delayMs = noticeS * 1000 * random.within(NOTICE_FACTOR);
     if (noticeS > 0) machine.worker.setInterruption(queue.now + noticeS * 1000);
     queue.after(delayMs, () => cloud().interrupt(machine.cloudMachine));
   }
@@ -154,9 +165,7 @@
     const { links, random } = this.environment;
     if (links.inboundLost.has(machine.host)) return;
     if (call.path === '/orders' && random.chance(links.lateCommandShare)) {
-      machine.host.after(random.between(LATE_COMMAND_DELAY_MS.low, LATE_COMMAND_DELAY_MS.high), () =>
-        machine.worker.serve(call),
-      );
+      machine.host.after(random.within(LATE_COMMAND_DELAY_MS), () => machine.worker.serve(call));
       return;
     }
     reply(machine.worker.serve(call));
@@ -166,12 +175,7 @@
     const { links, nodes, random, network } = this.environment;
     const node = nodes[controller] as ControllerNode;
     if (random.chance(links.lateHeartbeats.share)) this.scheduleHeartbeatCopy(host, node, body);
-    const call = {
-      method: 'POST',
-      path: '/agent/beat',
-      body,
-      timeout: HEARTBEAT_TIMEOUT_MS,
-    } as unknown as Call;
+    const call = heartbeatCall(body);
     const outcome = await network.exchange({
       from: host,
       to: node.host,
@@ -189,18 +193,13 @@
   private scheduleHeartbeatCopy(host: Host, node: ControllerNode, body: object): void {
     const { links, queue, random, times } = this.environment;
     if (links.lateHeartbeats.forNext) return links.delayHeartbeat(host, body);
-    const delay = random.between(2000, 2 * times.leaseMs);
+    const delay = random.between(MIN_LATE_HEARTBEAT_MS, 2 * times.leaseMs);
     queue.after(delay, () => this.deliverHeartbeatCopy(node, body));
   }
 
   /** An old heartbeat arrives again; nobody waits for its answer. */
   deliverHeartbeatCopy(node: ControllerNode, body: object): void {
-    const call = {
-      method: 'POST',
-      path: '/agent/beat',
-      body,
-      timeout: HEARTBEAT_TIMEOUT_MS,
-    } as unknown as Call;
+    const call = heartbeatCall(body);
     if (node.host.up) node.serve(call, () => undefined);
   }
 }
--- a/src/simulation/store-service.ts
+++ b/src/simulation/store-service.ts
@@ -1,5 +1,6 @@
 /** The state service as its clients see it: limits, watches, leases over time, outages and lost or late answers. */
 import type { Call } from '../http/client.js';
+import { HTTP_STATUS } from '../http/status.js';
 import type { EventQueue, Host } from './clock.js';
 import type { Defects } from './defects.js';
 import type { Response } from './network.js';
@@ -29,6 +30,11 @@
 const MAX_LISTED_KEYS = 1000;
 /** Now and then a response takes a few hundred milliseconds. */
 const SLOW_RESPONSE_SHARE = 0.003;
+const SLOW_RESPONSE_MS = { low: 100, high: 400 };
+const RESPONSE_DELAY_MS = { low: 0.5, high: 4 };
+/** Conditions that a transaction may have, as a multiple of the changes that it may have. */
+const CONDITIONS_PER_CHANGE = 4;
+const BYTES_PER_KB = 1024;
 
 /** A token bucket that allows bursts of one second's worth. */
 export class TokenBucket {
@@ -89,8 +95,8 @@
   }
 
   serve(from: Host, call: Call, reply: Reply): void {
-    const slow = this.random.chance(SLOW_RESPONSE_SHARE) ? this.random.between(100, 400) : 0;
-    this.queue.after(this.random.between(0.5, 4) + slow + this.extraDelayMs, () =>
+    const slow = this.random.chance(SLOW_RESPONSE_SHARE) ? this.random.within(SLOW_RESPONSE_MS) : 0;
+    this.queue.after(this.random.within(RESPONSE_DELAY_MS) + slow + this.extraDelayMs, () =>
       this.handle(from, call, reply),
     );
   }
@@ -98,7 +104,8 @@
   private handle(from: Host, call: Call, reply: Reply): void {
     if (!this.requestBucket.take(1)) return this.throttle(reply);
     const url = new URL(call.path, 'http://state');
-    if (this.isUnavailableTo(from.name)) return reply({ status: 503, body: { error: 'trouble' } });
+    if (this.isUnavailableTo(from.name))
+      return reply({ status: HTTP_STATUS.serviceUnavailable, body: { error: 'trouble' } });
     if (url.pathname === '/follow') return this.watch(from.name, url, reply);
     if (url.pathname === '/txn') return this.transaction(from.name, call.body as TransactionBody, reply);
     if (url.pathname.startsWith('/leases')) return reply(this.lease(from.name, call, url.pathname));
@@ -107,7 +114,7 @@
 
   private throttle(reply: Reply): void {
     this.throttledRequests += 1;
-    reply({ status: 429, body: { error: 'too many requests' } });
+    reply({ status: HTTP_STATUS.tooManyRequests, body: { error: 'too many requests' } });
   }
 
   private isUnavailableTo(node: string): boolean {
@@ -117,8 +124,8 @@
   private read(path: string): Response {
     const key = decodeURIComponent(path);
     const row = this.table.rows.get(key);
-    if (!row) return { status: 404, body: { ledger: this.table.revision } };
-    return { status: 200, body: { path: key, ...row } };
+    if (!row) return { status: HTTP_STATUS.notFound, body: { ledger: this.table.revision } };
+    return { status: HTTP_STATUS.ok, body: { path: key, ...row } };
   }
 
   private list(url: URL): Response {
@@ -129,12 +136,12 @@
       limit,
     );
     const entries = keys.map((path) => ({ path, ...this.table.rows.get(path) }));
-    return { status: 200, body: { entries, hasNext: more, ledger: this.table.revision } };
+    return { status: HTTP_STATUS.ok, body: { entries, hasNext: more, ledger: this.table.revision } };
   }
 
   private transaction(from: string, body: TransactionBody, reply: Reply): void {
     const malformed = this.validationError(body);
-    if (malformed) return reply({ status: 400, body: { error: malformed } });
+    if (malformed) return reply({ status: HTTP_STATUS.badRequest, body: { error: malformed } });
     const operationCount = body.apply?.length ?? 0;
     if (operationCount > 0 && !this.changeBucket.take(operationCount)) return this.throttle(reply);
     const fate = operationCount === 0 ? { kind: 'normal' as const } : this.nextTransactionFate();
@@ -149,12 +156,12 @@
   }
 
   private validationError(body: TransactionBody): string | null {
-    const operationCount = body.apply ?? [];
-    if (operationCount.length > this.limits.txnOps) return 'too many changes';
-    if ((body.when?.length ?? 0) > 4 * this.limits.txnOps) return 'too many conditions';
+    const changes = body.apply ?? [];
+    if (changes.length > this.limits.txnOps) return 'too many changes';
+    if ((body.when?.length ?? 0) > CONDITIONS_PER_CHANGE * this.limits.txnOps) return 'too many conditions';
     if (JSON.stringify(body).length > MAX_TRANSACTION_BYTES) return 'transaction too large';
-    const tooLarge = operationCount.some(
-      (a) => JSON.stringify(a.data ?? null).length > this.limits.valueKb * 1024,
+    const tooLarge = changes.some(
+      (change) => JSON.stringify(change.data ?? null).length > this.limits.valueKb * BYTES_PER_KB,
     );
     return tooLarge ? 'value too large' : null;
   }
@@ -162,12 +169,13 @@
   private apply(from: string, body: TransactionBody): Response {
     const copy = JSON.parse(JSON.stringify(body)) as TransactionBody;
     const result = this.table.transact(copy);
-    if (result.kind === 'no-lease') return { status: 400, body: { error: 'no such lease' } };
+    if (result.kind === 'no-lease')
+      return { status: HTTP_STATUS.badRequest, body: { error: 'no such lease' } };
     if (result.kind === 'conflict')
-      return { status: 409, body: { failed: result.failed, ledger: result.ledger } };
+      return { status: HTTP_STATUS.conflict, body: { failed: result.failed, ledger: result.ledger } };
     this.notify();
     if ((body.apply?.length ?? 0) > 0) this.onCommit(body, from);
-    return { status: 200, body: { ledger: result.ledger } };
+    return { status: HTTP_STATUS.ok, body: { ledger: result.ledger } };
   }
 
   private lease(from: string, call: Call, path: string): Response {
@@ -177,13 +185,13 @@
       const { ttlMs } = call.body as { ttlMs: number };
       this.leases.set(granted, { ttlMs, owner: from, endsAt: this.queue.now + ttlMs });
       this.scheduleLeaseExpiry(granted);
-      return { status: 200, body: { mooring: granted } };
+      return { status: HTTP_STATUS.ok, body: { mooring: granted } };
     }
     const lease = this.leases.get(id);
-    if (!lease) return { status: 404, body: {} };
+    if (!lease) return { status: HTTP_STATUS.notFound, body: {} };
     if (call.method === 'DELETE') this.endLease(id);
     else lease.endsAt = this.queue.now + lease.ttlMs;
-    return { status: 200, body: { mooring: id } };
+    return { status: HTTP_STATUS.ok, body: { mooring: id } };
   }
 
   /** A lease may end a little late, never early; in an outage none ends. */
@@ -233,8 +241,12 @@
       const changes = this.table.changesAfter(prefix, from);
       if (changes !== null && changes.length === 0 && !timedOut) return;
       this.watches.delete(deliver);
-      if (changes === null) reply({ status: 410, body: { error: 'too old' } });
-      else reply({ status: 200, body: { ledger: this.table.revision, news: this.visibleChanges(changes) } });
+      if (changes === null) reply({ status: HTTP_STATUS.gone, body: { error: 'too old' } });
+      else
+        reply({
+          status: HTTP_STATUS.ok,
+          body: { ledger: this.table.revision, news: this.visibleChanges(changes) },
+        });
     };
     this.watches.add(deliver);
     deliver();
--- a/src/simulation/users.ts
+++ b/src/simulation/users.ts
@@ -1,5 +1,6 @@
 /** Users: submit with retries, poll, cancel until it is confirmed, ask again later; and the odd ones among them. */
 import type { Call } from '../http/client.js';
+import { HTTP_STATUS } from '../http/status.js';
 import type { Millis } from '../model/units.js';
 import type { EventQueue } from './clock.js';
 import { encodeSubmission, type JobStorage, type UserJob } from './user-jobs.js';
@@ -14,6 +15,14 @@
 const POLL_INTERVAL_MS = 5000;
 const SUBMIT_RETRY_PERIOD_MS = 60_000;
 const RETRY_DELAY_MS = 1000;
+const POLL_INTERVAL_FACTOR = { low: 0.9, high: 1.1 };
+/** After its end a job is asked about this often again, each time after such a pause; some requests are submissions. */
+const LATE_REQUESTS = 2;
+const LATE_REQUEST_DELAY_MS = { low: 1000, high: 40_000 };
+const LATE_SUBMISSION_SHARE = 0.3;
+const IRREGULAR_REQUEST_KINDS = 5;
+/** More CPUs than any machine has. */
+const IMPOSSIBLE_CPUS = 1e6;
 const MAX_RETRY_DELAY_S = 30;
 /** How often each node is polled, and how far apart, while `pollAllNodesOnChange` is set. */
 const POLL_ROUNDS = 3;
@@ -78,7 +87,7 @@
       sentAt,
       answeredAt: this.queue.now,
       status: answered ? outcome.status : null,
-      state: answered ? stateOf(outcome.body) : null,
+      state: answered ? parseState(outcome.body) : null,
       irregular: options.irregular ?? false,
     };
     const where = node === undefined ? '' : ` at n${node}`;
@@ -125,12 +134,13 @@
     if (!(await this.submit(job))) return;
     if (cancelAfterMs !== null) this.queue.after(cancelAfterMs, () => this.cancel(job.id));
     while (tracked.state !== 'done' && tracked.state !== 'cancelled') {
-      await this.wait(POLL_INTERVAL_MS * this.random.between(0.9, 1.1));
+      await this.wait(POLL_INTERVAL_MS * this.random.within(POLL_INTERVAL_FACTOR));
       await this.request('ask', job.id);
     }
-    for (let again = 0; again < 2; again += 1) {
-      await this.wait(this.random.between(1000, 40_000));
-      await this.request(this.random.chance(0.3) ? 'submit' : 'ask', job.id, { body: encodeSubmission(job) });
+    for (let again = 0; again < LATE_REQUESTS; again += 1) {
+      await this.wait(this.random.within(LATE_REQUEST_DELAY_MS));
+      const kind = this.random.chance(LATE_SUBMISSION_SHARE) ? 'submit' : 'ask';
+      await this.request(kind, job.id, { body: encodeSubmission(job) });
     }
   }
 
@@ -139,8 +149,9 @@
     while (this.queue.now < until) {
       const { answer, retryAfterS } = await this.request('submit', job.id, { body: encodeSubmission(job) });
       if (answer.state !== null) return true;
-      if (answer.status === 400 || answer.status === 422) return false;
-      await this.wait(Math.max(RETRY_DELAY_MS, Math.min(MAX_RETRY_DELAY_S, retryAfterS) * 1000));
+      if (answer.status === HTTP_STATUS.badRequest || answer.status === HTTP_STATUS.unprocessableContent)
+        return false;
+      await this.wait(retryDelayMs(retryAfterS));
     }
     return false;
   }
@@ -158,7 +169,7 @@
     for (;;) {
       const { answer, retryAfterS } = await this.request('cancel', tracked.job.id);
       if (answer.state === 'cancelled' || answer.state === 'done') return;
-      await this.wait(Math.max(RETRY_DELAY_MS, Math.min(MAX_RETRY_DELAY_S, retryAfterS) * 1000));
+      await this.wait(retryDelayMs(retryAfterS));
     }
   }
 
@@ -175,7 +186,7 @@
   sendIrregularRequest(number: number): void {
     const done = [...this.trackedJobs.values()].filter((tracked) => tracked.state === 'done');
     const open = this.unfinished();
-    const choice = this.random.integer(0, 4);
+    const choice = this.random.integer(0, IRREGULAR_REQUEST_KINDS - 1);
     if (choice === 0 && open.length > 0) {
       const job = this.random.pick(open);
       void this.request('submit', job.id, { body: encodeSubmission(job) });
@@ -194,16 +205,22 @@
     if (!any) return;
     const id = `req-odd${number}`;
     const plain = encodeSubmission({ ...any, id });
-    const body = this.random.chance(0.5) ? without(plain, 'legs') : { ...plain, vcpus: 1e6, hulls: null };
+    const body = this.random.chance(0.5)
+      ? without(plain, 'legs')
+      : { ...plain, vcpus: IMPOSSIBLE_CPUS, hulls: null };
     void this.request('submit', id, { body, irregular: true });
   }
 }
 
+/** What the answer asks for, within bounds. */
+const retryDelayMs = (retryAfterS: number): number =>
+  Math.max(RETRY_DELAY_MS, Math.min(MAX_RETRY_DELAY_S, retryAfterS) * 1000);
+
 function without(body: Record<string, unknown>, field: string): Record<string, unknown> {
   return Object.fromEntries(Object.entries(body).filter(([name]) => name !== field));
 }
 
-function stateOf(body: unknown): string | null {
+function parseState(body: unknown): string | null {
   const state = (body as { status?: unknown } | null)?.status;
   return typeof state === 'string' ? state : null;
 }
--- a/src/simulation/worker.ts
+++ b/src/simulation/worker.ts
@@ -1,5 +1,6 @@
 /** One machine's worker: heartbeats, agent epochs, fencing tokens, lease, commands and tasks, as PROTOCOL says. */
 import type { Call } from '../http/client.js';
+import { HTTP_STATUS } from '../http/status.js';
 import type { EventQueue, Host, ScheduledTimer } from './clock.js';
 import type { Defects } from './defects.js';
 import { ImageCache } from './image-cache.js';
@@ -65,7 +66,15 @@
 
 const MIN_HEARTBEAT_INTERVAL_MS = 500;
 const LEASE_CHECK_INTERVAL_MS = 100;
-const MAX_FAILURE_DELAY_MS = 1500;
+/** How long after its start a task of a failing machine fails. */
+const FAILURE_DELAY_MS = { low: 200, high: 1500 };
+/** Heartbeats come at intervals that differ by this factor from the settings'. */
+const HEARTBEAT_INTERVAL_FACTOR = { low: 0.75, high: 1.25 };
+/** A redirected worker turns to the other controller within this time. */
+const REDIRECT_DELAY_MS = { low: 0, high: 500 };
+const RETRY_DELAY_MS = 1000;
+/** With the defect `worker-claims-done`: when a task pretends to be done. */
+const FALSE_COMPLETION_DELAY_MS = 1000;
 const EPSILON = 1e-9;
 
 /** One machine's worker; `serve` takes commands, heartbeats go out through its environment. */
@@ -168,24 +177,26 @@
     const response = await this.environment.sendHeartbeat(this.controllerIndex, this.buildHeartbeat());
     this.expireLease();
     this.heartbeatInFlight = false;
-    if (response?.status === 200) {
+    if (response?.status === HTTP_STATUS.ok) {
       const current =
         agentEpoch === this.agentEpoch || this.environment.defects.has('worker-ignores-sessions');
       if (current) this.acceptResponse(response.body, sentAt);
-      this.scheduleHeartbeat(this.statusChanged ? 0 : times.heartbeatIntervalMs * random.between(0.75, 1.25));
-    } else if (response?.status === 421 && this.redirect(response.body)) {
-      this.scheduleHeartbeat(random.between(0, 500));
+      this.scheduleHeartbeat(
+        this.statusChanged ? 0 : times.heartbeatIntervalMs * random.within(HEARTBEAT_INTERVAL_FACTOR),
+      );
+    } else if (response?.status === HTTP_STATUS.misdirectedRequest && this.redirect(response.body)) {
+      this.scheduleHeartbeat(random.within(REDIRECT_DELAY_MS));
     } else {
       this.controllerIndex = (this.controllerIndex + 1) % this.environment.controllers.length;
-      this.scheduleHeartbeat(1000);
+      this.scheduleHeartbeat(RETRY_DELAY_MS);
     }
   }
 
   private redirect(body: unknown): boolean {
-    const named = (body as { harbormaster?: string | null } | null)?.harbormaster ?? '';
-    const to = this.environment.controllers.indexOf(named);
-    if (to < 0 || to === this.controllerIndex) return false;
-    this.controllerIndex = to;
+    const leader = (body as { harbormaster?: string | null } | null)?.harbormaster ?? '';
+    const index = this.environment.controllers.indexOf(leader);
+    if (index < 0 || index === this.controllerIndex) return false;
+    this.controllerIndex = index;
     return true;
   }
 
@@ -220,7 +231,7 @@
     });
   }
 
-  /** Without an answer in time the worker kills and forgets every task and goes on to its next session. */
+  /** Without an answer in time the worker kills and forgets every task and goes on to its next agent epoch. */
   private expireLease(): void {
     const { queue, times, defects, trace } = this.environment;
     if (queue.now - this.leaseRenewedAt <= times.leaseMs) return;
@@ -236,13 +247,15 @@
   /** A request that came straight to the machine's address. */
   serve(call: Call): Response {
     this.expireLease();
-    if (call.path === '/status') return { status: 200, body: this.buildHeartbeat() };
+    if (call.path === '/status') return { status: HTTP_STATUS.ok, body: this.buildHeartbeat() };
     const body = JSON.parse(JSON.stringify(call.body ?? {})) as DirectCommandBody;
-    if (body.helm === undefined || body.watch === undefined) return { status: 400, body: {} };
+    if (body.helm === undefined || body.watch === undefined)
+      return { status: HTTP_STATUS.badRequest, body: {} };
     const current = body.watch === this.agentEpoch || this.environment.defects.has('worker-ignores-sessions');
-    if (!current || !this.acceptFencingToken(body.helm)) return { status: 409, body: this.buildHeartbeat() };
+    if (!current || !this.acceptFencingToken(body.helm))
+      return { status: HTTP_STATUS.conflict, body: this.buildHeartbeat() };
     for (const command of body.orders ?? []) this.execute(command);
-    return { status: 200, body: this.buildHeartbeat() };
+    return { status: HTTP_STATUS.ok, body: this.buildHeartbeat() };
   }
 
   private execute(command: WireCommand): void {
@@ -305,7 +318,7 @@
     observer.taskStarted(this.spec, task.name);
     this.noteStatusChange();
     if (storage.results.has(task.name)) return this.exitAfter(task, 'done', 0);
-    if (this.failing) this.exitAfter(task, 'error', random.between(200, MAX_FAILURE_DELAY_MS));
+    if (this.failing) this.exitAfter(task, 'error', random.within(FAILURE_DELAY_MS));
     const attempt = gangs.attempt(job, task.attempt);
     const member = this.gangMember(task);
     task.gang = { attempt, member };
@@ -313,8 +326,7 @@
   }
 
   private gangMember(task: WorkerTask): GangMember {
-    const { slowness } = this;
-    const { host } = this;
+    const { slowness, host } = this;
     const show = (status: 'running' | 'saving'): void => {
       if (task.status === 'exited') return;
       task.status = status;
@@ -343,8 +355,9 @@
     const { job } = task;
     if (!job) return;
     if (storage.results.has(task.name)) return this.exitAfter(task, 'done', 0);
-    if (this.failing) return this.exitAfter(task, 'error', random.between(200, MAX_FAILURE_DELAY_MS));
-    if (defects.has('worker-claims-done') && job.shape === 'array') return this.exitAfter(task, 'done', 1000);
+    if (this.failing) return this.exitAfter(task, 'error', random.within(FAILURE_DELAY_MS));
+    if (defects.has('worker-claims-done') && job.shape === 'array')
+      return this.exitAfter(task, 'done', FALSE_COMPLETION_DELAY_MS);
     const remainingMs = (job.runS * 1000 - task.progressBefore) * this.slowness;
     if (Number.isFinite(remainingMs)) this.exitAfter(task, 'done', remainingMs);
   }
@@ -399,9 +412,9 @@
       const kept = Math.floor(this.progressMs(task) / interval) * interval;
       storage.checkpoints.set(task.name, Math.max(storage.checkpoints.get(task.name) ?? 0, kept));
     }
-    const completedForReal = completed && !defects.has('worker-claims-done');
-    if (completedForReal) storage.results.add(task.name);
-    observer.taskEnded(this.spec, task.name, completedForReal);
+    const reallyCompleted = completed && !defects.has('worker-claims-done');
+    if (reallyCompleted) storage.results.add(task.name);
+    observer.taskEnded(this.spec, task.name, reallyCompleted);
   }
 
   /** The machine does nothing for a while; its tasks lose that time. */
