--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -2,25 +2,18 @@
 import type { Call } from '../http/client.js';
 import { HTTP_STATUS } from '../http/status.js';
 import type { EventQueue } from './clock.js';
+import {
+  encodeInstanceType,
+  encodeMachine,
+  type CloudMachine,
+  type SimulatedInstanceType,
+} from './cloud-machine.js';
 import type { Response } from './network.js';
 import type { RandomStream } from './random.js';
-import { TokenBucket, type Reply } from './store-service.js';
+import type { Reply } from './store-service.js';
+import { TokenBucket } from './token-bucket.js';
 import type { Trace } from './trace.js';
 
-/** An instance type that the cloud offers; times in seconds, prices relative to each other. */
-export interface SimulatedInstanceType {
-  readonly name: string;
-  readonly cpus: number;
-  readonly gpus: number;
-  readonly memoryGb: number;
-  readonly cacheGb: number;
-  readonly fetchGbPerS: number;
-  readonly price: number;
-  readonly spotPrice: number;
-  readonly bootS: number;
-  readonly zones: readonly string[];
-}
-
 /** What the cloud offers and its limits: requests a second, and how many seconds its list lags behind. */
 export interface CloudOptions {
   readonly types: readonly SimulatedInstanceType[];
@@ -30,21 +23,6 @@
   readonly capacity: number;
 }
 
-/** A machine as the cloud knows it; times in simulated milliseconds, Infinity: not yet. */
-export interface CloudMachine {
-  readonly id: string;
-  readonly type: SimulatedInstanceType;
-  readonly zone: string;
-  readonly spot: boolean;
-  readonly endpoint: string;
-  readonly rentedAt: number;
-  readyAt: number;
-  /** Stopped on its own, with all that was on it. */
-  failedAt: number;
-  /** Deleted or interrupted. */
-  removedAt: number;
-}
-
 interface ScaleOutBody {
   readonly charter: string;
   readonly hull: string;
@@ -55,7 +33,6 @@
 
 const MAX_MACHINES_PER_SCALE_OUT = 50;
 const MAX_MACHINES_PER_SCALE_IN = 100;
-const FAILURE_LISTED_AFTER_MS = 30_000;
 const SLOW_BOOT_SHARE = 0.04;
 const FAILED_BOOT_SHARE = 0.01;
 const INITIAL_MACHINE_AGE_MS = 600_000;
@@ -238,29 +215,3 @@
     return { status: HTTP_STATUS.ok, body: { berths: machineIds, hasNext: listed.length > limit } };
   }
 }
-
-function encodeMachine(machine: CloudMachine, at: number): object {
-  const failed = at > machine.failedAt + FAILURE_LISTED_AFTER_MS;
-  return {
-    uid: machine.id,
-    endpoint: machine.endpoint,
-    hull: machine.type.name,
-    harbor: machine.zone,
-    driftboats: machine.spot,
-    status: failed ? 'failed' : at < machine.readyAt ? 'starting' : 'running',
-    ageS: (at - machine.rentedAt) / 1000,
-  };
-}
-
-const encodeInstanceType = (type: SimulatedInstanceType): object => ({
-  name: type.name,
-  vcpus: type.cpus,
-  cards: type.gpus,
-  memoryGb: type.memoryGb,
-  cacheGb: type.cacheGb,
-  pullGbPerS: type.fetchGbPerS,
-  rate: type.price,
-  lowPrice: type.spotPrice,
-  startupS: type.bootS,
-  harbors: type.zones,
-});
--- a/src/simulation/machines.ts
+++ b/src/simulation/machines.ts
@@ -2,7 +2,8 @@
 import type { Call } from '../http/client.js';
 import type { Millis } from '../model/units.js';
 import { Host, type EventQueue } from './clock.js';
-import type { SimulatedCloud, CloudMachine } from './cloud.js';
+import type { SimulatedCloud } from './cloud.js';
+import type { CloudMachine } from './cloud-machine.js';
 import type { ControllerNode } from './controller-node.js';
 import type { Defects } from './defects.js';
 import type { GangRegistry } from './gangs.js';
--- a/src/simulation/store-service.ts
+++ b/src/simulation/store-service.ts
@@ -6,6 +6,7 @@
 import type { Response } from './network.js';
 import type { RandomStream } from './random.js';
 import { KeyValueTable, type StoredChange, type TransactionBody } from './key-value-table.js';
+import { TokenBucket } from './token-bucket.js';
 
 /** Requests and changes a second, kilobytes a value, changes a transaction. */
 export interface StoreServiceLimits {
@@ -36,29 +37,6 @@
 const CONDITIONS_PER_CHANGE = 4;
 const BYTES_PER_KB = 1024;
 
-/** A token bucket that allows bursts of one second's worth. */
-export class TokenBucket {
-  private level: number;
-  private at = 0;
-
-  constructor(
-    private readonly queue: EventQueue,
-    private readonly rate: number,
-    private readonly burstS = 1,
-  ) {
-    this.level = rate * burstS;
-  }
-
-  take(count: number): boolean {
-    const { now } = this.queue;
-    this.level = Math.min(this.rate * this.burstS, this.level + ((now - this.at) / 1000) * this.rate);
-    this.at = now;
-    if (this.level < count) return false;
-    this.level -= count;
-    return true;
-  }
-}
-
 interface Lease {
   readonly ttlMs: number;
   readonly owner: string;
