--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -3,6 +3,7 @@
  * that names the first field at fault. What the fields mean together is checked in settings.ts.
  */
 import * as v from 'valibot';
+import { fieldPath } from './field-path.js';
 import { SettingsError } from './settings-error.js';
 
 const MAX_PORT = 65_535;
@@ -99,15 +100,6 @@
 /** A settings file in its own field names, with defaults filled in. */
 export type SettingsFile = v.InferOutput<typeof settingsSchema>;
 
-/** The path of the field at fault, like `facts.teams[0].name`; empty for the whole file. */
-function fieldPath(issue: v.BaseIssue<unknown>): string {
-  const path = issue.path ?? [];
-  return path
-    .map((step) => (typeof step.key === 'number' ? `[${step.key}]` : `.${String(step.key)}`))
-    .join('')
-    .slice(1);
-}
-
 /** The fields of a valibot schema by which a nested one is found. */
 interface AnySchema {
   readonly message?: unknown;
--- a/src/simulation/scenario-schema.ts
+++ b/src/simulation/scenario-schema.ts
@@ -134,7 +134,7 @@
 });
 
 /** What may set off a fault; `nth` counts from the time `at_s`. */
-export const EVENTS = [
+const EVENTS = [
   'part_claimed',
   'commit',
   'accepted',
--- a/src/simulation/scenario.ts
+++ b/src/simulation/scenario.ts
@@ -1,9 +1,9 @@
 /** Scenario files (TOML), read and written, and checked with errors that name the field. */
 import { parse, stringify, TomlError } from 'smol-toml';
 import * as v from 'valibot';
+import { fieldPath } from '../settings/field-path.js';
 import { scenarioSchema, type Deployment, type Scenario } from './scenario-schema.js';
 
-export { EVENTS } from './scenario-schema.js';
 export type {
   Scenario,
   ScenarioInput,
@@ -17,13 +17,6 @@
 /** A scenario that cannot be run: one line naming file, field and what was expected. */
 export class ScenarioError extends Error {}
 
-function fieldPath(issue: v.BaseIssue<unknown>): string {
-  return (issue.path ?? [])
-    .map((step) => (typeof step.key === 'number' ? `[${step.key}]` : `.${String(step.key)}`))
-    .join('')
-    .slice(1);
-}
-
 type ExpectKnown = (field: string, known: readonly string[], used: string | undefined) => void;
 
 /** Names that the scenario uses must be those that it defines. */
--- /dev/null
+++ b/src/simulation/service-faults.ts
@@ -0,0 +1,60 @@
+/** Faults of the state service, the cloud, and the messages between workers and controllers. */
+import { selectNode, type EndFault, type FaultActivation, type FaultTarget } from './fault-target.js';
+
+const LATE_WRITE_DELAY_MS = { low: 2000, high: 12_000 };
+
+/** Begins a fault of the state service; undefined: it is of another kind. */
+export function applyToStore(target: FaultTarget, activation: FaultActivation): EndFault | undefined {
+  const { fault, random } = activation;
+  const { storeService } = target;
+  switch (fault.kind) {
+    case 'state_outage':
+      storeService.outage = true;
+      return () => storeService.endOutage();
+    case 'state_refuses': {
+      const { name } = selectNode(target, fault.node, activation);
+      storeService.refusedControllers.add(name);
+      return () => storeService.endRefusal(name);
+    }
+    case 'state_slow':
+      storeService.extraDelayMs = fault.slow_ms;
+      return () => (storeService.extraDelayMs = 0);
+    case 'late_writes': {
+      const late = (): number => random.within(LATE_WRITE_DELAY_MS);
+      storeService.nextTransactionFate = () => {
+        if (!random.chance(fault.share)) return { kind: 'normal' };
+        return fault.at_once ? { kind: 'answer-lost' } : { kind: 'late', delayMs: late() };
+      };
+      return () => (storeService.nextTransactionFate = () => ({ kind: 'normal' }));
+    }
+    default:
+      return undefined;
+  }
+}
+
+/** Begins a fault of the cloud, or of messages between workers and controllers; undefined: it is of another kind. */
+export function applyToCloudAndLinks(target: FaultTarget, { fault }: FaultActivation): EndFault | undefined {
+  const { cloud, links } = target;
+  switch (fault.kind) {
+    case 'late_reports':
+      links.lateHeartbeats = { share: fault.share, forNext: fault.for_next };
+      return () => (links.lateHeartbeats = { share: 0, forNext: false });
+    case 'late_commands':
+      links.lateCommandShare = fault.share;
+      return () => (links.lateCommandShare = 0);
+    case 'cloud_outage':
+      cloud.outage = true;
+      return () => (cloud.outage = false);
+    case 'cloud_empty':
+      cloud.outOfCapacity = true;
+      return () => (cloud.outOfCapacity = false);
+    case 'late_rentals':
+      cloud.lateShare = fault.share;
+      return () => (cloud.lateShare = 0);
+    case 'fast_boots':
+      cloud.fastBoots = true;
+      return () => (cloud.fastBoots = false);
+    default:
+      return undefined;
+  }
+}
--- /dev/null
+++ b/src/simulation/user-faults.ts
@@ -0,0 +1,46 @@
+/** What users do at the worst moment: cancellations, irregular requests, polling everywhere, a surge of jobs. */
+import type { EndFault, FaultActivation, FaultTarget } from './fault-target.js';
+import type { SimulatedMachine } from './machines.js';
+import type { RandomStream } from './random.js';
+
+/** Cancellations of `cancel_now` fall within a fifth of a second; at most so many machines hang with them. */
+const CANCEL_SPREAD_MS = 200;
+const MAX_HANGING_MACHINES = 8;
+const IRREGULAR_REQUEST_INTERVAL_MS = 400;
+
+/** Begins a fault that users bring about; null also for faults of another kind. */
+export function applyToUsers(target: FaultTarget, { fault, random }: FaultActivation): EndFault {
+  const { users, queue, arrivals } = target;
+  switch (fault.kind) {
+    case 'cancel_now':
+      cancelNow(target, fault.count, fault.hang_s, random);
+      return null;
+    case 'cancel_at_end':
+      target.cancelOnCompletionShare = fault.share;
+      return () => (target.cancelOnCompletionShare = 0);
+    case 'odd_requests':
+      for (let at = 0; at < fault.for_s * 1000; at += IRREGULAR_REQUEST_INTERVAL_MS)
+        queue.after(at, () => users.sendIrregularRequest(Math.round(queue.now)));
+      return null;
+    case 'close_looks':
+      users.pollAllNodesOnChange = true;
+      return () => (users.pollAllNodesOnChange = false);
+    case 'surge':
+      arrivals.setRateFactor(fault.class, fault.times);
+      return () => arrivals.setRateFactor(fault.class, 1);
+    default:
+      return null;
+  }
+}
+
+/** Jobs that run are cancelled at nearly the same moment, and some of their machines hang. */
+function cancelNow(target: FaultTarget, number: number, hangS: number, random: RandomStream): void {
+  const { users, queue, machines } = target;
+  const chosen = random.sample(users.unfinished(), number).map((job) => job.id);
+  for (const id of chosen) queue.after(random.between(0, CANCEL_SPREAD_MS), () => users.cancel(id));
+  if (hangS <= 0) return;
+  const runsChosen = (machine: SimulatedMachine): boolean =>
+    machine.worker.occupyingTasks().some((task) => chosen.includes(task.slice(0, task.lastIndexOf('/'))));
+  for (const machine of machines.all().filter(runsChosen).slice(0, MAX_HANGING_MACHINES))
+    machine.worker.hang(hangS * 1000);
+}
