--- a/src/simulation/gangs.ts
+++ b/src/simulation/gangs.ts
@@ -144,11 +144,7 @@
     const { storage, random } = this.environment;
     this.pauseProgress();
     this.phase = 'broken';
-    const interval = this.job.checkpointIntervalS * 1000;
-    if (interval > 0) {
-      const kept = Math.floor(this.progressBefore / interval) * interval;
-      storage.checkpoints.set(this.job.id, Math.max(storage.checkpoints.get(this.job.id) ?? 0, kept));
-    }
+    storage.keepLastCheckpoint(this.job.id, this.job, this.progressBefore);
     for (const member of [...this.members])
       this.exitMember(member, 'peers', detectedWithinMs * random.between(MIN_DETECTION_SHARE, 1));
   }
--- a/src/simulation/machine-faults.ts
+++ b/src/simulation/machine-faults.ts
@@ -43,13 +43,13 @@
       return null;
     case 'machine_sick': {
       const sick = selectMachines(target, fault, activation);
-      for (const machine of sick) machine.worker.failing = true;
-      return () => sick.forEach((machine) => (machine.worker.failing = false));
+      for (const machine of sick) machine.worker.tasks.failing = true;
+      return () => sick.forEach((machine) => (machine.worker.tasks.failing = false));
     }
     case 'machine_slow': {
       const slow = selectMachines(target, fault, activation);
-      for (const machine of slow) machine.worker.slowness = fault.times;
-      return () => slow.forEach((machine) => (machine.worker.slowness = 1));
+      for (const machine of slow) machine.worker.tasks.slowness = fault.times;
+      return () => slow.forEach((machine) => (machine.worker.tasks.slowness = 1));
     }
     case 'machine_end':
       for (const machine of selectMachines(target, fault, activation)) target.machines.fail(machine);
--- a/src/simulation/machines.ts
+++ b/src/simulation/machines.ts
@@ -96,13 +96,13 @@
     return this.all()
       .filter(
         (machine) =>
-          !machine.worker.failing && !machine.worker.hanging && machine.worker.interruptionAt === null,
+          !machine.worker.tasks.failing && !machine.worker.hanging && machine.worker.interruptionAt === null,
       )
       .filter((machine) => queue.now - machine.cloudMachine.readyAt > USABLE_AFTER_MS)
       .map((machine) => ({
         spec: machine.spec,
-        free: machine.worker.freeResources,
-        occupyingTasks: machine.worker.occupyingTasks(),
+        free: machine.worker.tasks.freeResources,
+        occupyingTasks: machine.worker.tasks.occupyingTasks(),
       }));
   }
 
@@ -130,7 +130,7 @@
       controllers: this.environment.nodes.map((n) => n.name),
       sendHeartbeat: (controller, body) => this.sendHeartbeat(host, controller, body),
     });
-    worker.slowness = machineRandom.within(SLOWNESS_FACTOR);
+    worker.tasks.slowness = machineRandom.within(SLOWNESS_FACTOR);
     const machine: SimulatedMachine = { spec, host, worker, cloudMachine };
     this.machinesById.set(cloudMachine.id, machine);
     this.byAddress.set(cloudMachine.endpoint, machine);
--- a/src/simulation/user-faults.ts
+++ b/src/simulation/user-faults.ts
@@ -40,7 +40,9 @@
   for (const id of chosen) queue.after(random.between(0, CANCEL_SPREAD_MS), () => users.cancel(id));
   if (hangS <= 0) return;
   const runsChosen = (machine: SimulatedMachine): boolean =>
-    machine.worker.occupyingTasks().some((task) => chosen.includes(task.slice(0, task.lastIndexOf('/'))));
+    machine.worker.tasks
+      .occupyingTasks()
+      .some((task) => chosen.includes(task.slice(0, task.lastIndexOf('/'))));
   for (const machine of machines.all().filter(runsChosen).slice(0, MAX_HANGING_MACHINES))
     machine.worker.hang(hangS * 1000);
 }
--- a/src/simulation/user-jobs.ts
+++ b/src/simulation/user-jobs.ts
@@ -62,6 +62,15 @@
   /** Tasks whose result is kept. */
   readonly results = new Set<string>();
 
+  /** Keeps what was saved at the last of the regular checkpoints, `key` being a task or the job of a gang. */
+  keepLastCheckpoint(key: string, job: UserJob, progressMs: number): void {
+    const intervalMs = job.checkpointIntervalS * 1000;
+    if (intervalMs <= 0) return;
+    const kept = Math.floor(progressMs / intervalMs) * intervalMs;
+    this.checkpoints.set(key, Math.max(this.checkpoints.get(key) ?? 0, kept));
+  }
+
+  /** The job of a task, by the task's name `job/index`; null: there is no such task. */
   jobOf(task: string): UserJob | null {
     const cut = task.lastIndexOf('/');
     const job = this.jobs.get(task.slice(0, cut));
--- /dev/null
+++ b/src/simulation/worker-tasks.ts
@@ -0,0 +1,248 @@
+/** The tasks of one simulated worker: launch, images, run time, checkpoints, gangs and exit, as PROTOCOL says. */
+import type { Host } from './clock.js';
+import type { GangMember } from './gangs.js';
+import type { ImageCache } from './image-cache.js';
+import type { MachineSpec } from './observer.js';
+import type { UserJob } from './user-jobs.js';
+import {
+  encodeTaskStatus,
+  type ExitCause,
+  type TaskEnvironment,
+  type WireCommand,
+  type WorkerTask,
+} from './worker-task.js';
+
+/** How long after its start a task of a failing machine fails. */
+const FAILURE_DELAY_MS = { low: 200, high: 1500 };
+/** With the defect `worker-claims-done`: when a task pretends to be done. */
+const FALSE_COMPLETION_DELAY_MS = 1000;
+const EPSILON = 1e-9;
+
+/** Starts and ends tasks on one machine; `noteStatusChange` is called whenever a heartbeat would say something new. */
+export class WorkerTasks {
+  /** Every task that it starts fails. */
+  failing = false;
+  /** How much longer than normal its tasks run. */
+  slowness = 1;
+  private readonly tasks = new Map<string, WorkerTask>();
+
+  constructor(
+    private readonly spec: MachineSpec,
+    private readonly host: Host,
+    private readonly images: ImageCache,
+    private readonly environment: TaskEnvironment,
+    private readonly noteStatusChange: () => void,
+  ) {}
+
+  get freeResources(): { cpus: number; gpus: number; memoryGb: number } {
+    const free = { cpus: this.spec.cpus, gpus: this.spec.gpus, memoryGb: this.spec.memoryGb };
+    for (const task of this.tasks.values()) {
+      if (task.status === 'exited' || !task.job) continue;
+      free.cpus -= task.job.cpus;
+      free.gpus -= task.job.gpus;
+      free.memoryGb -= task.job.memoryGb;
+    }
+    return free;
+  }
+
+  /** Names of the tasks that hold room here, those that wait for their image included. */
+  occupyingTasks(): string[] {
+    return [...this.tasks.values()].filter((task) => task.status !== 'exited').map((task) => task.name);
+  }
+
+  /** What a heartbeat says of all tasks. */
+  encodeStatuses(): object[] {
+    return [...this.tasks.values()].map(encodeTaskStatus);
+  }
+
+  /** Carries out a command; one that does not fit the state of its task has no effect. */
+  execute(command: WireCommand): void {
+    const key = `${command.leg}#${command.sailing}`;
+    const existing = this.tasks.get(key);
+    if (command.order === 'launch') {
+      if (!existing) this.launch(command, key);
+    } else if (command.order === 'clear') {
+      if (existing?.status === 'exited') this.tasks.delete(key);
+    } else if (existing && existing.status !== 'exited') this.kill(existing, command.ebbS ?? 0);
+    this.noteStatusChange();
+  }
+
+  private launch(command: WireCommand, key: string): void {
+    const job = this.environment.storage.jobOf(command.leg);
+    const free = this.freeResources;
+    const busy = this.occupyingTasks().includes(command.leg);
+    const task: WorkerTask = {
+      name: command.leg,
+      attempt: command.sailing,
+      job,
+      status: 'pulling',
+      cause: null,
+      saved: false,
+      runningSince: 0,
+      progressBefore: 0,
+      timer: null,
+      gang: null,
+    };
+    this.tasks.set(key, task);
+    if (!job) return this.exit(task, 'unknown');
+    if (busy) return this.exit(task, 'busy');
+    const fits =
+      job.cpus <= free.cpus + EPSILON &&
+      job.gpus <= free.gpus + EPSILON &&
+      job.memoryGb <= free.memoryGb + EPSILON;
+    if (!fits) return this.exit(task, 'full');
+    this.images.request(job.image, job.imageGb, key, () => this.startTask(task));
+  }
+
+  /** The image is here: the task is on the machine from now on. */
+  private startTask(task: WorkerTask): void {
+    const { observer, storage, queue, trace } = this.environment;
+    if (task.status !== 'pulling') return;
+    if (task.job?.shape === 'gang') return this.joinGang(task, task.job);
+    task.status = 'running';
+    task.runningSince = queue.now;
+    task.progressBefore = storage.checkpoints.get(task.name) ?? 0;
+    trace.add(`${this.spec.id} starts ${task.name} (attempt ${task.attempt})`);
+    observer.taskStarted(this.spec, task.name);
+    this.scheduleExit(task);
+    this.noteStatusChange();
+  }
+
+  /** The image is here: the task is on the machine, and waits for the others of its gang. */
+  private joinGang(task: WorkerTask, job: UserJob): void {
+    const { observer, storage, trace, random, gangs } = this.environment;
+    task.status = 'gathering';
+    trace.add(`${this.spec.id} has ${task.name} (attempt ${task.attempt})`);
+    observer.taskStarted(this.spec, task.name);
+    this.noteStatusChange();
+    if (storage.results.has(task.name)) return this.exitAfter(task, 'done', 0);
+    if (this.failing) this.exitAfter(task, 'error', random.within(FAILURE_DELAY_MS));
+    const attempt = gangs.attempt(job, task.attempt);
+    const member = this.gangMember(task);
+    task.gang = { attempt, member };
+    attempt.join(member);
+  }
+
+  private gangMember(task: WorkerTask): GangMember {
+    const { slowness, host } = this;
+    const show = (status: 'running' | 'saving'): void => {
+      if (task.status === 'exited') return;
+      task.status = status;
+      this.noteStatusChange();
+    };
+    return {
+      task: task.name,
+      slowness,
+      get hanging() {
+        return host.paused;
+      },
+      run: () => show('running'),
+      beginCheckpoint: () => show('saving'),
+      exit: (cause, saved) => {
+        if (task.status === 'exited') return;
+        task.saved = saved;
+        this.exit(task, cause);
+      },
+      after: (delayMs, run) => host.after(delayMs, run),
+    };
+  }
+
+  /** Sets the timer of what comes next: completion, failure, or the next checkpoint. */
+  private scheduleExit(task: WorkerTask): void {
+    const { storage, defects, random } = this.environment;
+    const { job } = task;
+    if (!job) return;
+    if (storage.results.has(task.name)) return this.exitAfter(task, 'done', 0);
+    if (this.failing) return this.exitAfter(task, 'error', random.within(FAILURE_DELAY_MS));
+    if (defects.has('worker-claims-done') && job.shape === 'array')
+      return this.exitAfter(task, 'done', FALSE_COMPLETION_DELAY_MS);
+    const remainingMs = (job.runS * 1000 - task.progressBefore) * this.slowness;
+    if (Number.isFinite(remainingMs)) this.exitAfter(task, 'done', remainingMs);
+  }
+
+  private exitAfter(task: WorkerTask, cause: ExitCause, delay: number): void {
+    task.timer = this.host.after(delay, () => this.exit(task, cause));
+  }
+
+  /** Run time so far, in normal speed. */
+  private progressMs(task: WorkerTask): number {
+    return task.progressBefore + (this.environment.queue.now - task.runningSince) / this.slowness;
+  }
+
+  private kill(task: WorkerTask, graceS: number): void {
+    const { job } = task;
+    if (this.environment.defects.has('worker-ignores-stops')) return;
+    if (task.gang) return task.gang.attempt.stop(task.gang.member, graceS);
+    const saves =
+      task.status === 'running' && job && job.checkpointIntervalS > 0 && graceS >= job.checkpointDurationS;
+    if (!saves) {
+      if (task.status !== 'saving' || graceS <= 0) this.exit(task, 'halted');
+      return;
+    }
+    task.timer?.cancel();
+    const reached = this.progressMs(task);
+    task.status = 'saving';
+    task.timer = this.host.after(job.checkpointDurationS * 1000, () => {
+      this.environment.storage.checkpoints.set(task.name, reached);
+      task.saved = true;
+      this.exit(task, 'halted');
+    });
+  }
+
+  private exit(task: WorkerTask, cause: ExitCause): void {
+    this.removeTask(task, cause === 'done');
+    task.status = 'exited';
+    task.cause = cause;
+    this.environment.trace.add(`${this.spec.id} ends ${task.name} (attempt ${task.attempt}): ${cause}`);
+    this.noteStatusChange();
+  }
+
+  /** Takes the task off the machine; what it saved by itself is kept. */
+  private removeTask(task: WorkerTask, completed: boolean): void {
+    const { observer, storage, defects } = this.environment;
+    task.timer?.cancel();
+    if (task.status === 'pulling' && task.job)
+      this.images.abandon(task.job.image, `${task.name}#${task.attempt}`);
+    if (task.status === 'pulling' || task.status === 'exited') return;
+    task.gang?.attempt.leave(task.gang.member);
+    if (task.status === 'running' && !task.gang && task.job)
+      storage.keepLastCheckpoint(task.name, task.job, this.progressMs(task));
+    const reallyCompleted = completed && !defects.has('worker-claims-done');
+    if (reallyCompleted) storage.results.add(task.name);
+    observer.taskEnded(this.spec, task.name, reallyCompleted);
+  }
+
+  /** The machine hangs from now on: the gangs of its tasks make no progress. */
+  hang(): void {
+    for (const { gang } of this.tasks.values()) gang?.attempt.hang(gang.member);
+  }
+
+  /** The machine goes on after having hung since `from`. */
+  resumeAfterHang(from: number): void {
+    const { queue } = this.environment;
+    for (const task of this.tasks.values()) {
+      task.gang?.attempt.resume();
+      if (task.status !== 'running' || task.gang) continue;
+      task.timer?.cancel();
+      task.runningSince += queue.now - from;
+      this.rescheduleExit(task);
+    }
+  }
+
+  private rescheduleExit(task: WorkerTask): void {
+    const done = this.environment.queue.now - task.runningSince;
+    const total = ((task.job?.runS ?? 0) * 1000 - task.progressBefore) * this.slowness;
+    if (Number.isFinite(total))
+      this.exitAfter(task, this.failing ? 'error' : 'done', Math.max(0, total - done));
+  }
+
+  /** Ends every task without a trace on the machine. */
+  forgetAll(): void {
+    for (const task of this.tasks.values()) this.removeTask(task, false);
+    this.tasks.clear();
+  }
+
+  get size(): number {
+    return this.tasks.size;
+  }
+}
--- a/test/simulation/gang-model.test.ts
+++ b/test/simulation/gang-model.test.ts
@@ -157,7 +157,7 @@
   const fixture = new WorkersFixture();
   const slow = fixture.workers.get('m-1');
   assert.ok(slow);
-  slow.slowness = 2;
+  slow.tasks.slowness = 2;
   fixture.launchAll(1);
   await fixture.runTo(50);
   assert.deepEqual(fixture.taskStates(), ['running', 'running', 'running']);
