--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -11,6 +11,8 @@
 import { CommandError } from './command-error.js';
 
 const INVALID_USAGE_EXIT_CODE = 2;
+/** Columns of a property's name in the help. */
+const PROPERTY_NAME_WIDTH = 26;
 
 interface CommandOptions {
   readonly config: string;
@@ -49,7 +51,7 @@
 function propertiesHelp(): string {
   const lines = TUNING_PROPERTIES.map(
     (property) =>
-      `  ${property.propertyName.padEnd(26)} ${property.description} (${property.min} to ${property.max}, else ${property.defaultValue})`,
+      `  ${property.propertyName.padEnd(PROPERTY_NAME_WIDTH)} ${property.description} (${property.min} to ${property.max}, else ${property.defaultValue})`,
   );
   return `\nOperators' properties:\n${lines.join('\n')}\n`;
 }
--- a/src/cli/simulate.ts
+++ b/src/cli/simulate.ts
@@ -13,6 +13,8 @@
 
 const RULE_VIOLATED_EXIT_CODE = 1;
 const INVALID_SCENARIO_EXIT_CODE = 2;
+/** Columns of a statistic's name in the result. */
+const STATISTIC_NAME_WIDTH = 18;
 
 interface RunOptions {
   readonly seed?: number;
@@ -74,7 +76,8 @@
   printLine(
     `  ${result.events} events, ${(result.simulatedS / elapsedS).toFixed(0)} simulated seconds a second`,
   );
-  for (const [name, value] of Object.entries(result.figures)) printLine(`  ${name.padEnd(18)} ${value}`);
+  for (const [name, value] of Object.entries(result.figures))
+    printLine(`  ${name.padEnd(STATISTIC_NAME_WIDTH)} ${value}`);
   printLine(`  trace ${result.hash}`);
   for (const violation of result.violations)
     printLine(
@@ -109,8 +112,10 @@
     file = join(options.out, `${finding.violation.rule}-${seed}.toml`);
     writeFileSync(file, finding.file);
   }
-  if (options.json)
-    return printLine(JSON.stringify({ ...outcome, finding: finding && { ...finding, file } }));
+  if (options.json) {
+    printLine(JSON.stringify({ ...outcome, finding: finding && { ...finding, file } }));
+    return;
+  }
   if (error) printLine(`seed ${seed}: the run failed: ${error}`);
   if (!finding) return;
   const faults = finding.faults.length === 0 ? 'no fault' : finding.faults.join(', ');
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -32,9 +32,9 @@
 }
 
 const IDLE_TIMEOUT_MS = 20_000;
-const KIB = 1024;
-const MAX_HEAD_BYTES = 16 * KIB;
-const DEFAULT_MAX_BODY_BYTES = 4 * KIB * KIB;
+const MAX_HEAD_BYTES = 16_384;
+/** 4 MiB. */
+const DEFAULT_MAX_BODY_BYTES = 4_194_304;
 
 /** Connections of many clients together: beyond this many none is kept open for a later request. */
 export class KeepAliveLimit {
@@ -127,7 +127,10 @@
 
   private write(connection: Connection, call: Call): void {
     if (!connection.exchange) return;
-    if (call.mayStillSend?.() === false) return this.closeConnection(connection);
+    if (call.mayStillSend?.() === false) {
+      this.closeConnection(connection);
+      return;
+    }
     connection.exchange.sent = true;
     const body = call.body === undefined ? '' : JSON.stringify(call.body);
     const contentType = call.body === undefined ? '' : 'Content-Type: application/json\r\n';
@@ -142,7 +145,10 @@
       const [message] = messages;
       if (!message) return;
       // More than one answer, or one that nobody asked for: the stream cannot be trusted any more.
-      if (messages.length > 1 || !connection.exchange) return this.closeConnection(connection);
+      if (messages.length > 1 || !connection.exchange) {
+        this.closeConnection(connection);
+        return;
+      }
       this.completeExchange(connection, message.startLine[1], message.body, message.keepAlive);
     } catch {
       this.closeConnection(connection);
@@ -167,7 +173,8 @@
     try {
       body = bytes.length === 0 ? null : JSON.parse(bytes.toString('utf8'));
     } catch {
-      return this.closeConnection(connection);
+      this.closeConnection(connection);
+      return;
     }
     clearTimeout(exchange.timer);
     connection.exchange = null;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -42,10 +42,11 @@
   readonly responseTimeout: Millis;
 }
 
-const KIB = 1024;
-const PARSER_LIMITS = { maxHeadBytes: 16 * KIB, maxBodyBytes: 64 * KIB };
+const MAX_HEAD_BYTES = 16_384;
+const MAX_BODY_BYTES = 65_536;
+const PARSER_LIMITS = { maxHeadBytes: MAX_HEAD_BYTES, maxBodyBytes: MAX_BODY_BYTES };
 /** A client that leaves more than this unread is disconnected. */
-const MAX_UNSENT_BYTES = 1024 * KIB;
+const MAX_UNSENT_BYTES = 1_048_576;
 /** Requests that a client may send ahead of their answers. */
 const MAX_PENDING_REQUESTS = 8;
 /** When a client whose request has failed or timed out may send it again. */
@@ -114,8 +115,10 @@
       return;
     }
     // The protocol has no pipelining: a flood of requests without waiting is a misuse, not a load to queue.
-    if (this.pendingRequests.length > MAX_PENDING_REQUESTS)
-      return this.reject(HTTP_STATUS.tooManyRequests, 'too many requests at once');
+    if (this.pendingRequests.length > MAX_PENDING_REQUESTS) {
+      this.reject(HTTP_STATUS.tooManyRequests, 'too many requests at once');
+      return;
+    }
     if (!this.parser.idle && (wasIdle || this.pendingRequests.length > 0))
       this.restartTimer(this.options.receiveTimeout);
     void this.handlePending();
--- a/src/settings/tuning.ts
+++ b/src/settings/tuning.ts
@@ -4,7 +4,7 @@
 import { SettingsError, readTextFile } from './settings-error.js';
 
 const WHOLE_NUMBER_PATTERN = /^\d{1,10}$/;
-const MAX_SEED = 2 ** 31 - 1;
+const MAX_SEED = 2_147_483_647;
 
 /** The operators' own settings with their defaults; durations in milliseconds. */
 export interface Tuning {
--- a/src/simulation/scenario-generator.ts
+++ b/src/simulation/scenario-generator.ts
@@ -1,4 +1,5 @@
 /** Random small scenarios: a deployment, a load, and a few faults that meet, all from one seed. */
+import { FAULT_GENERATORS, GANG_FAULT_GENERATORS } from './fault-generators.js';
 import { RandomStream } from './random.js';
 import { checkScenario, type FaultInput, type Scenario, type ScenarioInput } from './scenario.js';
 
@@ -10,215 +11,20 @@
 const FAULTS_FROM_S = 12;
 const FAULTS_UNTIL_S = 75;
 const DURATION_S = 240;
+/** No job arrives later. */
+const LOAD_UNTIL_S = 110;
+/** What faults that begin together need before `FAULTS_UNTIL_S`. */
+const MAX_FAULT_SPREAD_S = 30;
 
 const EVENT_CHOICES = ['part_claimed', 'cancel_confirmed', 'accepted', 'job_done', 'task_started'] as const;
 
-type FaultGenerator = (random: RandomStream, where: Deployment) => FaultInput;
 type Deployment = ScenarioInput['deployment'];
-
-const randomDurationS = (random: RandomStream, low: number, high: number): number =>
-  Math.round(random.between(low, high) * 10) / 10;
-const randomNode = (random: RandomStream, deployment: Deployment): number =>
-  random.integer(0, deployment.controllers.length - 1);
-const randomPartitionMode = (random: RandomStream): 'drop' | 'hold' | 'refuse' =>
-  random.pick(['drop', 'hold', 'hold', 'refuse']);
-const randomMachineSelector = (
-  random: RandomStream,
-  deployment: Deployment,
-): { share?: number; count?: number; zone?: string } =>
-  random.pick([
-    { share: random.pick([0.2, 0.5, 1]) },
-    { count: random.integer(1, 3) },
-    { zone: random.pick(deployment.zones) },
-  ]);
-
-/** One for each kind of fault, with a spread of its fields that has room for the odd and the long. */
-const FAULT_GENERATORS: readonly FaultGenerator[] = [
-  (random, deployment) => ({
-    kind: 'controller_end',
-    node: randomNode(random, deployment),
-    restart_s: random.pick([0.2, 0.6, 4, 12]),
-  }),
-  (random) => ({
-    kind: 'controller_end',
-    on: 'part_claimed',
-    node: 'event',
-    restart_s: random.pick([0.2, 3]),
-  }),
-  (random) => ({ kind: 'all_controllers_end', restart_s: random.pick([0.3, 4, 20]) }),
-  (random) => ({ kind: 'controllers_restart', gap_s: random.pick([2, 8]) }),
-  (random, deployment) => ({
-    kind: 'controller_pause',
-    node: randomNode(random, deployment),
-    for_s: randomDurationS(random, 1, 25),
-  }),
-  (random, deployment) => ({
-    kind: 'node_cut',
-    node: randomNode(random, deployment),
-    mode: randomPartitionMode(random),
-    for_s: randomDurationS(random, 3, 40),
-  }),
-  (random, deployment) => ({
-    kind: 'node_cut',
-    node: randomNode(random, deployment),
-    mode: randomPartitionMode(random),
-    for_s: randomDurationS(random, 3, 45),
-    from_state: true,
-    from_peers: random.chance(0.7),
-  }),
-  (random, deployment) => ({
-    kind: 'node_cut',
-    node: randomNode(random, deployment),
-    mode: randomPartitionMode(random),
-    for_s: randomDurationS(random, 3, 40),
-    from_workers: true,
-  }),
-  (random) => ({ kind: 'peers_refused', for_s: randomDurationS(random, 5, 40) }),
-  (random, deployment) => ({
-    kind: 'zone_cut',
-    zone: random.pick(deployment.zones),
-    mode: randomPartitionMode(random),
-    for_s: randomDurationS(random, 4, 45),
-  }),
-  (random) => ({ kind: 'state_outage', for_s: randomDurationS(random, 1, 45) }),
-  (random, deployment) => ({
-    kind: 'state_refuses',
-    node: randomNode(random, deployment),
-    for_s: randomDurationS(random, 2, 45),
-  }),
-  (random) => ({
-    kind: 'state_slow',
-    slow_ms: random.pick([150, 500, 1200]),
-    for_s: randomDurationS(random, 5, 30),
-  }),
-  (random) => ({
-    kind: 'late_writes',
-    share: random.pick([0.1, 0.4, 0.8]),
-    for_s: randomDurationS(random, 4, 25),
-    at_once: random.chance(0.5),
-  }),
-  (random) => ({
-    kind: 'late_reports',
-    share: random.pick([0.2, 0.6]),
-    for_s: randomDurationS(random, 5, 30),
-    for_next: random.chance(0.5),
-  }),
-  (random) => ({
-    kind: 'late_commands',
-    share: random.pick([0.2, 0.6, 1]),
-    for_s: randomDurationS(random, 4, 25),
-  }),
-  (random) => ({ kind: 'cloud_outage', for_s: randomDurationS(random, 5, 40) }),
-  (random) => ({ kind: 'late_rentals', share: 0.5, for_s: randomDurationS(random, 10, 40) }),
-  () => ({ kind: 'fast_boots', for_s: 60 }),
-  (random, deployment) => ({
-    kind: 'machine_deaf',
-    ...randomMachineSelector(random, deployment),
-    for_s: randomDurationS(random, 5, 40),
-  }),
-  (random, deployment) => ({
-    kind: 'machine_mute',
-    ...randomMachineSelector(random, deployment),
-    for_s: randomDurationS(random, 5, 40),
-  }),
-  (random, deployment) => ({
-    kind: 'machine_cut',
-    ...randomMachineSelector(random, deployment),
-    mode: randomPartitionMode(random),
-    for_s: randomDurationS(random, 5, 40),
-  }),
-  (random, deployment) => ({
-    kind: 'machine_hang',
-    ...randomMachineSelector(random, deployment),
-    for_s: randomDurationS(random, 2, 25),
-  }),
-  (random, deployment) => ({
-    kind: 'machine_sick',
-    ...randomMachineSelector(random, deployment),
-    for_s: randomDurationS(random, 5, 20),
-  }),
-  (random, deployment) => ({ kind: 'machine_end', ...randomMachineSelector(random, deployment) }),
-  (random) => ({ kind: 'spot_wave', share: random.pick([0.5, 1]), notice_s: random.pick([0, 6, 15]) }),
-  (random) => ({ kind: 'cancel_now', count: random.integer(1, 6), hang_s: random.pick([0, 0, 6, 15]) }),
-  (random) => ({ kind: 'cancel_now', count: random.integer(1, 6), on: 'part_claimed' }),
-  () => ({ kind: 'cancel_at_end', share: 0.5, for_s: 40 }),
-  (random) => ({ kind: 'odd_requests', for_s: randomDurationS(random, 5, 20) }),
-  () => ({ kind: 'close_looks', for_s: 45 }),
-  (random) => ({
-    kind: 'surge',
-    class: 'batch',
-    times: random.pick([2, 4]),
-    for_s: randomDurationS(random, 5, 20),
-  }),
-];
-
-/** Faults that meet a gang in each of its states. */
-const GANG_FAULT_GENERATORS: readonly FaultGenerator[] = [
-  (random) => ({ kind: 'machine_end', ...randomGangEvent(random), machine: 'event' }),
-  (random) => ({
-    kind: 'machine_hang',
-    ...randomGangEvent(random),
-    machine: 'event',
-    for_s: randomDurationS(random, 1, 25),
-  }),
-  (random) => ({
-    kind: 'machine_cut',
-    ...randomGangEvent(random),
-    machine: 'event',
-    mode: randomPartitionMode(random),
-    for_s: randomDurationS(random, 3, 30),
-  }),
-  (random) => ({
-    kind: 'machine_deaf',
-    ...randomGangEvent(random),
-    machine: 'event',
-    for_s: randomDurationS(random, 3, 30),
-  }),
-  (random) => ({
-    kind: 'machine_sick',
-    ...randomGangEvent(random),
-    machine: 'event',
-    for_s: randomDurationS(random, 3, 20),
-  }),
-  (random) => ({
-    kind: 'cancel_now',
-    ...randomGangEvent(random),
-    count: random.integer(2, 8),
-    hang_s: random.pick([0, 10]),
-  }),
-  (random, deployment) => ({
-    kind: 'controller_end',
-    ...randomGangEvent(random),
-    node: randomNode(random, deployment),
-    restart_s: random.pick([0.2, 6]),
-  }),
-  (random) => ({ kind: 'all_controllers_end', ...randomGangEvent(random), restart_s: random.pick([0.3, 4]) }),
-  (random) => ({
-    kind: 'spot_wave',
-    ...randomGangEvent(random),
-    share: 1,
-    notice_s: random.pick([0, 4, 12]),
-  }),
-  (random) => ({
-    kind: 'late_commands',
-    ...randomGangEvent(random),
-    share: random.pick([0.3, 0.8]),
-    for_s: randomDurationS(random, 4, 20),
-  }),
-];
-
-function randomGangEvent(random: RandomStream): Pick<FaultInput, 'on' | 'nth' | 'after_ms'> {
-  return {
-    on: random.pick(['gang_gathers', 'gang_started']),
-    nth: random.integer(1, 6),
-    after_ms: random.pick([0, 5, 300, 3000]),
-  };
-}
+type LoadInput = ScenarioInput['load'][number];
 
 function randomGangFaults(random: RandomStream, deployment: Deployment): FaultInput[] {
   return Array.from({ length: random.integer(0, 2) }, () => ({
     ...random.pick(GANG_FAULT_GENERATORS)(random, deployment),
-    at_s: Math.round(random.between(FAULTS_FROM_S, FAULTS_UNTIL_S - 30) * 100) / 100,
+    at_s: Math.round(random.between(FAULTS_FROM_S, FAULTS_UNTIL_S - MAX_FAULT_SPREAD_S) * 100) / 100,
   }));
 }
 
@@ -250,8 +56,17 @@
   };
 }
 
+/** The stages draw in this order whether or not their load is used: a seed keeps its schedule. */
 function randomLoad(random: RandomStream, deployment: Deployment): ScenarioInput['load'] {
-  const batch: ScenarioInput['load'][number] = {
+  const batch = randomBatchLoad(random, deployment);
+  const service = randomServiceLoad(random);
+  const loads = random.chance(0.7) ? [batch, service] : [batch];
+  const gangs = random.fork('gangs');
+  return gangs.chance(GANG_SHARE) ? [...loads, randomGangLoad(gangs)] : loads;
+}
+
+function randomBatchLoad(random: RandomStream, deployment: Deployment): LoadInput {
+  return {
     class: 'batch',
     team: 'atlas',
     tasks: random.pick([
@@ -268,14 +83,17 @@
     image_gb: random.pick([0.3, 2]),
     at_start: random.integer(1, 4),
     per_minute: random.pick([6, 15, 40]),
-    until_s: 110,
+    until_s: LOAD_UNTIL_S,
     cancel_share: random.pick([0, 0.25, 0.6]),
     cancel_after_s: [0.1, 15],
     spot: random.chance(0.6),
     ...(random.chance(0.3) ? { zone: random.pick(deployment.zones) } : {}),
     ...(random.chance(0.3) ? { checkpoint_s: 4, save_s: random.pick([1, 3]) } : {}),
   };
-  const service: ScenarioInput['load'][number] = {
+}
+
+function randomServiceLoad(random: RandomStream): LoadInput {
+  return {
     class: 'service',
     team: 'tides',
     shape: 'service',
@@ -284,18 +102,15 @@
     cpus: 2,
     at_start: random.integer(1, 4),
     per_minute: 2,
-    until_s: 110,
+    until_s: LOAD_UNTIL_S,
     cancel_share: 0.6,
     cancel_after_s: [5, 70],
     spread: random.chance(0.4),
     same_zone: random.chance(0.2),
   };
-  const loads = random.chance(0.7) ? [batch, service] : [batch];
-  const gangs = random.fork('gangs');
-  return gangs.chance(GANG_SHARE) ? [...loads, randomGangLoad(gangs)] : loads;
 }
 
-function randomGangLoad(random: RandomStream): ScenarioInput['load'][number] {
+function randomGangLoad(random: RandomStream): LoadInput {
   return {
     class: 'gang',
     team: random.pick(TEAMS),
@@ -313,7 +128,7 @@
     image_gb: random.pick([0.3, 2]),
     at_start: random.integer(1, 3),
     per_minute: random.pick([4, 10]),
-    until_s: 110,
+    until_s: LOAD_UNTIL_S,
     cancel_share: random.pick([0, 0.3]),
     cancel_after_s: [0.5, 25],
     spot: random.chance(0.4),
@@ -326,8 +141,8 @@
   const faults: FaultInput[] = [];
   const number = random.integer(2, 5);
   // They meet: all begin within some seconds of one another.
-  const start = random.between(FAULTS_FROM_S, FAULTS_UNTIL_S - 30);
-  const spread = random.pick([1, 8, 30]);
+  const start = random.between(FAULTS_FROM_S, FAULTS_UNTIL_S - MAX_FAULT_SPREAD_S);
+  const spread = random.pick([1, 8, MAX_FAULT_SPREAD_S]);
   for (let i = 0; i < number; i += 1) {
     const fault = random.pick(FAULT_GENERATORS)(random, deployment);
     fault.at_s = Math.round((start + random.between(0, spread)) * 100) / 100;
@@ -346,12 +161,14 @@
   const random = new RandomStream(seed).fork('scenario');
   const deployment = base?.deployment ?? randomDeployment(random.fork('deployment'));
   const loads = base?.load ?? randomLoad(random.fork('load'), deployment);
-  const gangs = loads.some((l) => l.shape === 'gang');
+  const gangs = loads.some((load) => load.shape === 'gang');
   const faults = [
     ...randomFaults(random.fork('faults'), deployment),
     ...(gangs ? randomGangFaults(random.fork('gang faults'), deployment) : []),
   ];
-  const usable = faults.filter((f) => f.kind !== 'surge' || loads.some((l) => l.class === f.class));
+  const usable = faults.filter(
+    (fault) => fault.kind !== 'surge' || loads.some((load) => load.class === fault.class),
+  );
   const input: ScenarioInput = {
     name: `fuzz-${seed}`,
     seed,
