--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -4,17 +4,16 @@
 import { Controller } from '../controller/controller.js';
 import { networkPorts } from '../controller/ports.js';
 import { openLog } from '../logging/log.js';
-import {
-  TUNING_PROPERTIES,
-  loadSettings,
-  loadTuning,
-  parseLogLevel,
-  SettingsError,
-} from '../settings/settings.js';
+import { parseLogLevel } from '../settings/log-level.js';
+import { SettingsError } from '../settings/settings-error.js';
+import { loadSettings } from '../settings/settings.js';
+import { TUNING_PROPERTIES, loadTuning } from '../settings/tuning.js';
 import { systemClock } from '../model/units.js';
 import { CommandError } from './command-error.js';
 
 const INVALID_USAGE_EXIT_CODE = 2;
+/** Columns of a property's name in the help. */
+const PROPERTY_NAME_WIDTH = 26;
 
 interface CommandOptions {
   readonly config: string;
@@ -53,7 +52,7 @@
 function propertiesHelp(): string {
   const lines = TUNING_PROPERTIES.map(
     (property) =>
-      `  ${property.propertyName.padEnd(26)} ${property.description} (${property.min} to ${property.max}, else ${property.defaultValue})`,
+      `  ${property.propertyName.padEnd(PROPERTY_NAME_WIDTH)} ${property.description} (${property.min} to ${property.max}, else ${property.defaultValue})`,
   );
   return `\nOperators' properties:\n${lines.join('\n')}\n`;
 }
@@ -89,6 +88,7 @@
   return cli;
 }
 
+/** Runs one command line (`process.argv`) and returns the process's exit code; errors go to standard error. */
 export async function main(argv: readonly string[]): Promise<number> {
   try {
     const cli = buildProgram();
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -4,6 +4,7 @@
 import { HttpParser } from './parser.js';
 import { parseAddress } from './server.js';
 
+/** What is known about a request afterwards; only `answer` comes from the other side. */
 export type CallOutcome =
   | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
   /** Certainly not carried out: no connection came about. */
@@ -11,6 +12,7 @@
   /** Sent, and no readable answer: carried out, not carried out, or to be carried out later. */
   | { readonly kind: 'unknown' };
 
+/** One request. `timeout` (ms) bounds the wait for a free connection and then, anew, the exchange itself. */
 export interface Call {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
@@ -30,6 +32,9 @@
 }
 
 const IDLE_TIMEOUT_MS = 20_000;
+const MAX_HEAD_BYTES = 16_384;
+/** 4 MiB. */
+const DEFAULT_MAX_BODY_BYTES = 4_194_304;
 
 /** Connections of many clients together: beyond this many none is kept open for a later request. */
 export class KeepAliveLimit {
@@ -42,6 +47,7 @@
   }
 }
 
+/** Requests to one address over at most `maxConnections` connections; failures of the network are outcomes, not exceptions. */
 export class HttpClient {
   private readonly idleConnections: Connection[] = [];
   private openConnections = 0;
@@ -50,7 +56,7 @@
   constructor(
     private readonly address: Address,
     private readonly maxConnections: number,
-    private readonly bodyLimit = 4 * 1024 * 1024,
+    private readonly maxBodyBytes = DEFAULT_MAX_BODY_BYTES,
     private readonly keepAliveLimit = new KeepAliveLimit(Infinity),
   ) {}
 
@@ -109,7 +115,7 @@
   }
 
   private newParser(): HttpParser {
-    return new HttpParser('response', { maxHeadBytes: 16 * 1024, maxBodyBytes: this.bodyLimit });
+    return new HttpParser('response', { maxHeadBytes: MAX_HEAD_BYTES, maxBodyBytes: this.maxBodyBytes });
   }
 
   private send(connection: Connection, call: Call, resolve: (outcome: CallOutcome) => void): void {
@@ -121,27 +127,29 @@
 
   private write(connection: Connection, call: Call): void {
     if (!connection.exchange) return;
-    if (call.mayStillSend?.() === false) return this.closeConnection(connection);
+    if (call.mayStillSend?.() === false) {
+      this.closeConnection(connection);
+      return;
+    }
     connection.exchange.sent = true;
     const body = call.body === undefined ? '' : JSON.stringify(call.body);
-    const type = call.body === undefined ? '' : 'Content-Type: application/json\r\n';
+    const contentType = call.body === undefined ? '' : 'Content-Type: application/json\r\n';
     connection.socket.write(
-      `${call.method} ${call.path} HTTP/1.1\r\nHost: ${this.address}\r\n${type}Content-Length: ${Buffer.byteLength(body)}\r\n\r\n${body}`,
+      `${call.method} ${call.path} HTTP/1.1\r\nHost: ${this.address}\r\n${contentType}Content-Length: ${Buffer.byteLength(body)}\r\n\r\n${body}`,
     );
   }
 
   private receive(connection: Connection, data: Buffer): void {
     try {
       const messages = connection.parser.push(data);
-      if (messages.length === 0) return;
+      const [message] = messages;
+      if (!message) return;
       // More than one answer, or one that nobody asked for: the stream cannot be trusted any more.
-      if (messages.length > 1 || !connection.exchange) return this.closeConnection(connection);
-      this.completeExchange(
-        connection,
-        messages[0]?.startLine[1] ?? '',
-        messages[0]?.body ?? Buffer.alloc(0),
-        messages[0]?.keepAlive ?? false,
-      );
+      if (messages.length > 1 || !connection.exchange) {
+        this.closeConnection(connection);
+        return;
+      }
+      this.completeExchange(connection, message.startLine[1], message.body, message.keepAlive);
     } catch {
       this.closeConnection(connection);
     }
@@ -158,18 +166,24 @@
     }
   }
 
-  private completeExchange(connection: Connection, status: string, raw: Buffer, keep: boolean): void {
+  private completeExchange(connection: Connection, status: string, bytes: Buffer, keepAlive: boolean): void {
     const exchange = connection.exchange;
     if (!exchange) return;
     let body: unknown;
     try {
-      body = raw.length === 0 ? null : JSON.parse(raw.toString('utf8'));
+      body = bytes.length === 0 ? null : JSON.parse(bytes.toString('utf8'));
     } catch {
-      return this.closeConnection(connection);
+      this.closeConnection(connection);
+      return;
     }
     clearTimeout(exchange.timer);
     connection.exchange = null;
-    if (keep && this.keepAliveLimit.mayKeepAlive && !connection.socket.destroyed && connection.parser.idle) {
+    if (
+      keepAlive &&
+      this.keepAliveLimit.mayKeepAlive &&
+      !connection.socket.destroyed &&
+      connection.parser.idle
+    ) {
       this.idleConnections.push(connection);
       this.waitingCalls.shift()?.();
     } else this.closeConnection(connection);
--- a/src/simulation/scenario.ts
+++ b/src/simulation/scenario.ts
@@ -1,293 +1,84 @@
-/** Scenario files (TOML): a deployment, a load and a schedule of faults, checked with errors that name the field. */
+/** Scenario files (TOML), read and written, and checked with errors that name the field. */
 import { parse, stringify, TomlError } from 'smol-toml';
 import * as v from 'valibot';
+import { fieldPath } from '../settings/field-path.js';
+import { scenarioSchema, type Deployment, type Scenario } from './scenario-schema.js';
+
+export type {
+  Scenario,
+  ScenarioInput,
+  Deployment,
+  Load,
+  Fault,
+  FaultInput,
+  EventName,
+} from './scenario-schema.js';
 
 /** A scenario that cannot be run: one line naming file, field and what was expected. */
 export class ScenarioError extends Error {}
 
-const nonNegativeNumber = v.pipe(
-  v.number('a number'),
-  v.finite('a finite number'),
-  v.minValue(0, 'at least 0'),
-);
-const positiveNumber = v.pipe(v.number('a number'), v.finite('a finite number'), v.gtValue(0, 'more than 0'));
-const nonNegativeInteger = v.pipe(
-  v.number('a whole number'),
-  v.integer('a whole number'),
-  v.minValue(0, 'at least 0'),
-);
-const positiveInteger = v.pipe(
-  v.number('a whole number'),
-  v.integer('a whole number'),
-  v.minValue(1, 'at least 1'),
-);
-const fraction = v.pipe(v.number('a share'), v.minValue(0, 'at least 0'), v.maxValue(1, 'at most 1'));
-const nonEmptyString = v.pipe(v.string('a text'), v.nonEmpty('a text that is not empty'));
-const optionalFlag = v.optional(v.boolean('true or false'), false);
-const range = v.tuple([nonNegativeNumber, nonNegativeNumber], 'two numbers: least and most');
-
-const deploymentSchema = v.strictObject({
-  zones: v.pipe(v.array(nonEmptyString, 'a list of zones'), v.minLength(1, 'at least one zone')),
-  /** The zone of each controller. */
-  controllers: v.pipe(v.array(nonEmptyString, 'a list of zones'), v.minLength(1, 'at least one controller')),
-  restart_s: v.optional(nonNegativeNumber, 4),
-  report_s: v.optional(positiveNumber, 2),
-  lease_s: v.optional(positiveNumber, 14),
-  cancel_s: v.optional(positiveNumber, 34),
-  /** How long a gang's task waits for the others, and within which time it notices that one is gone. */
-  gang_wait_s: v.optional(positiveNumber, 20),
-  gang_peer_s: v.optional(positiveNumber, 5),
-  max_connections: v.optional(positiveInteger, 1500),
-  /** Operators' properties, one a line. */
-  properties: v.optional(v.string('a text'), ''),
-  state: v.optional(
-    v.strictObject({
-      rps: v.optional(positiveNumber, 150),
-      write_rps: v.optional(positiveNumber, 25),
-      value_kb: v.optional(positiveNumber, 8),
-      txn_ops: v.optional(positiveInteger, 16),
-    }),
-    {},
-  ),
-  cloud: v.optional(
-    v.strictObject({
-      rps: v.optional(positiveNumber, 6),
-      list_lag_s: v.optional(nonNegativeNumber, 4),
-      /** Machines to be had of each type, zone and kind. */
-      capacity: v.optional(nonNegativeInteger, 20),
-    }),
-    {},
-  ),
-  network: v.optional(
-    v.strictObject({
-      same_zone_ms: v.optional(positiveNumber, 0.4),
-      cross_zone_ms: v.optional(positiveNumber, 1.1),
-      jitter: v.optional(nonNegativeNumber, 0.5),
-      loss: v.optional(fraction, 0.0005),
-    }),
-    {},
-  ),
-  types: v.pipe(
-    v.array(
-      v.strictObject({
-        name: nonEmptyString,
-        cpus: positiveNumber,
-        gpus: v.optional(nonNegativeNumber, 0),
-        memory_gb: positiveNumber,
-        cache_gb: v.optional(positiveNumber, 60),
-        fetch_gb_per_s: v.optional(positiveNumber, 1),
-        price: v.optional(positiveNumber, 1),
-        spot_price: v.optional(positiveNumber, 0.4),
-        boot_s: v.optional(positiveNumber, 15),
-        zones: v.optional(v.array(nonEmptyString)),
-      }),
-    ),
-    v.minLength(1, 'at least one type'),
-  ),
-  teams: v.array(
-    v.strictObject({
-      name: nonEmptyString,
-      cpus: v.optional(nonNegativeNumber, 0),
-      cpus_max: v.optional(nonNegativeNumber, 0),
-      gpus: v.optional(nonNegativeNumber, 0),
-      gpus_max: v.optional(nonNegativeNumber, 0),
-    }),
-  ),
-  /** Machines that are up at the start. */
-  machines: v.optional(
-    v.array(
-      v.strictObject({
-        type: nonEmptyString,
-        zone: nonEmptyString,
-        spot: optionalFlag,
-        count: positiveInteger,
-      }),
-    ),
-    [],
-  ),
-});
-
-const loadSchema = v.strictObject({
-  class: nonEmptyString,
-  team: nonEmptyString,
-  shape: v.optional(v.picklist(['array', 'gang', 'service'], 'array, gang or service'), 'array'),
-  priority: v.optional(v.picklist(['critical', 'urgent', 'standard', 'best_effort']), 'standard'),
-  tasks: v.optional(range, [1, 1]),
-  cpus: v.optional(positiveNumber, 1),
-  gpus: v.optional(nonNegativeNumber, 0),
-  memory_gb: v.optional(nonNegativeNumber, 1),
-  run_s: v.optional(range, [5, 20]),
-  images: v.optional(positiveInteger, 3),
-  image_gb: v.optional(positiveNumber, 1),
-  per_minute: v.optional(nonNegativeNumber, 0),
-  at_start: v.optional(nonNegativeInteger, 0),
-  until_s: v.optional(positiveNumber, 1e9),
-  /** Share of the jobs that their users cancel, and when, counted from their acceptance. */
-  cancel_share: v.optional(fraction, 0),
-  cancel_after_s: v.optional(range, [1, 30]),
-  types: v.optional(v.array(nonEmptyString)),
-  zone: v.optional(nonEmptyString),
-  same_zone: optionalFlag,
-  spread: optionalFlag,
-  spot: optionalFlag,
-  checkpoint_s: v.optional(nonNegativeNumber, 0),
-  save_s: v.optional(nonNegativeNumber, 0),
-});
-
-/** What may set off a fault; `nth` counts from the time `at_s`. */
-export const EVENTS = [
-  'part_claimed',
-  'commit',
-  'accepted',
-  'cancel_confirmed',
-  'job_done',
-  'task_started',
-  'gang_gathers',
-  'gang_started',
-  'controller_started',
-  'controller_ended',
-] as const;
-
-const timing = {
-  at_s: v.optional(nonNegativeNumber, 0),
-  on: v.optional(v.picklist(EVENTS, `one of ${EVENTS.join(', ')}`)),
-  /** With `on = "commit"`: the key, or what it begins with. */
-  key: v.optional(nonEmptyString),
-  nth: v.optional(positiveInteger, 1),
-  after_ms: v.optional(nonNegativeNumber, 0),
-};
-const lasting = { ...timing, for_s: v.optional(nonNegativeNumber, 10) };
-/** A controller by its number, or the one of the event; none: any. */
-const oneNode = {
-  node: v.optional(v.union([nonNegativeInteger, v.literal('event')], 'a number or "event"')),
-};
-/** Machines by number, share or zone, or the one that the event concerns; none: one. */
-const some = {
-  count: v.optional(positiveInteger),
-  share: v.optional(fraction),
-  zone: v.optional(nonEmptyString),
-  machine: v.optional(v.literal('event', '"event"')),
-};
-const mode = { mode: v.optional(v.picklist(['drop', 'hold', 'refuse'], 'drop, hold or refuse'), 'hold') };
-
-const faultKind = <K extends string, T extends v.ObjectEntries>(k: K, entries: T) =>
-  v.strictObject({ kind: v.literal(k), ...entries });
-
-const faultSchema = v.variant('kind', [
-  faultKind('controller_end', { ...timing, ...oneNode, restart_s: v.optional(nonNegativeNumber) }),
-  faultKind('all_controllers_end', { ...timing, restart_s: v.optional(nonNegativeNumber) }),
-  faultKind('controllers_restart', { ...timing, gap_s: v.optional(positiveNumber, 8) }),
-  faultKind('controller_pause', { ...lasting, ...oneNode }),
-  faultKind('node_cut', {
-    ...lasting,
-    ...oneNode,
-    ...mode,
-    from_state: optionalFlag,
-    from_peers: optionalFlag,
-    from_workers: optionalFlag,
-    from_users: optionalFlag,
-  }),
-  faultKind('peers_refused', lasting),
-  faultKind('zone_cut', { ...lasting, ...mode, zone: nonEmptyString }),
-  faultKind('zones_cut', { ...lasting, ...mode, zone: nonEmptyString, other_zone: nonEmptyString }),
-  faultKind('state_outage', lasting),
-  faultKind('state_refuses', { ...lasting, ...oneNode }),
-  faultKind('state_slow', { ...lasting, slow_ms: v.optional(positiveNumber, 400) }),
-  faultKind('late_writes', { ...lasting, share: v.optional(fraction, 0.3), at_once: optionalFlag }),
-  faultKind('late_reports', { ...lasting, share: v.optional(fraction, 0.3), for_next: optionalFlag }),
-  faultKind('late_commands', { ...lasting, share: v.optional(fraction, 0.3) }),
-  faultKind('cloud_outage', lasting),
-  faultKind('cloud_empty', lasting),
-  faultKind('late_rentals', { ...lasting, share: v.optional(fraction, 0.5) }),
-  faultKind('fast_boots', lasting),
-  faultKind('machine_deaf', { ...lasting, ...some }),
-  faultKind('machine_mute', { ...lasting, ...some }),
-  faultKind('machine_cut', { ...lasting, ...mode, ...some }),
-  faultKind('machine_hang', { ...lasting, ...some }),
-  faultKind('machine_sick', { ...lasting, ...some }),
-  faultKind('machine_slow', { ...lasting, ...some, times: v.optional(positiveNumber, 3) }),
-  faultKind('machine_end', { ...timing, ...some }),
-  faultKind('spot_wave', { ...timing, ...some, notice_s: v.optional(nonNegativeNumber, 10) }),
-  faultKind('cancel_now', {
-    ...timing,
-    count: v.optional(positiveInteger, 1),
-    hang_s: v.optional(nonNegativeNumber, 0),
-  }),
-  faultKind('cancel_at_end', { ...lasting, share: v.optional(fraction, 0.3) }),
-  faultKind('odd_requests', lasting),
-  faultKind('close_looks', lasting),
-  faultKind('surge', { ...lasting, class: nonEmptyString, times: v.optional(positiveNumber, 4) }),
-]);
-
-const scenarioSchema = v.strictObject({
-  name: nonEmptyString,
-  seed: v.optional(nonNegativeInteger, 1),
-  duration_s: v.optional(positiveNumber, 180),
-  deployment: deploymentSchema,
-  load: v.pipe(v.array(loadSchema), v.minLength(1, 'at least one load')),
-  faults: v.optional(v.array(faultSchema), []),
-});
-
-export type Scenario = v.InferOutput<typeof scenarioSchema>;
-/** A scenario as a file gives it, with defaults left out. */
-export type ScenarioInput = v.InferInput<typeof scenarioSchema>;
-export type Deployment = Scenario['deployment'];
-export type Load = Scenario['load'][number];
-export type Fault = Scenario['faults'][number];
-export type FaultInput = NonNullable<ScenarioInput['faults']>[number];
-export type EventName = (typeof EVENTS)[number];
-
-function fieldPath(issue: v.BaseIssue<unknown>): string {
-  return (issue.path ?? [])
-    .map((p) => (typeof p.key === 'number' ? `[${p.key}]` : `.${String(p.key)}`))
-    .join('')
-    .slice(1);
-}
+type ExpectKnown = (field: string, known: readonly string[], used: string | undefined) => void;
 
 /** Names that the scenario uses must be those that it defines. */
 function checkNames(scenario: Scenario, file: string): void {
-  const { zones, types, teams, machines, controllers, lease_s, cancel_s } = scenario.deployment;
-  if (cancel_s <= lease_s)
-    throw new ScenarioError(`${file}: deployment.cancel_s: expected more than lease_s (${lease_s})`);
-  const typeNames = types.map((t) => t.name);
-  const expect = (field: string, known: readonly string[], used: string | undefined): void => {
+  const { lease_s: leaseS, cancel_s: cancelS } = scenario.deployment;
+  if (cancelS <= leaseS)
+    throw new ScenarioError(`${file}: deployment.cancel_s: expected more than lease_s (${leaseS})`);
+  const expectKnown: ExpectKnown = (field, known, used) => {
     if (used !== undefined && !known.includes(used))
       throw new ScenarioError(`${file}: ${field}: expected one of ${known.join(', ')}, got "${used}"`);
   };
-  controllers.forEach((zone, i) => expect(`deployment.controllers[${i}]`, zones, zone));
-  types.forEach((t, i) =>
-    t.zones?.forEach((zone, j) => expect(`deployment.types[${i}].zones[${j}]`, zones, zone)),
+  checkDeploymentNames(scenario.deployment, expectKnown);
+  checkLoadNames(scenario, expectKnown);
+  checkFaults(scenario, file, expectKnown);
+}
+
+function checkDeploymentNames(deployment: Deployment, expectKnown: ExpectKnown): void {
+  const { zones, types, machines, controllers } = deployment;
+  const typeNames = types.map((type) => type.name);
+  controllers.forEach((zone, index) => expectKnown(`deployment.controllers[${index}]`, zones, zone));
+  types.forEach((type, index) =>
+    type.zones?.forEach((zone, zoneIndex) =>
+      expectKnown(`deployment.types[${index}].zones[${zoneIndex}]`, zones, zone),
+    ),
   );
-  machines.forEach((m, i) => {
-    expect(`deployment.machines[${i}].type`, typeNames, m.type);
-    expect(`deployment.machines[${i}].zone`, zones, m.zone);
+  machines.forEach((machine, index) => {
+    expectKnown(`deployment.machines[${index}].type`, typeNames, machine.type);
+    expectKnown(`deployment.machines[${index}].zone`, zones, machine.zone);
   });
-  scenario.load.forEach((l, i) => {
-    expect(
-      `load[${i}].team`,
-      teams.map((t) => t.name),
-      l.team,
+}
+
+function checkLoadNames({ deployment, load: loads }: Scenario, expectKnown: ExpectKnown): void {
+  const typeNames = deployment.types.map((type) => type.name);
+  const teamNames = deployment.teams.map((team) => team.name);
+  loads.forEach((load, index) => {
+    expectKnown(`load[${index}].team`, teamNames, load.team);
+    expectKnown(`load[${index}].zone`, deployment.zones, load.zone);
+    load.types?.forEach((type, typeIndex) =>
+      expectKnown(`load[${index}].types[${typeIndex}]`, typeNames, type),
     );
-    expect(`load[${i}].zone`, zones, l.zone);
-    l.types?.forEach((t, j) => expect(`load[${i}].types[${j}]`, typeNames, t));
   });
-  scenario.faults.forEach((f, i) => {
-    if ('zone' in f) expect(`faults[${i}].zone`, zones, f.zone);
-    if ('other_zone' in f) expect(`faults[${i}].other_zone`, zones, f.other_zone);
-    if ('class' in f)
-      expect(
-        `faults[${i}].class`,
-        scenario.load.map((l) => l.class),
-        f.class,
-      );
-    if ('node' in f && typeof f.node === 'number' && f.node >= controllers.length)
-      throw new ScenarioError(`${file}: faults[${i}].node: expected less than ${controllers.length}`);
-    if (f.key !== undefined && f.on !== 'commit')
-      throw new ScenarioError(`${file}: faults[${i}].key: expected only with on = "commit"`);
+}
+
+function checkFaults(
+  { deployment, load: loads, faults }: Scenario,
+  file: string,
+  expectKnown: ExpectKnown,
+): void {
+  const { zones, controllers } = deployment;
+  const classes = loads.map((load) => load.class);
+  faults.forEach((fault, index) => {
+    if ('zone' in fault) expectKnown(`faults[${index}].zone`, zones, fault.zone);
+    if ('other_zone' in fault) expectKnown(`faults[${index}].other_zone`, zones, fault.other_zone);
+    if ('class' in fault) expectKnown(`faults[${index}].class`, classes, fault.class);
+    if ('node' in fault && typeof fault.node === 'number' && fault.node >= controllers.length)
+      throw new ScenarioError(`${file}: faults[${index}].node: expected less than ${controllers.length}`);
+    if (fault.key !== undefined && fault.on !== 'commit')
+      throw new ScenarioError(`${file}: faults[${index}].key: expected only with on = "commit"`);
   });
 }
 
-/** Fills in the defaults and checks everything. */
+/** Fills in the defaults and checks everything; `file` names the scenario in errors. Throws ScenarioError. */
 export function checkScenario(input: unknown, file: string): Scenario {
   const result = v.safeParse(scenarioSchema, input, { abortEarly: true });
   if (!result.success) {
@@ -305,6 +96,7 @@
   return result.output;
 }
 
+/** Reads a scenario from TOML; `file` names it in errors. Throws ScenarioError. */
 export function parseScenario(text: string, file: string): Scenario {
   let data: unknown;
   try {
@@ -317,4 +109,5 @@
   return checkScenario(data, file);
 }
 
+/** The scenario as TOML, with all defaults written out; `parseScenario` reads it back. */
 export const formatScenario = (scenario: Scenario): string => stringify(scenario);
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -6,7 +6,8 @@
 import type { LogLevel } from '../settings/settings.js';
 import { Arrivals } from './arrivals.js';
 import { EventQueue, Host } from './clock.js';
-import { SimulatedCloud, type SimulatedInstanceType } from './cloud.js';
+import { SimulatedCloud } from './cloud.js';
+import type { SimulatedInstanceType } from './cloud-machine.js';
 import { ControllerNode, type ControllerEnvironment } from './controller-node.js';
 import type { Defect, Defects } from './defects.js';
 import { FaultSchedule } from './fault-schedule.js';
@@ -25,10 +26,15 @@
 import { Trace } from './trace.js';
 import { Users } from './users.js';
 
+/** Relative: 0.0005 is 0.05% fast. */
 const MAX_CLOCK_DRIFT = 0.0005;
+const STANDARD_ERROR = 2;
+/** When heartbeats that were kept until the next failover arrive after it. */
+const DELAYED_HEARTBEAT_MS = { low: 1, high: 50 };
 /** Between the starts of controllers and machines at the beginning. */
 const START_SPREAD_MS = 400;
 
+/** How a scenario is run. */
 export interface SimulationOptions {
   readonly seed: number;
   readonly untilS?: number;
@@ -41,6 +47,7 @@
   readonly defects?: readonly Defect[];
 }
 
+/** What a run has shown; the fields are those that `simulate run --json` prints. */
 export interface SimulationResult {
   readonly scenario: string;
   readonly seed: number;
@@ -53,6 +60,7 @@
   readonly trace: readonly string[];
 }
 
+/** The simulated cluster of one scenario; an instance runs once. */
 export class Simulation {
   readonly queue = new EventQueue();
   readonly trace: Trace;
@@ -68,7 +76,7 @@
   readonly links = new WorkerLinks();
   readonly storeHost: Host;
   readonly userHost: Host;
-  /** Share of the jobs that end that are called off at the moment of the end. */
+  /** Share of the jobs that are cancelled at the moment at which they complete. */
   cancelOnCompletionShare = 0;
   private readonly cloudHost: Host;
   private readonly random: RandomStream;
@@ -116,17 +124,22 @@
   }
 
   private buildNetwork(): Network {
-    const { same_zone_ms, cross_zone_ms, jitter, loss } = this.scenario.deployment.network;
-    const options = { sameZoneMs: same_zone_ms, crossZoneMs: cross_zone_ms, jitter, loss };
+    const {
+      same_zone_ms: sameZoneMs,
+      cross_zone_ms: crossZoneMs,
+      jitter,
+      loss,
+    } = this.scenario.deployment.network;
+    const options = { sameZoneMs, crossZoneMs, jitter, loss };
     return new Network(this.queue, options, this.random.fork('network'));
   }
 
   private buildStoreService(defects: Defects): StoreService {
-    const { rps, write_rps, value_kb, txn_ops } = this.scenario.deployment.state;
-    const limits = { rps, writeRps: write_rps, valueKb: value_kb, txnOps: txn_ops };
-    const state = new StoreService(this.queue, limits, this.random.fork('state'), defects);
-    state.onCommit = (body, from) => this.onCommit(body, from);
-    return state;
+    const { rps, write_rps: writeRps, value_kb: valueKb, txn_ops: txnOps } = this.scenario.deployment.state;
+    const limits = { rps, writeRps, valueKb, txnOps };
+    const storeService = new StoreService(this.queue, limits, this.random.fork('state'), defects);
+    storeService.onCommit = (body, from) => this.onCommit(body, from);
+    return storeService;
   }
 
   private buildCloud(): SimulatedCloud {
@@ -154,10 +167,10 @@
   }
 
   private buildInvariantChecker(): InvariantChecker {
-    const { teams, cancel_s } = this.scenario.deployment;
+    const { teams, cancel_s: cancelS } = this.scenario.deployment;
     const checker = new InvariantChecker(this.queue, {
       teams: teams.map((team) => ({ name: team.name, cpusMax: team.cpus_max, gpusMax: team.gpus_max })),
-      cancelS: cancel_s,
+      cancelS,
       machines: () => this.machines.usableMachines(),
     });
     checker.onViolation = (violation) => {
@@ -168,14 +181,14 @@
   }
 
   private buildGangs(observer: Observer): GangRegistry {
-    const { gang_wait_s, gang_peer_s } = this.scenario.deployment;
+    const { gang_wait_s: gangWaitS, gang_peer_s: gangPeerS } = this.scenario.deployment;
     return new GangRegistry({
       queue: this.queue,
       random: this.random.fork('gangs'),
       storage: this.storage,
       trace: this.trace,
       observer,
-      times: { startTimeoutMs: gang_wait_s * 1000, peerTimeoutMs: gang_peer_s * 1000 },
+      times: { startTimeoutMs: gangWaitS * 1000, peerTimeoutMs: gangPeerS * 1000 },
     });
   }
 
@@ -188,9 +201,9 @@
         ? silentLog()
         : pino(
             { level, base: { node: name }, timestamp: () => `,"atS":${this.queue.now / 1000}` },
-            pino.destination({ fd: 2, sync: true }),
+            pino.destination({ fd: STANDARD_ERROR, sync: true }),
           );
-    const environmentOf = (name: string): ControllerEnvironment => ({
+    const buildEnvironment = (name: string): ControllerEnvironment => ({
       queue: this.queue,
       network: this.network,
       trace: this.trace,
@@ -207,7 +220,7 @@
     return deployment.controllers.map((_, index) => {
       const name = `n${index}`;
       const settings = parseSettings(formatSettings(deployment, index), `${name}.toml`);
-      return new ControllerNode(name, settings, random.between(0, MAX_CLOCK_DRIFT), environmentOf(name));
+      return new ControllerNode(name, settings, random.between(0, MAX_CLOCK_DRIFT), buildEnvironment(name));
     });
   }
 
@@ -221,7 +234,7 @@
     });
   }
 
-  /** Passes on to the judge what it sees, and to the faults what they may wait for. */
+  /** Passes on what is observed to the invariant checker, and to the faults what they may wait for. */
   private observer(): Observer {
     const { invariantChecker: checker } = this;
     return {
@@ -247,7 +260,7 @@
     };
   }
 
-  /** A user may call a job off at the very moment at which its last task completes. */
+  /** A user may cancel a job at the very moment at which its last task completes. */
   private countCompleted(task: string): void {
     const job = this.storage.jobOf(task);
     if (!job) return;
@@ -262,9 +275,11 @@
     if (!keys.some((key) => key.startsWith(SHARDS_PREFIX))) return;
     this.trace.add(`${from} writes ${keys.join(' ')}`);
     this.faults.onEvent({ name: 'part_claimed', node: from, keys });
-    for (const { body: report } of this.links.takeDelayedHeartbeats())
+    for (const { body: heartbeat } of this.links.takeDelayedHeartbeats())
       for (const node of this.nodes)
-        this.queue.after(this.random.between(1, 50), () => this.machines.deliverHeartbeatCopy(node, report));
+        this.queue.after(this.random.within(DELAYED_HEARTBEAT_MS), () =>
+          this.machines.deliverHeartbeatCopy(node, heartbeat),
+        );
   }
 
   startNode(node: ControllerNode): void {
--- a/src/simulation/user-jobs.ts
+++ b/src/simulation/user-jobs.ts
@@ -1,6 +1,9 @@
-/** The jobs that the model's users submit, and what is true of them: how long a task runs, what is saved, what is done. */
+/** The jobs that simulated users submit, and what is true of them: how long a task runs, what is saved, what is done. */
+
+/** Priority of a job, in the names of scenario files and of the HTTP interface. */
 export type UserPriority = 'critical' | 'urgent' | 'standard' | 'best_effort';
 
+/** A job as its user knows it; times in seconds, sizes in gigabytes. */
 export interface UserJob {
   readonly id: string;
   readonly class: string;
@@ -59,6 +62,15 @@
   /** Tasks whose result is kept. */
   readonly results = new Set<string>();
 
+  /** Keeps what was saved at the last of the regular checkpoints, `key` being a task or the job of a gang. */
+  keepLastCheckpoint(key: string, job: UserJob, progressMs: number): void {
+    const intervalMs = job.checkpointIntervalS * 1000;
+    if (intervalMs <= 0) return;
+    const kept = Math.floor(progressMs / intervalMs) * intervalMs;
+    this.checkpoints.set(key, Math.max(this.checkpoints.get(key) ?? 0, kept));
+  }
+
+  /** The job of a task, by the task's name `job/index`; null: there is no such task. */
   jobOf(task: string): UserJob | null {
     const cut = task.lastIndexOf('/');
     const job = this.jobs.get(task.slice(0, cut));
