--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -72,7 +72,7 @@
 };
 
 /** The bytes of a response as text, head and body. */
-export function encodeResponse(response: HttpResponse, keepAlive: boolean): string {
+function encodeResponse(response: HttpResponse, keepAlive: boolean): string {
   const body = JSON.stringify(response.body);
   const retry = response.retryAfterS === undefined ? '' : `Retry-After: ${response.retryAfterS}\r\n`;
   const close = keepAlive ? '' : 'Connection: close\r\n';
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -5,7 +5,6 @@
 import { checkSettingsFile, type SettingsFile } from './schema.js';
 import { SettingsError, readTextFile } from './settings-error.js';
 
-export { SettingsError };
 export { parseLogLevel, type LogLevel } from './log-level.js';
 export { parseTuning, type Tuning } from './tuning.js';
 
--- a/src/shards/model.ts
+++ b/src/shards/model.ts
@@ -10,5 +10,5 @@
   type ShardJob,
 } from './job.js';
 export { freeResources, hasUnknownUsage, newMachine, type Machine } from './machine.js';
-export { Shard, usageOf, type Usage } from './shard.js';
+export { Shard, usageOf } from './shard.js';
 export { isAssignedTo, syncJob } from './sync.js';
--- a/src/simulation/gangs.ts
+++ b/src/simulation/gangs.ts
@@ -46,6 +46,9 @@
   readonly times: GangTimes;
 }
 
+/**
+ *
+ */
 class GangAttempt {
   private phase: AttemptPhase = 'gathering';
   private readonly members = new Set<GangMember>();
@@ -156,7 +159,10 @@
       (this.phase === 'running' || this.phase === 'stopping') &&
       this.job.checkpointIntervalS > 0 &&
       graceS >= this.job.checkpointDurationS;
-    if (saves) return this.beginCheckpoint(member);
+    if (saves) {
+      this.beginCheckpoint(member);
+      return;
+    }
     this.members.delete(member);
     member.exit('halted', false);
     if (this.phase === 'running' || this.phase === 'stopping') this.failAttempt();
--- a/src/simulation/image-cache.ts
+++ b/src/simulation/image-cache.ts
@@ -32,7 +32,8 @@
     if (size !== undefined) {
       this.sizeByImage.delete(image);
       this.sizeByImage.set(image, size);
-      return onReady();
+      onReady();
+      return;
     }
     this.advanceFetches();
     const fetch = this.fetches.get(image) ?? { gb, leftGb: gb, waiting: new Map<string, () => void>() };
--- a/src/simulation/machines.ts
+++ b/src/simulation/machines.ts
@@ -193,7 +193,10 @@
 
   private scheduleHeartbeatCopy(host: Host, node: ControllerNode, body: object): void {
     const { links, queue, random, times } = this.environment;
-    if (links.lateHeartbeats.forNext) return links.delayHeartbeat(host, body);
+    if (links.lateHeartbeats.forNext) {
+      links.delayHeartbeat(host, body);
+      return;
+    }
     const delay = random.between(MIN_LATE_HEARTBEAT_MS, 2 * times.leaseMs);
     queue.after(delay, () => this.deliverHeartbeatCopy(node, body));
   }
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -118,7 +118,10 @@
     const key = `${from.name}/${from.lifetime}>${to.name}/${to.lifetime}`;
     const connected = to.up && (this.connections.get(key) ?? 0) > this.queue.now;
     return new Promise((resolve) => {
-      if (connected) return this.request(exchange, key, resolve);
+      if (connected) {
+        this.request(exchange, key, resolve);
+        return;
+      }
       const result = this.connect(from, to);
       if (result === 'open') {
         // The handshake takes a round trip.
