--- /dev/null
+++ b/test/overflow/task-transfer.test.ts
@@ -0,0 +1,45 @@
+/** The choice of tasks that overflow to a peer. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { Core } from '../../src/core.js';
+import { chooseTaskTransfer } from '../../src/overflow/task-transfer.js';
+import { seededRandom } from '../../src/model/random.js';
+import type { FreeCapacity } from '../../src/peers/free-capacity.js';
+import { Shard, syncJob, type ShardJob } from '../../src/shards/model.js';
+import { RangeSet } from '../../src/model/ranges.js';
+import type { ShardId, SteadyMs } from '../../src/model/units.js';
+import { buildJobSpec } from '../support/job-specs.js';
+
+test('a record that cannot hold another range does not stop other jobs from being handed over', () => {
+  const now = 10_000 as SteadyMs;
+  const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
+  const machines = [{ type: 't', zone: 'east', spot: false, cpus: 64, gpus: 0, memoryGb: 64, count: 4 }];
+  const capacity = { shard: 1, zone: 'east', expiresAt: 99_000, machines } as unknown as FreeCapacity;
+  const settings = { shards: [], zone: 'east', maxValueBytes: 1000 };
+  const core = { settings, freeCapacity: new Map([[capacity.shard, capacity]]), random: seededRandom(1) };
+  const unplaced = ['req-scattered', 'req-plain'].map((id, i) => {
+    // Every other task of the first is entrusted to somebody else already.
+    const pieces =
+      i === 0
+        ? Array.from({ length: 200 }, (_, k) => [k, k + 1, 2 * (k % 2)] as const)
+        : [[0, 200, 0] as const];
+    const assignments = pieces.map(([from, to, shardId]) => ({
+      from,
+      to,
+      shard: shardId as ShardId,
+      zone: null,
+    }));
+    const record = {
+      spec: buildJobSpec({ id, tasks: 200 }),
+      homeShard: 0,
+      assignments,
+      done: RangeSet.empty(),
+    } as never;
+    syncJob(shard, record, (i + 1) as never, 0 as SteadyMs, false);
+    const job = shard.jobs.get(id as never) as ShardJob;
+    return { job, reason: 'capacity' as const, indices: [...job.waiting] };
+  });
+  const choice = chooseTaskTransfer(core as unknown as Core, shard, unplaced, now);
+  assert.equal(choice?.job.id, 'req-plain');
+  assert.equal(choice.tasks.size, 128);
+});
