--- a/src/scheduling/candidates.ts
+++ b/src/scheduling/candidates.ts
@@ -1,6 +1,6 @@
 /**
- * Filters and scores the machines on which tasks of one job may start, best first. Pure: reads the shard and what a
- * scheduling cycle has left free.
+ * Filters and scores the machines on which tasks of one job may start, best first. Pure: reads the shard and
+ * the resources that the decisions of a scheduling cycle leave free.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
@@ -20,7 +20,7 @@
 import { mayRunOn } from '../model/constraints.js';
 import type { SchedulingCycle } from './scheduling-cycle.js';
 
-/** By the first numbers that differ; 0: all are equal. */
+/** Compares by the first numbers that differ; returns 0 if all are equal. */
 export function compareLexicographically(first: readonly number[], second: readonly number[]): number {
   for (let position = 0; position < first.length; position += 1) {
     const difference = (first[position] as number) - (second[position] as number);
@@ -35,17 +35,21 @@
   readonly score: readonly number[];
 }
 
-/** Steps in which replicas fill a machine: up to a half first, so that preemptible work has the rest. */
+/**
+ * Number of steps in which replicas fill a machine: up to a half first, so that the other half is left to
+ * preemptible tasks.
+ */
 const CROWDING_STEPS = 2;
 /** How long after its registration a machine counts as new. */
 const NEW_MACHINE_MS = 4000;
 
 /**
- * Machines that hold the image first, then those that are fetching it, then those with most free. Found and ordered
- * once for all tasks of the job in a cycle.
+ * The machines on which tasks of a job may start, found and sorted once for all tasks of the job in a cycle:
+ * first the machines that hold the image, then those that are fetching it, then those with the most free
+ * resources.
  */
 export class CandidateMachines {
-  /** Candidates of equal preference together, the best first. */
+  /** Groups of candidates of equal preference, best first; null until they are needed. */
   private scoreGroups: Candidate[][] | null = null;
   private groupPosition = 0;
 
@@ -53,12 +57,18 @@
     private readonly shard: Shard,
     private readonly job: ShardJob,
     private readonly types: ReadonlyMap<InstanceTypeId, InstanceType>,
-    /** Free on a machine as the cycle leaves it; null: no task of the job may start there. */
+    /**
+     * Returns the free resources of a machine after the decisions so far; null if no task of the job may
+     * start there.
+     */
     private readonly freeResourcesOn: (machine: Machine) => Resources | null,
     private readonly now: SteadyMs,
   ) {}
 
-  /** The best machine with enough free; `preferred`, the one reserved for this task, if it has enough by now. */
+  /**
+   * Returns the best machine with enough free resources: `preferred`, the machine reserved for the task, if
+   * it has enough by now.
+   */
   next(preferred?: Machine): Machine | null {
     const { job } = this;
     if (preferred) {
@@ -66,8 +76,9 @@
       if (free && fits(job.spec, free)) return preferred;
     }
     this.scoreGroups ??= groupByPreference(this.findCandidates());
-    // Batch work fills the best machine before the next; replicas take turns among equal machines.
-    const fill = job.spec.kind === 'array';
+    // Tasks of arrays fill the best machine before the next one; other tasks rotate among equally preferred
+    // machines.
+    const fillsMachines = job.spec.kind === 'array';
     for (
       let group = this.scoreGroups[0];
       group;
@@ -78,7 +89,7 @@
         const { machine, freeResources: free } = candidate;
         const crowded = isCrowded(machine, free, job.spec, this.types.get(machine.type), this.now);
         const fitting = !crowded && fits(job.spec, free);
-        if (!fill || !fitting) this.groupPosition += 1;
+        if (!fillsMachines || !fitting) this.groupPosition += 1;
         if (fitting) return candidate.machine;
       }
     }
@@ -96,7 +107,10 @@
     return candidates.sort((a, b) => compareLexicographically(a.score, b.score));
   }
 
-  /** Smaller numbers are better. Candidates that agree in the first two are of equal preference. */
+  /**
+   * Returns the sort key of a machine; smaller is better. Candidates that agree in the first two numbers are
+   * of equal preference.
+   */
   private score(machine: Machine, free: Resources): readonly number[] {
     const { spec } = this.job;
     // A machine on which a task of the job has failed is its last choice.
@@ -104,17 +118,20 @@
     const hasImage = machine.images.has(spec.image);
     const capacity = this.types.get(machine.type) ?? ZERO;
     const crowding = spec.kind === 'service' ? replicaCrowding(machine, free, spec, capacity) : 0;
-    // Replicas beyond half of a machine rather bring the image to one more machine than wait for this fetch.
+    // Replicas that would fill more than half of the machine fetch the image on another machine rather than
+    // wait for this fetch.
     const isFetchingImage = !hasImage && machine.requiredImages.has(spec.image) && crowding < CROWDING_STEPS;
-    // With the image at hand, batch work fills the fullest machine first: idle ones can be scaled in, and large tasks
-    // still find machines with much free.
-    const pack = (hasImage || isFetchingImage) && spec.kind === 'array';
-    // A task without checkpoints would lose its work with an interrupted spot machine: on-demand machines come first.
+    // If the machine holds the image or is fetching it, array tasks fill the fullest machine first: idle
+    // machines can be scaled in, and large tasks still find machines with many free resources.
+    const packs = (hasImage || isFetchingImage) && spec.kind === 'array';
+    // A task without checkpoints would lose its work if its spot machine were interrupted: on-demand machines
+    // are preferred.
     const interruptionRisk = machine.spot && spec.checkpointIntervalS === 0 ? 1 : 0;
-    // Replicas stay together: machines without any become idle when batch work ends, and are scaled in.
+    // Machines that already run critical tasks are preferred for replicas: the others become idle when batch
+    // work ends, and are scaled in.
     const withoutReplicas = spec.kind === 'service' && isZero(criticalUsage(machine)) ? 1 : 0;
     const freeCpus = freeAsCpus(free, capacity, spec);
-    const packingOrder = pack ? freeCpus : -(freeCpus + freeCpus / Math.max(1, capacity.cpus));
+    const packingOrder = packs ? freeCpus : -(freeCpus + freeCpus / Math.max(1, capacity.cpus));
     return [
       failed,
       hasImage ? 0 : isFetchingImage ? 1 : 2,
@@ -126,10 +143,12 @@
   }
 }
 
-/** No machine is left out. */
+/** Machine filter that accepts every machine. */
 export const anyMachine = (): boolean => true;
 
-/** Where tasks of a job that this zone is required for may start; null: any zone. */
+/**
+ * Returns the machines on which tasks of the job may start that must run in the zone; null means any zone.
+ */
 export function candidatesFor(
   cycle: SchedulingCycle,
   job: ShardJob,
@@ -146,15 +165,19 @@
 
 const criticalUsage = (machine: Machine): Resources => subtract(machine.used, machine.preemptible);
 
-/** In steps: how much of the machine replicas would take, with those of this cycle, which are placed before others. */
+/**
+ * Returns how much of the machine replicas would take with one more, in steps. Includes replicas placed in
+ * this cycle, since they are placed before other tasks.
+ */
 function replicaCrowding(machine: Machine, free: Resources, spec: JobSpec, capacity: Resources): number {
   const usedByReplicas = add(subtract(subtract(capacity, machine.preemptible), free), spec);
   return Math.ceil(CROWDING_STEPS * dominantShare(usedByReplicas, capacity) - TOLERANCE);
 }
 
 /**
- * Would a replica take more than half of a new machine that has yet to fetch its image? As a cluster starts, machines
- * come one by one: the first would be filled with replicas alone, and nothing could be preempted there later.
+ * Returns true if a replica would take more than half of a new machine that does not hold its image yet. When
+ * a cluster starts, its machines register one by one: without this limit the first would be filled with
+ * replicas only, and nothing could be preempted there later.
  */
 export function isCrowded(
   machine: Machine,
@@ -170,12 +193,12 @@
 
 function groupByPreference(candidates: readonly Candidate[]): Candidate[][] {
   const groups: Candidate[][] = [];
-  let last: Candidate | null = null;
+  let previous: Candidate | null = null;
   for (const candidate of candidates) {
-    if (last?.score[0] === candidate.score[0] && last?.score[1] === candidate.score[1])
+    if (previous?.score[0] === candidate.score[0] && previous?.score[1] === candidate.score[1])
       groups.at(-1)?.push(candidate);
     else groups.push([candidate]);
-    last = candidate;
+    previous = candidate;
   }
   return groups;
 }
--- a/src/scheduling/consolidation.ts
+++ b/src/scheduling/consolidation.ts
@@ -1,7 +1,7 @@
 /**
- * Moves replicas together while nothing waits and half of the capacity is free: a machine that runs for one replica
- * costs as much as a full one. One replica at a time, from the machine with the least load to one that holds the image,
- * so that it is down for a moment only. Pure.
+ * Consolidates replicas on fewer machines while nothing waits and half of the capacity is free: a machine
+ * that runs for one replica costs as much as a full machine. Moves one replica at a time, from the least
+ * loaded machine to one that holds the image, so that the replica is down only briefly. Pure.
  */
 import {
   addTo,
@@ -23,37 +23,43 @@
 import { type SchedulingContext } from './cycle.js';
 import { isSchedulable } from '../shards/machine-health.js';
 
-/** Decision: this replica stops and starts again on the target. */
+/** Decision to stop a replica and to start it again on the target. */
 export interface Relocation {
   readonly allocation: Allocation;
   readonly target: Machine;
 }
 
-/** A replica moves only after it has run for this long, so that no service restarts over and over. */
+/** Minimum run time of a replica before it is moved, so that no service restarts over and over. */
 const STABLE_AFTER_MS = 60_000;
-/** Capacity must be at least so many times what is used. */
-const MIN_CAPACITY_OVER_USED = 2;
+/** Minimum ratio of capacity to usage for consolidation. */
+const MIN_CAPACITY_TO_USAGE_RATIO = 2;
 
 type ConsolidationContext = Pick<SchedulingContext, 'now' | 'types' | 'heartbeatIntervalMs'>;
 
-/** The first move of those that would make a whole machine free; null: none is worth it, or some replica cannot move. */
+/**
+ * Returns the first of the relocations that would empty a machine; null if no machine is worth it or one of
+ * its replicas cannot move.
+ */
 export function chooseRelocation(shard: Shard, context: ConsolidationContext): Relocation | null {
   if (!isMostlyFree(shard, context)) return null;
-  const from = leastLoadedReplicaMachine(shard, context);
-  if (!from) return null;
+  const source = leastLoadedReplicaMachine(shard, context);
+  if (!source) return null;
   const relocations: Relocation[] = [];
-  const placedOn = new Map<Machine, number>();
-  for (const allocation of from.allocations.values()) {
-    const target = chooseTarget(shard, from, allocation, placedOn, context);
-    // A move is worth it only if the whole machine becomes free.
+  const plannedReplicas = new Map<Machine, number>();
+  for (const allocation of source.allocations.values()) {
+    const target = chooseTarget(shard, source, allocation, plannedReplicas, context);
+    // A relocation is worth it only if the whole machine becomes free.
     if (!target) return null;
-    placedOn.set(target, (placedOn.get(target) ?? 0) + 1);
+    plannedReplicas.set(target, (plannedReplicas.get(target) ?? 0) + 1);
     relocations.push({ allocation, target });
   }
   return relocations[0] ?? null;
 }
 
-/** Under load, replicas stay spread: a lost machine costs fewer, and there is work to preempt beside each. */
+/**
+ * Returns true if at least half of the capacity is free. Under load replicas stay spread: the loss of a
+ * machine then stops fewer of them, and each runs beside tasks that can be preempted.
+ */
 function isMostlyFree(shard: Shard, context: ConsolidationContext): boolean {
   const total: MutableResources = { ...ZERO };
   const used: MutableResources = { ...ZERO };
@@ -61,10 +67,10 @@
     addTo(total, context.types.get(machine.type) ?? ZERO);
     addTo(used, machine.used);
   }
-  return fits(scale(used, MIN_CAPACITY_OVER_USED), total);
+  return fits(scale(used, MIN_CAPACITY_TO_USAGE_RATIO), total);
 }
 
-/** By the dominant resource, as CPUs of the machine. */
+/** Returns the load of the machine in CPUs, by its dominant resource. */
 const loadInCpus = (machine: Machine, context: ConsolidationContext): number =>
   asCpus(machine.used, context.types.get(machine.type) ?? ZERO);
 
@@ -72,9 +78,9 @@
   return asCpus(subtract(machine.used, machine.preemptible), context.types.get(machine.type) ?? ZERO);
 }
 
-/** Of the machines with nothing but stable replicas the one with the least load. */
+/** Returns the least loaded of the machines that run stable replicas only. */
 function leastLoadedReplicaMachine(shard: Shard, context: ConsolidationContext): Machine | null {
-  let best: Machine | null = null;
+  let leastLoaded: Machine | null = null;
   for (const machine of shard.machines.values()) {
     if (
       machine.allocations.size === 0 ||
@@ -83,11 +89,11 @@
       !isSchedulable(machine, context)
     )
       continue;
-    if (best && loadInCpus(machine, context) >= loadInCpus(best, context)) continue;
+    if (leastLoaded && loadInCpus(machine, context) >= loadInCpus(leastLoaded, context)) continue;
     if ([...machine.allocations.values()].every((allocation) => isStableReplica(allocation, context)))
-      best = machine;
+      leastLoaded = machine;
   }
-  return best;
+  return leastLoaded;
 }
 
 const isStableReplica = (allocation: Allocation, context: ConsolidationContext): boolean =>
@@ -96,25 +102,31 @@
   allocation.runningSince !== null &&
   context.now - allocation.runningSince > STABLE_AFTER_MS;
 
-/** Stays free on machines with the image, for more replicas of a service: the largest machine, in CPUs. */
+/**
+ * Returns the CPUs that must stay free on machines with the image, for more replicas of a service: those of
+ * the largest machine.
+ */
 const headroomCpus = (context: ConsolidationContext): number => largestOf(context.types.values()).cpus;
 
-/** The fullest machine that holds the image and has more load than the one to become free; null: none. */
+/**
+ * Returns the most loaded machine that holds the image, has room and carries at least the load of the source
+ * in critical tasks; null if there is none, or if too little would stay free for more replicas.
+ */
 function chooseTarget(
   shard: Shard,
-  from: Machine,
+  source: Machine,
   allocation: Allocation,
-  placedOn: ReadonlyMap<Machine, number>,
+  plannedReplicas: ReadonlyMap<Machine, number>,
   context: ConsolidationContext,
 ): Machine | null {
   const job = shard.jobs.get(allocation.job);
   if (!allocation.spec || !job) return null;
   const zone = requiredZone(job, allocation.index);
-  let best: Machine | null = null;
-  let headroom = 0;
+  let mostLoaded: Machine | null = null;
+  let freeHeadroomCpus = 0;
   for (const machine of shard.totals.machinesWithImage(allocation.spec.image)) {
     if (
-      machine === from ||
+      machine === source ||
       !isSchedulable(machine, context) ||
       !mayRunOn(allocation.spec, machine.type, machine.zone, machine.spot, zone)
     )
@@ -122,16 +134,16 @@
     const type = context.types.get(machine.type) ?? ZERO;
     const remaining = subtract(
       freeResources(machine, context.types.get(machine.type)),
-      scale(allocation.spec, placedOn.get(machine) ?? 0),
+      scale(allocation.spec, plannedReplicas.get(machine) ?? 0),
     );
-    headroom += Math.max(0, freeAsCpus(remaining, type, allocation.spec));
+    freeHeadroomCpus += Math.max(0, freeAsCpus(remaining, type, allocation.spec));
     if (
-      criticalLoadInCpus(machine, context) <= loadInCpus(from, context) - TOLERANCE ||
+      criticalLoadInCpus(machine, context) <= loadInCpus(source, context) - TOLERANCE ||
       !fits(allocation.spec, remaining)
     )
       continue;
-    if (!best || loadInCpus(machine, context) > loadInCpus(best, context)) best = machine;
+    if (!mostLoaded || loadInCpus(machine, context) > loadInCpus(mostLoaded, context)) mostLoaded = machine;
   }
-  const needed = headroomCpus(context) + sizeOf(allocation.spec, context.types.values());
-  return headroom >= needed ? best : null;
+  const neededHeadroomCpus = headroomCpus(context) + sizeOf(allocation.spec, context.types.values());
+  return freeHeadroomCpus >= neededHeadroomCpus ? mostLoaded : null;
 }
--- a/src/scheduling/cycle.ts
+++ b/src/scheduling/cycle.ts
@@ -1,4 +1,4 @@
-/** What a scheduling cycle reads, and what it decides. */
+/** Input and output of a scheduling cycle: `SchedulingContext` and `SchedulingPlan`. */
 import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import type { Resources } from '../model/resources.js';
@@ -7,29 +7,40 @@
 import type { Attempt, JobId, MachineId, SteadyMs, TeamId, InstanceTypeId } from '../model/units.js';
 
 /**
- * A job that has waited this long without any start goes before all but critical work, whatever its priority. Its first
- * start ends that.
+ * A job that has waited this long without any start is overdue: until its first start it is scheduled before
+ * all jobs that are not critical, whatever its priority.
  */
 export const OVERDUE_AFTER_MS = 150_000;
 
-/** What a cycle reads beside the shard. Valid for one cycle. */
+/** Input of a cycle in addition to the shard. Valid for one cycle. */
 export interface SchedulingContext {
   readonly now: SteadyMs;
   readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
   readonly teams: ReadonlyMap<TeamId, Team>;
-  /** How much of the team's quota this shard may use. */
+  /** Returns how much of the team's quota this shard may use. */
   readonly shardQuota: (team: TeamId) => Resources;
-  /** What the team uses on other shards, by their announcements. */
+  /**
+   * Returns the usage of the team on all other shards. For shards led by other controllers it comes from
+   * their announcements.
+   */
   readonly usageOnOtherShards: (team: TeamId) => Resources;
-  /** What services of the team use on other shards, at most; they do not end by themselves. */
+  /**
+   * Returns an upper bound of what the team's services use on other shards. Services do not end by
+   * themselves.
+   */
   readonly servicesOnOtherShards: (team: TeamId) => Resources;
-  /** Does the job fit into its team's guaranteed quota together with the team's earlier unfinished jobs? */
+  /**
+   * Returns true if the job fits into its team's guaranteed quota together with the team's earlier unfinished
+   * jobs.
+   */
   readonly guaranteed: (job: JobId) => boolean;
-  /** Has a peer announced capacity for such a task? Then overflow is tried before preemption. */
+  /**
+   * Returns true if a peer has announced capacity for such a task. Overflow is then tried before preemption.
+   */
   readonly peerHasCapacity: (spec: JobSpec) => boolean;
-  /** The largest multiple of its deadline within which a job of this class is still of use. */
+  /** Returns the multiple of its deadline up to which a job of this class is still useful. */
   readonly maxLatenessFactor: (jobClass: string) => number;
-  /** Actual over estimated run time, as observed for this job class. */
+  /** Returns the ratio of actual to estimated run time observed for this job class. */
   readonly runtimeCorrection: (jobClass: string) => number;
   /** The interval between two heartbeats of a worker, in milliseconds. */
   readonly heartbeatIntervalMs: number;
@@ -37,16 +48,16 @@
   readonly gangWaitMs: number;
 }
 
-/** Decision: this task starts on this machine. */
+/** Decision to start a task on a machine. */
 export interface TaskStart {
   readonly job: ShardJob;
   readonly index: number;
   readonly machine: Machine;
-  /** The running attempt of its gang that the task joins; absent: a new attempt. */
+  /** The existing attempt of its gang that the task joins; absent if the task starts in a new attempt. */
   readonly attempt?: Attempt;
 }
 
-/** Why a cycle stops a task: which rule asks for it, and for which task or job room is made. */
+/** Why a cycle stops a task: the rule that applies, and the job or task for which the task is preempted. */
 export type StopCause =
   | {
       readonly reason: 'capacity';
@@ -57,7 +68,7 @@
   | { readonly reason: 'quota'; readonly preemptor: JobId }
   | { readonly reason: 'broken gang' };
 
-/** Decision: this task stops, and has the grace period to write a checkpoint. */
+/** Decision to stop a task, with a grace period in which it can write a checkpoint. */
 export interface TaskStop {
   readonly allocation: Allocation;
   readonly graceS: number;
@@ -67,30 +78,39 @@
 /** Waiting tasks of a job that the cycle could not place. */
 export interface UnplacedTasks {
   readonly job: ShardJob;
-  /** `capacity`: no machine has enough free; `quota`: the team's quota on this shard is used up. */
+  /** `capacity`: no machine has enough free resources; `quota`: the team's quota on this shard is used up. */
   readonly reason: 'capacity' | 'quota';
-  /** `all`: all waiting tasks of a job without required zones, without a list of thousands in every cycle. */
+  /**
+   * `all` means all waiting tasks of a job without required zones; it avoids a list of thousands of indices
+   * in every cycle.
+   */
   readonly indices: readonly number[] | 'all';
 }
 
-/** How many tasks the entry stands for. */
+/** Returns the number of tasks in the entry. */
 export const unplacedCount = (unplaced: UnplacedTasks): number =>
   unplaced.indices === 'all' ? unplaced.job.waiting.size : unplaced.indices.length;
 
-/** A gang that does not fit on its shard even if all preemptible work left, and how many members have no machine. */
+/**
+ * A gang that would not fit on its shard even if all preemptible tasks were stopped, with the number of
+ * members for which there is no machine.
+ */
 export interface OversizedGang {
   readonly job: ShardJob;
   readonly missingTasks: number;
 }
 
-/** Decision: resources of a machine are kept free for a task. */
+/** Decision to reserve resources of a machine for a task. */
 export interface PlannedReservation {
   readonly job: ShardJob;
   readonly index: number;
   readonly machine: MachineId;
-  /** The machine becomes free as its tasks end; otherwise tasks were stopped there for this one. */
+  /**
+   * True if the task waits until other tasks on the machine end by themselves, false if tasks are stopped to
+   * make room.
+   */
   readonly withoutPreemption: boolean;
-  /** The longest time to save, in seconds, of the tasks that are stopped for it. */
+  /** Longest grace period of the tasks that are stopped for the reservation, in seconds. */
   readonly graceS: number;
 }
 
@@ -118,16 +138,16 @@
   readonly starts: TaskStart[];
   readonly stops: TaskStop[];
   readonly reservations: PlannedReservation[];
-  /** For the log and its counters alone. */
+  /** Used only by the log and its counters. */
   readonly endedReservations: EndedReservation[];
   readonly unplaced: UnplacedTasks[];
-  /** By team: quota that one task, or one gang, needs and that smaller tasks now leave unused. */
+  /** Quota reserved by team for one task or one gang that needs it, so that smaller tasks leave it unused. */
   readonly quotaReservations: Map<TeamId, Resources>;
-  /** The first such gang that has waited too long. */
+  /** The first oversized gang that has waited long enough to reserve machines; null if there is none. */
   oversizedGang: OversizedGang | null;
 }
 
-/** A plan without any decision. */
+/** Returns a plan without any decision. */
 export const newPlan = (): SchedulingPlan => ({
   starts: [],
   stops: [],
--- a/src/scheduling/deadlines.ts
+++ b/src/scheduling/deadlines.ts
@@ -1,25 +1,25 @@
-/** Deadlines of jobs, and how far a job can still keep its own. Pure. */
+/** Deadlines of jobs, and how late a job is expected to be. Pure. */
 import type { ShardJob } from '../shards/model.js';
 import type { SchedulingContext } from './cycle.js';
 
-/** What can still be kept of a job's deadline; a larger number is worse. */
+/** How late a job is expected to end; a larger number is worse. */
 export const Lateness = {
-  /** The deadline itself. */
+  /** Within its deadline. */
   onTime: 0,
-  /** The largest multiple of it within which the job is still of use. */
+  /** Past its deadline, but within the multiple of it up to which the job is still useful. */
   late: 1,
-  /** Neither. */
+  /** Too late to be useful. */
   tooLate: 2,
 } as const;
-/** One of the values above. */
+/** A value of `Lateness`. */
 export type Lateness = (typeof Lateness)[keyof typeof Lateness];
 
-/** When the job is due, on the steady clock; infinite for a job without a deadline. */
+/** Returns when the job is due, on the steady clock; Infinity for a job without a deadline. */
 export function deadlineAt(job: ShardJob): number {
   return job.spec.deadlineS === null ? Infinity : job.acceptedAt + job.spec.deadlineS * 1000;
 }
 
-/** How late the job would be if it ended `remainingMs` from now. */
+/** Returns how late the job would be if it ended `remainingMs` from now. */
 export function lateness(job: ShardJob, remainingMs: number, context: SchedulingContext): Lateness {
   if (job.spec.deadlineS === null) return Lateness.onTime;
   const expectedTurnaroundMs = context.now + remainingMs - job.acceptedAt;
--- a/src/scheduling/failed-searches.ts
+++ b/src/scheduling/failed-searches.ts
@@ -1,6 +1,6 @@
 /**
- * Remembers which searches for tasks to preempt have failed. With hundreds of jobs waiting, each would otherwise look
- * at every machine for itself and find nothing.
+ * Records failed searches for preemption victims. With hundreds of jobs waiting, each job would otherwise
+ * examine every machine and find nothing.
  */
 import type { JobSpec } from '../jobs/spec.js';
 import { covers } from '../model/resources.js';
@@ -8,11 +8,17 @@
 import type { Shard, ShardJob } from '../shards/model.js';
 import type { SchedulingContext } from './cycle.js';
 
-/** How long a failed search speaks for others: the outcome changes with what runs, not from one cycle to the next. */
+/**
+ * How long a failed search is not repeated. Its outcome changes with the running tasks, not from one cycle to
+ * the next.
+ */
 export const SEARCH_RETRY_DELAY_MS = 700;
 const MAX_FAILED_SEARCHES = 200;
 
-/** Which tasks may be stopped depends on this alone, and on how much must become free. */
+/**
+ * Returns the key of a search. Which tasks may be stopped depends only on the key and on the resources
+ * needed.
+ */
 export function failedSearchKey(
   { id, spec }: ShardJob,
   zone: ZoneId | null,
@@ -22,14 +28,17 @@
   return [spec.priority, team, spec.spot, spec.zone, zone, spec.types?.join()].join('/');
 }
 
-/** Has a search for no more resources failed a moment ago? */
-export function hasFailedSearch(shard: Shard, key: string, spec: JobSpec, now: SteadyMs): boolean {
+/** Returns true if a search for the same or fewer resources has failed recently. */
+export function hasRecentFailedSearch(shard: Shard, key: string, spec: JobSpec, now: SteadyMs): boolean {
   const failed = shard.failedSearches.get(key);
   return failed !== undefined && now < failed.until && covers(spec, failed.need);
 }
 
-/** Bounded: users may name any list of instance types, and each makes a key. */
-export function rememberFailedSearch(shard: Shard, key: string, spec: JobSpec, now: SteadyMs): void {
+/**
+ * Records a failed search. The number of records is limited: users may name any list of instance types, and
+ * each list makes a new key.
+ */
+export function recordFailedSearch(shard: Shard, key: string, spec: JobSpec, now: SteadyMs): void {
   const { cpus, gpus, memoryGb } = spec;
   if (shard.failedSearches.size >= MAX_FAILED_SEARCHES) shard.failedSearches.clear();
   shard.failedSearches.set(key, {
--- a/src/scheduling/gangs.ts
+++ b/src/scheduling/gangs.ts
@@ -1,6 +1,6 @@
 /**
- * Gangs in a scheduling cycle: all members start, or none does; what is left of a broken gang is stopped. Pure:
- * decisions go into the plan of the cycle.
+ * Gangs in a scheduling cycle: starts all members of a gang or none, and stops the remaining members of a
+ * broken gang. Performs no I/O: decisions go into the plan of the cycle.
  */
 import { decideGang, forgetAttempt, type GangDecision } from '../model/gang.js';
 import type { Resources } from '../model/resources.js';
@@ -11,11 +11,11 @@
 import { preemptForTask } from './preemption.js';
 import { longestGraceS } from './preemption-stops.js';
 import { endReservationByStart, recordObstacle } from './reservation-ends.js';
-import { machineMadeFree } from './reservation-precedence.js';
+import { machineFreedByPreemption } from './reservation-precedence.js';
 import { expireGangReservations, reserveGangMachines, reserveQuota } from './reservations.js';
 import { returnResources, takeResources, type SchedulingCycle } from './scheduling-cycle.js';
 
-/** What should become of a gang, by all that this shard knows of it; null: the job is no gang. */
+/** Decides what to do with a gang from all that this shard knows about it; null if the job is not a gang. */
 function gangDecisionFor({ shard, context }: SchedulingCycle, job: ShardJob): GangDecision | null {
   if (!job.gangHistory) return null;
   return decideGang({
@@ -30,7 +30,7 @@
   });
 }
 
-/** Stops the remaining members of gangs that cannot go on as they are, so that all can start anew. */
+/** Stops the remaining members of gangs that cannot continue, so that all members can start again. */
 export function stopBrokenGangs(cycle: SchedulingCycle): void {
   const { shard, plan } = cycle;
   for (const job of shard.gangs) {
@@ -48,7 +48,7 @@
   }
 }
 
-/** Starts all members of a gang, or those that are missing of one that has not started yet. */
+/** Starts all members of a gang, or the missing members of a gang that has not started running yet. */
 export function scheduleGang(cycle: SchedulingCycle, job: ShardJob): void {
   const action = gangDecisionFor(cycle, job)?.action;
   if (action?.kind === 'start' && job.waiting.size === job.spec.tasks) {
@@ -57,73 +57,87 @@
   } else if (action?.kind === 'replace') scheduleWaitingMembers(cycle, job, action.attempt);
 }
 
-/** Members of one gang for which others are stopped, at most: beyond it the gang waits for capacity to come free. */
+/**
+ * Maximum number of members of a gang for which others are preempted. With more, the gang waits until
+ * capacity is free.
+ */
 const MAX_MEMBERS_WITH_PREEMPTION = 64;
 
-/** Machines found for some members of a gang, and the members for which there is none. */
-interface GangSearch {
+/** The machines found for members of a gang, and the members without a machine. */
+interface GangPlacement {
   readonly starts: TaskStart[];
   readonly unplaced: number[];
-  /** The team's quota is used up: the search ended there. */
+  /** True if the team's quota is used up; the search ended there. */
   blockedByQuota: boolean;
 }
 
-/** `attempt`: the one that the members join; undefined: all members start, in a new one. */
+/**
+ * Places the waiting members. They join `attempt`; if it is undefined, all members start in a new attempt.
+ */
 function scheduleWaitingMembers(cycle: SchedulingCycle, job: ShardJob, attempt: Attempt | undefined): void {
   const { plan } = cycle;
   expireGangReservations(cycle, job);
   const usageBefore = { ...cycle.teamUsage(job.spec.team) };
-  const found = searchForMembers(cycle, job, attempt);
-  if (!found.blockedByQuota && found.unplaced.length === 0) {
-    for (const { index, machine } of found.starts) endReservationByStart(cycle, job, index, machine.id);
-    plan.starts.push(...found.starts);
+  const placement = findMachinesForMembers(cycle, job, attempt);
+  if (!placement.blockedByQuota && placement.unplaced.length === 0) {
+    for (const { index, machine } of placement.starts) endReservationByStart(cycle, job, index, machine.id);
+    plan.starts.push(...placement.starts);
     return;
   }
-  recordObstacle(job, found.blockedByQuota ? 'quota' : 'gang incomplete');
-  if (!found.blockedByQuota && preemptForGang(cycle, job, found, attemptMayUse(job, attempt))) return;
-  undoSearch(cycle, job, found, usageBefore);
-  if (found.blockedByQuota) reserveQuota(cycle, job, job.waiting.size);
-  else reserveGangMachines(cycle, job, attemptMayUse(job, attempt));
-  const reason = found.blockedByQuota ? 'quota' : 'capacity';
+  recordObstacle(job, placement.blockedByQuota ? 'quota' : 'gang incomplete');
+  if (
+    !placement.blockedByQuota &&
+    preemptForGang(cycle, job, placement, machineFilterForAttempt(job, attempt))
+  )
+    return;
+  undoPlacement(cycle, job, placement, usageBefore);
+  if (placement.blockedByQuota) reserveQuota(cycle, job, job.waiting.size);
+  else reserveGangMachines(cycle, job, machineFilterForAttempt(job, attempt));
+  const reason = placement.blockedByQuota ? 'quota' : 'capacity';
   plan.unplaced.push({ job, reason, indices: waitingIndices(job) });
 }
 
-/** The waiting members; `all` where none of them has a required zone. */
+/** Returns the waiting members; `all` if none of them has a required zone. */
 const waitingIndices = (job: ShardJob): number[] | 'all' =>
   job.record.assignments.some((assignment) => assignment.zone !== null) ? [...job.waiting] : 'all';
 
-function searchForMembers(cycle: SchedulingCycle, job: ShardJob, attempt: Attempt | undefined): GangSearch {
-  const found: GangSearch = { starts: [], unplaced: [], blockedByQuota: false };
+function findMachinesForMembers(
+  cycle: SchedulingCycle,
+  job: ShardJob,
+  attempt: Attempt | undefined,
+): GangPlacement {
+  const placement: GangPlacement = { starts: [], unplaced: [], blockedByQuota: false };
   const candidatesByZone = new Map<ZoneId | null, CandidateMachines>();
-  const mayUse = attemptMayUse(job, attempt);
+  const mayUse = machineFilterForAttempt(job, attempt);
   returnReservedResources(cycle, job);
   for (const index of job.waiting) {
     if (!cycle.fitsShardQuota(job.spec)) {
-      found.blockedByQuota = true;
+      placement.blockedByQuota = true;
       break;
     }
     const zone = requiredZone(job, index);
     let candidates = candidatesByZone.get(zone);
     if (!candidates) candidatesByZone.set(zone, (candidates = candidatesFor(cycle, job, zone, mayUse)));
     const machine =
-      machineMadeFree(cycle, job, index, mayUse) ?? candidates.next(reservedMachine(cycle, job, index));
+      machineFreedByPreemption(cycle, job, index, mayUse) ??
+      candidates.next(reservedMachine(cycle, job, index));
     if (!machine) {
-      found.unplaced.push(index);
-      if (found.unplaced.length > MAX_MEMBERS_WITH_PREEMPTION) break;
+      placement.unplaced.push(index);
+      if (placement.unplaced.length > MAX_MEMBERS_WITH_PREEMPTION) break;
       continue;
     }
     takeResources(cycle.freeResources.get(machine.id), job.spec);
     cycle.addTaskUsage(job.spec);
-    found.starts.push({ job, index, machine, ...(attempt === undefined ? {} : { attempt }) });
+    placement.starts.push({ job, index, machine, ...(attempt === undefined ? {} : { attempt }) });
   }
-  return found;
+  return placement;
 }
 
 /**
- * An attempt must not return to a machine that it has left: a command to stop it there may still be on its way, and
- * would stop the member that came back.
+ * Excludes machines that the attempt has left: a command to stop the earlier member there may still be in
+ * flight, and would stop a member that is started there again.
  */
-function attemptMayUse(job: ShardJob, attempt: Attempt | undefined): (machine: Machine) => boolean {
+function machineFilterForAttempt(job: ShardJob, attempt: Attempt | undefined): (machine: Machine) => boolean {
   const leftMachines = job.gangHistory?.leftMachines;
   if (attempt === undefined || !leftMachines || leftMachines.size === 0) return anyMachine;
   return (machine) => !leftMachines.has(machine.id);
@@ -134,7 +148,7 @@
   return reservation && shard.machines.get(reservation.machine);
 }
 
-/** Makes what earlier cycles have reserved for the gang available to its own search. */
+/** Makes the resources that earlier cycles reserved for the gang available to its own search. */
 function returnReservedResources(cycle: SchedulingCycle, job: ShardJob): void {
   for (const index of job.reservations.keys()) {
     const machine = reservedMachine(cycle, job, index);
@@ -142,7 +156,7 @@
   }
 }
 
-/** Keeps what earlier cycles have reserved for the gang from other jobs of this cycle. */
+/** Withholds the resources that earlier cycles reserved for the gang from other jobs of this cycle. */
 function takeReservedResources(cycle: SchedulingCycle, job: ShardJob): void {
   for (const index of job.reservations.keys()) {
     const machine = reservedMachine(cycle, job, index);
@@ -150,51 +164,58 @@
   }
 }
 
-/** Stops others for the members without a machine, but only if that is enough for all; the rest keep their machines. */
+/**
+ * Preempts others for the members without a machine, but only if that makes room for all of them. The
+ * machines found for the other members are then reserved.
+ */
 function preemptForGang(
   cycle: SchedulingCycle,
   job: ShardJob,
-  found: GangSearch,
+  placement: GangPlacement,
   mayUse: (machine: Machine) => boolean,
 ): boolean {
   if (cycle.context.now < job.nextPreemptionSearchAt || job.waitingSince === null) return false;
-  if (found.unplaced.length > MAX_MEMBERS_WITH_PREEMPTION) return false;
-  // The tasks that an earlier cycle has stopped for it have not ended yet.
-  if (found.unplaced.every((index) => job.reservations.get(index)?.withoutPreemption === false)) {
-    reserveFoundMachines(cycle, job, found, 0);
+  if (placement.unplaced.length > MAX_MEMBERS_WITH_PREEMPTION) return false;
+  // Tasks that an earlier cycle stopped for all of these members have not ended yet.
+  if (placement.unplaced.every((index) => job.reservations.get(index)?.withoutPreemption === false)) {
+    reservePlacement(cycle, job, placement, 0);
     return true;
   }
   const undo = cycle.savepoint();
   const stopsBefore = cycle.plan.stops.length;
-  for (const index of found.unplaced) {
+  for (const index of placement.unplaced) {
     if (job.reservations.has(index)) continue;
     if (preemptForTask(cycle, job, index, requiredZone(job, index), { mayUse })) continue;
     undo();
     return false;
   }
   const stopped = cycle.plan.stops.slice(stopsBefore).map((stop) => stop.allocation);
-  reserveFoundMachines(cycle, job, found, longestGraceS(stopped));
+  reservePlacement(cycle, job, placement, longestGraceS(stopped));
   return true;
 }
 
-/** No member starts in this cycle; machines found, or being made free, are reserved for the gang. */
-function reserveFoundMachines(
+/**
+ * Reserves the machines found for members, and those where tasks are being stopped for them. No member starts
+ * in this cycle.
+ */
+function reservePlacement(
   cycle: SchedulingCycle,
   job: ShardJob,
-  found: GangSearch,
+  placement: GangPlacement,
   graceS: number,
 ): void {
-  for (const { index, machine } of found.starts) {
+  for (const { index, machine } of placement.starts) {
     const reserved = reservedMachine(cycle, job, index);
     if (reserved && job.reservations.get(index)?.withoutPreemption === false) {
-      // It keeps the machine that is being emptied for it: what it has found may be another member's.
+      // The member keeps the machine where tasks are being stopped for it: the machine found may be another
+      // member's.
       returnResources(cycle.freeResources.get(machine.id), job.spec);
       takeResources(cycle.freeResources.get(reserved.id), job.spec);
       continue;
     }
     cycle.plan.reservations.push({ job, index, machine: machine.id, withoutPreemption: false, graceS });
   }
-  for (const index of found.unplaced) {
+  for (const index of placement.unplaced) {
     const machine = reservedMachine(cycle, job, index);
     if (!machine) continue;
     takeResources(cycle.freeResources.get(machine.id), job.spec);
@@ -202,9 +223,16 @@
   }
 }
 
-/** The cycle is as it was before the search; reservations of earlier cycles hold until they expire. */
-function undoSearch(cycle: SchedulingCycle, job: ShardJob, found: GangSearch, usageBefore: Resources): void {
-  for (const { machine } of found.starts) returnResources(cycle.freeResourcesOn(machine), job.spec);
+/**
+ * Restores the cycle to its state before the search. Reservations of earlier cycles hold until they expire.
+ */
+function undoPlacement(
+  cycle: SchedulingCycle,
+  job: ShardJob,
+  placement: GangPlacement,
+  usageBefore: Resources,
+): void {
+  for (const { machine } of placement.starts) returnResources(cycle.freeResourcesOn(machine), job.spec);
   cycle.restoreTeamUsage(job.spec.team, usageBefore);
   takeReservedResources(cycle, job);
 }
--- a/src/scheduling/job-order.ts
+++ b/src/scheduling/job-order.ts
@@ -7,20 +7,24 @@
 import { deadlineAt, Lateness, lateness } from './deadlines.js';
 import type { SchedulingCycle } from './scheduling-cycle.js';
 
-/** A job that has waited this long without any start goes first in its priority, and none is kept below standard. */
+/**
+ * A job that has waited this long without any start is scheduled first within its priority, and at least as a
+ * standard job.
+ */
 const STARVED_AFTER_MS = 90_000;
-/** Waiting this long outweighs needing twice as much, so that small jobs do not starve large ones. */
+/** Waiting this long offsets a factor of two in size, so that small jobs do not starve large ones. */
 const AGING_STEP_MS = 15_000;
 
-/** A job and what it is ordered by: the smaller of two different numbers goes first. */
+/** A job and its sort key. Keys are compared lexicographically; the smaller one is scheduled first. */
 export interface PrioritizedJob {
   readonly job: ShardJob;
   readonly sortKey: readonly number[];
 }
 
 /**
- * Critical jobs first, then jobs within their team's guaranteed quota, then by priority, then those whose deadline can
- * be kept, small jobs first. Waiting makes up for size, and after long enough for priority, so that every job starts.
+ * Sorts the jobs: critical jobs first, then overdue jobs, then jobs within their team's guaranteed quota,
+ * then by priority, then jobs that can meet their deadline, small jobs first. Waiting time offsets size, and
+ * after long enough priority, so that every job starts.
  */
 export function orderJobs(cycle: SchedulingCycle, jobs: readonly ShardJob[]): PrioritizedJob[] {
   return jobs.map((job) => prioritize(cycle, job)).sort(comparePriority);
@@ -36,15 +40,15 @@
   const latenessLevel = lateness(job, estimateMs, context);
   const deadline = deadlineAt(job);
   const waitedMs = cycle.waitedWithoutStartMs(job);
-  const starving = waitedMs > STARVED_AFTER_MS;
-  // With more work than capacity, the nearest deadline first makes every job a little late. Small jobs go first
-  // instead, in steps of a factor of two: most jobs are then done in time.
+  const isStarving = waitedMs > STARVED_AFTER_MS;
+  // When there is more work than capacity, scheduling by the nearest deadline makes every job a little late.
+  // Instead, small jobs are scheduled first, in steps of a factor of two, so that most jobs are done in time.
   const ordersBySize = deadline !== Infinity && latenessLevel !== Lateness.tooLate;
   const sortKey = [
     precedenceClass(spec, waitedMs),
     context.guaranteed(job.id) ? 0 : 1,
-    starving ? Math.min(spec.priority, Priority.standard) : spec.priority,
-    starving ? -1 : latenessLevel,
+    isStarving ? Math.min(spec.priority, Priority.standard) : spec.priority,
+    isStarving ? -1 : latenessLevel,
     ordersBySize ? sizeLevel(cycle, job, estimateMs) : 0,
     deadline === Infinity ? Number.MAX_SAFE_INTEGER : deadline,
     job.acceptedAt,
@@ -52,13 +56,16 @@
   return { job, sortKey };
 }
 
-/** Critical jobs first, then jobs that are long overdue, then all others. */
+/** Returns the first element of the sort key: critical jobs first, then overdue jobs, then all others. */
 function precedenceClass(spec: JobSpec, waitedWithoutStartMs: number): number {
   if (spec.priority === Priority.critical) return 0;
   return waitedWithoutStartMs > OVERDUE_AFTER_MS ? 1 : 2;
 }
 
-/** The work that waits, in factors of two, less a step for each while that the job has waited. */
+/**
+ * Returns the waiting work on a logarithmic scale to base two, less one for each AGING_STEP_MS since the job
+ * was accepted.
+ */
 function sizeLevel({ context }: SchedulingCycle, job: ShardJob, estimateMs: number): number {
   const taskSize = sizeOf(job.spec, context.types.values());
   const agingSteps = (context.now - job.acceptedAt) / AGING_STEP_MS;
--- a/src/scheduling/job-placement.ts
+++ b/src/scheduling/job-placement.ts
@@ -1,6 +1,7 @@
 /**
- * Places the waiting tasks of one job that is no gang: on a free machine, by preemption, or by a reservation; and tells
- * which tasks stay unplaced. Pure: decisions go into the plan of the cycle.
+ * Places the waiting tasks of one job that is not a gang: on a free machine, by preemption, or by a
+ * reservation; and reports the tasks that stay unplaced. Performs no I/O: decisions go into the plan of the
+ * cycle.
  */
 import { Priority, type JobSpec } from '../jobs/spec.js';
 import { requiredZone, waitingRuns, type Machine, type ShardJob } from '../shards/model.js';
@@ -9,34 +10,46 @@
 import { preemptForTask } from './preemption.js';
 import { preemptForQuota } from './quota-preemption.js';
 import { endReservation, endReservationByStart, recordObstacle } from './reservation-ends.js';
-import { machineMadeFree } from './reservation-precedence.js';
+import { machineFreedByPreemption } from './reservation-precedence.js';
 import { reserveMachine, reserveQuota } from './reservations.js';
 import { returnResources, takeResources, type SchedulingCycle } from './scheduling-cycle.js';
 
 const MAX_STARTS_PER_CYCLE = 200;
-/** Unplaced tasks of a job that one cycle tells, and tries, in each zone. */
+/**
+ * Maximum number of unplaced tasks of a job that a cycle tries and reports: per zone for capacity, in total
+ * for quota.
+ */
 const MAX_UNPLACED_REPORTED = 200;
-/** Others are stopped rather than an image fetched for longer than this. */
+/**
+ * An urgent task preempts others on a machine with its image if the fetch on another machine would take
+ * longer.
+ */
 const MIN_FETCH_FOR_PREEMPTION_S = 1;
-/** The rate of a machine of unknown type, and the least that is reckoned with. */
+/**
+ * Image fetch rates: for a machine of unknown type, and the lower limit, since times are computed by
+ * division.
+ */
 const DEFAULT_FETCH_GB_PER_S = 1;
 const MIN_FETCH_GB_PER_S = 1e-3;
 
-/** Places as many waiting tasks of the job as this cycle can. */
+/** Places as many waiting tasks of the job as possible in this cycle. */
 export function scheduleJob(cycle: SchedulingCycle, job: ShardJob): void {
   new JobPlacement(cycle, job).run();
 }
 
-/** The placement of one job in one cycle. */
+/** Placement of one job in one cycle. */
 class JobPlacement {
   private readonly spec: JobSpec;
   private readonly blockedByCapacity: number[] = [];
   private readonly blockedByQuota: number[] = [];
   private readonly blockedInZone = new Map<ZoneId | null, number>();
   private readonly candidatesByZone = new Map<ZoneId | null, CandidateMachines>();
-  /** Zones in which no machine was found for a task that lacks quota, or no tasks to stop for it. */
+  /**
+   * Zones in which preemption for quota failed: no machine was found for the task, or no tasks to stop for
+   * it.
+   */
   private readonly zonesWithoutQuotaPreemption = new Set<ZoneId | null>();
-  /** Zones in which a search found no task to preempt. */
+  /** Zones in which no tasks could be preempted for the job. */
   private readonly zonesWithoutPreemption = new Set<ZoneId | null>();
   private readonly hasRequiredZones: boolean;
   private readonly reservationsBefore: number;
@@ -51,7 +64,7 @@
     this.reservationsBefore = cycle.plan.reservations.length;
   }
 
-  /** Tries one waiting task after the other. */
+  /** Tries the waiting tasks in order. */
   run(): void {
     const { job } = this;
     const { starts, unplaced } = this.cycle.plan;
@@ -68,7 +81,10 @@
     if (this.blockedByQuota.length > 0) unplaced.push({ job, reason: 'quota', indices: this.blockedByQuota });
   }
 
-  /** The waiting tasks, less the rest of those whose zone has shown that it has no capacity for many of them. */
+  /**
+   * Yields the waiting tasks, and skips the remaining tasks of a zone once MAX_UNPLACED_REPORTED of them are
+   * blocked by capacity.
+   */
   private *indicesToTry(): Generator<number> {
     const { blockedInZone } = this;
     for (const { from, to, zone } of waitingRuns(this.job))
@@ -76,7 +92,10 @@
         yield index;
   }
 
-  /** Without required zones and reservations, what blocks one task of the job blocks all. */
+  /**
+   * Returns true if all remaining tasks are blocked: without required zones and reservations, what blocks one
+   * task of the job blocks all of them.
+   */
   private allTasksBlocked(): boolean {
     return (
       !this.hasRequiredZones &&
@@ -96,11 +115,12 @@
     const reservation = job.reservations.get(index);
     const reservedMachine = reservation && this.cycle.shard.machines.get(reservation.machine);
     if (reservedMachine) returnResources(this.cycle.freeResourcesOn(reservedMachine), this.spec);
-    const machine = machineMadeFree(this.cycle, job, index) ?? this.candidatesIn(zone).next(reservedMachine);
+    const machine =
+      machineFreedByPreemption(this.cycle, job, index) ?? this.candidatesIn(zone).next(reservedMachine);
     if (reservation && reservedMachine && this.startsSoonerOnReserved(machine, reservedMachine)) {
       reservation.lastObstacle = 'machine not free';
       takeResources(this.cycle.freeResources.get(reservedMachine.id), this.spec);
-      // The quota that the task will need is not for others of its team either.
+      // Also counts the quota that the task will need, so that other tasks of its team do not take it.
       if (!reservation.withoutPreemption) this.cycle.addTaskUsage(this.spec);
     } else if (machine) this.startOrPreempt(index, zone, machine, reservedMachine);
     else this.preemptOrReserve(index, zone);
@@ -113,14 +133,19 @@
     return candidates;
   }
 
-  /** The reserved machine is becoming free: another one without the image would only start the task later. */
+  /**
+   * Returns true if the task should wait for its reserved machine: no other machine was found, or the
+   * reserved machine holds the image and an urgent task would wait for the fetch on the other machine.
+   */
   private startsSoonerOnReserved(machine: Machine | null, reservedMachine: Machine): boolean {
     if (machine === reservedMachine) return false;
     if (!machine) return true;
     return reservedMachine.images.has(this.spec.image) && this.fetchDelaysUrgentTask(machine);
   }
 
-  /** Starts the task, unless it is urgent and starts sooner where others are stopped and the image is at hand. */
+  /**
+   * Starts the task, unless it is urgent and starts sooner by preemption on a machine that holds its image.
+   */
   private startOrPreempt(
     index: number,
     zone: ZoneId | null,
@@ -143,7 +168,10 @@
     cycle.plan.starts.push({ job, index, machine });
   }
 
-  /** One failed search speaks for all tasks of the job in the zone: other jobs need the searches too. */
+  /**
+   * Preempts others for the task, or reserves a machine for it. After one failed search, the other tasks of
+   * the job in the zone do not search, since searches are limited per cycle and other jobs need them too.
+   */
   private preemptOrReserve(index: number, zone: ZoneId | null): void {
     const { cycle, job } = this;
     if (!this.zonesWithoutPreemption.has(zone)) {
@@ -169,7 +197,10 @@
     else this.quotaExhausted = true;
   }
 
-  /** One failure speaks for all tasks of the job in the zone. */
+  /**
+   * Preempts lower-priority tasks of the team. After one failure, the other tasks of the job in the zone do
+   * not try again.
+   */
   private preemptWithinTeam(index: number): void {
     const { cycle, job } = this;
     const zone = requiredZone(job, index);
@@ -178,7 +209,10 @@
       this.zonesWithoutQuotaPreemption.add(zone);
   }
 
-  /** Would a task that should start at once wait for its image there, longer than it takes to stop others? */
+  /**
+   * Returns true if the task is urgent (critical or within its team's guaranteed quota) and the fetch of its
+   * image on the machine would take longer than preempting others elsewhere.
+   */
   private fetchDelaysUrgentTask(machine: Machine): boolean {
     const { spec, job } = this;
     const { context } = this.cycle;
--- a/src/scheduling/plan.ts
+++ b/src/scheduling/plan.ts
@@ -1,7 +1,7 @@
 /**
- * Plans one scheduling cycle of a shard in stages: filter the queue, apply reservations, stop broken gangs, order the
- * jobs, and place each. Pure but for the queue and the reservations of the jobs, which it keeps up to date; everything
- * else that it decides is in the plan that it returns.
+ * Plans one scheduling cycle of a shard in stages: filter the queue, apply reservations, stop broken gangs,
+ * order the jobs, and place each job. Apart from the plan that it returns, it only updates scheduling state
+ * in the memory of the shard, such as the queue and the reservations of jobs.
  */
 import type { Reservation, Shard, ShardJob } from '../shards/model.js';
 import type { ReservationOutcome, SchedulingContext, SchedulingPlan } from './cycle.js';
@@ -9,10 +9,13 @@
 import { orderJobs } from './job-order.js';
 import { scheduleJob } from './job-placement.js';
 import { endReservation, endReservations } from './reservation-ends.js';
-import { rememberUnusedPreemption } from './reservation-terms.js';
+import { recordUnusedPreemption } from './reservation-terms.js';
 import { SchedulingCycle, takeResources } from './scheduling-cycle.js';
 
-/** Which waiting tasks start where, which tasks stop for them, and which stay unplaced. */
+/**
+ * Decides which waiting tasks start on which machines, which tasks are stopped for them, and which stay
+ * unplaced.
+ */
 export function planCycle(shard: Shard, context: SchedulingContext): SchedulingPlan {
   const cycle = new SchedulingCycle(shard, context);
   const waiting = filterQueue(cycle);
@@ -26,7 +29,7 @@
   return cycle.plan;
 }
 
-/** Jobs with waiting tasks; the others leave the queue. */
+/** Returns the queued jobs with waiting tasks, and removes the others from the queue. */
 function filterQueue(cycle: SchedulingCycle): ShardJob[] {
   const { shard } = cycle;
   const jobs: ShardJob[] = [];
@@ -40,29 +43,29 @@
   return jobs;
 }
 
-/** Takes reserved resources off what is free, and drops reservations that have ended. */
+/** Subtracts reserved resources from the free resources, and ends reservations that no longer hold. */
 function applyReservations(cycle: SchedulingCycle, waiting: readonly ShardJob[]): void {
   const { shard } = cycle;
   for (const job of waiting) {
     for (const [index, reservation] of [...job.reservations]) {
-      const outcome = endOfReservation(cycle, job, index, reservation);
+      const outcome = reservationOutcome(cycle, job, index, reservation);
       if (outcome) {
         endReservation(cycle, job, index, outcome);
         if (outcome === 'expired' && !reservation.withoutPreemption)
-          rememberUnusedPreemption(job, reservation.machine, cycle.context.now);
+          recordUnusedPreemption(job, reservation.machine, cycle.context.now);
         continue;
       }
       const machine = shard.machines.get(reservation.machine);
       takeResources(machine && cycle.freeResourcesOn(machine), job.spec);
       if (!reservation.withoutPreemption) continue;
-      cycle.reservedMachines += 1;
-      cycle.keptMachines.add(reservation.machine, job);
+      cycle.nonPreemptiveReservationCount += 1;
+      cycle.nonPreemptiveReservations.add(reservation.machine, job);
     }
   }
 }
 
-/** Why the reservation holds no longer; null: it holds. */
-function endOfReservation(
+/** Returns why the reservation no longer holds; null if it still holds. */
+function reservationOutcome(
   cycle: SchedulingCycle,
   job: ShardJob,
   index: number,
--- a/src/scheduling/preemption-cost.ts
+++ b/src/scheduling/preemption-cost.ts
@@ -1,14 +1,20 @@
-/** What is lost when a task is preempted: its work since the last checkpoint, and its job's deadline. Pure. */
+/**
+ * The cost of preempting a task: the work lost since its last checkpoint, and what its job loses of its
+ * deadline. Pure.
+ */
 import { sizeOf } from '../model/resources.js';
 import type { Allocation, Shard } from '../shards/model.js';
 import type { SchedulingContext } from './cycle.js';
 import { Lateness, lateness } from './deadlines.js';
 
-/** Work in CPU milliseconds, for each CPU of its size, that one step of a job's deadline weighs as much as. */
+/** The cost of one lateness step of a job's deadline, in CPU milliseconds for each CPU of the task's size. */
 const DEADLINE_STEP_COST_CPU_MS = 20_000;
-/** A task that has not begun to run loses its start and the fetch of its image: as much as this time of work. */
+/**
+ * The cost of stopping a task that is not running yet, as run time: its launch and the fetch of its image are
+ * lost.
+ */
 const START_COST_MS = 500;
-/** Added to the time of a checkpoint, for the worker to begin it. */
+/** Added to the checkpoint duration, for the worker to begin the checkpoint. */
 const CHECKPOINT_START_S = 1;
 
 type CostContext = Pick<SchedulingContext, 'now' | 'types'>;
@@ -16,7 +22,10 @@
 const runMs = (allocation: Allocation, context: Pick<SchedulingContext, 'now'>): number =>
   allocation.runningSince === null ? 0 : context.now - allocation.runningSince;
 
-/** Work lost when this task is stopped now: its size in CPUs, by its dominant resource, times milliseconds. */
+/**
+ * Returns the work lost if the task is stopped now: its size in CPUs, by its dominant resource, times
+ * milliseconds.
+ */
 export function lostWork(allocation: Allocation, context: CostContext): number {
   const { spec } = allocation;
   if (!spec) return 0;
@@ -28,7 +37,10 @@
   return size * lostMs;
 }
 
-/** What the users lose with a task beside its work: 2 while its job's deadline can be kept, 0 when it is too late. */
+/**
+ * Returns how many lateness steps the task's job has left to lose: 2 while it can meet its deadline, 0 if it
+ * is too late or has no deadline.
+ */
 function deadlineLossSteps(shard: Shard, allocation: Allocation, context: SchedulingContext): number {
   const { spec } = allocation;
   const job = shard.jobs.get(allocation.job);
@@ -38,7 +50,10 @@
   return Lateness.tooLate - lateness(job, remainingMs, context);
 }
 
-/** The cost of preempting a task, in CPU milliseconds; of a gang's task that of all members, which stop together. */
+/**
+ * Returns the cost of preempting a task, in CPU milliseconds; for a member of a gang the cost of all members,
+ * which stop together.
+ */
 export function preemptionCost(shard: Shard, allocation: Allocation, context: SchedulingContext): number {
   const { spec } = allocation;
   const size = spec ? sizeOf(spec, context.types.values()) : 0;
@@ -47,7 +62,7 @@
   return tasks * (lostWork(allocation, context) + deadlineCost);
 }
 
-/** Time to write a checkpoint, in seconds, for a task that can; 0 for others. */
+/** Returns the time a task gets to write a checkpoint, in seconds; 0 if it writes none. */
 export function gracePeriodS({ spec }: Allocation): number {
   return spec && spec.checkpointIntervalS > 0 ? Math.ceil(spec.checkpointDurationS + CHECKPOINT_START_S) : 0;
 }
--- a/src/scheduling/preemption-eligibility.ts
+++ b/src/scheduling/preemption-eligibility.ts
@@ -1,4 +1,4 @@
-/** Which tasks may be preempted for which job. Pure. */
+/** Decides which tasks may be preempted for which job. Pure. */
 import { Priority, type JobSpec } from '../jobs/spec.js';
 import { RESOURCE_KINDS, subtract, TOLERANCE } from '../model/resources.js';
 import type { JobId } from '../model/units.js';
@@ -6,42 +6,43 @@
 import { OVERDUE_AFTER_MS } from './cycle.js';
 import type { SchedulingCycle } from './scheduling-cycle.js';
 
-/** How long a task that was started long overdue is stopped for critical work only. */
+/** How long a task whose job was overdue when it started can be preempted by critical jobs only. */
 const PREEMPTION_PROTECTION_MS = 60_000;
 
-/** The job that others may be stopped for. */
+/** The job for which other tasks may be preempted. */
 export interface Preemptor {
   readonly job: ShardJob;
-  /** It fits into its team's guaranteed quota. */
+  /** Whether the job fits into its team's guaranteed quota. */
   readonly guaranteed: boolean;
 }
 
 /**
- * May this task be stopped for the preemptor? Follows the order in which waiting jobs are scheduled: otherwise a task
- * that was preempted would be scheduled first in the next cycle, and both would preempt each other endlessly.
+ * Returns true if the task may be stopped for the preemptor. The rules follow the order in which waiting jobs
+ * are scheduled: otherwise a preempted task would be scheduled before its preemptor in the next cycle, and
+ * both would preempt each other endlessly.
  */
 export function isPreemptible(cycle: SchedulingCycle, allocation: Allocation, preemptor: Preemptor): boolean {
   const { spec } = allocation;
   if (allocation.stop || !spec || cycle.stopping.has(allocation) || allocation.job === preemptor.job.id)
     return false;
   return (
-    mayBeStoppedFor(cycle, { jobId: allocation.job, spec, isStarted: true }, preemptor) &&
+    mayBePreemptedBy(cycle, { jobId: allocation.job, spec, isStarted: true }, preemptor) &&
     !isProtectedFromPreemption(cycle, allocation, preemptor.job)
   );
 }
 
-/** A task that is to make room, or that would have to if it started. */
-interface PreemptibleTask {
+/** A task that may be preempted: an allocated task, or a waiting task considered as if it had started. */
+interface PreemptionCandidate {
   readonly jobId: JobId;
   readonly spec: JobSpec;
-  /** Whether its team's usage counts it already. */
+  /** Whether the usage of its team already includes the task. */
   readonly isStarted: boolean;
 }
 
-/** Does the preemptor go before the task, in rank and in guarantee? */
-function mayBeStoppedFor(
+/** Returns true if the preemptor takes precedence over the task, by priority or by guaranteed quota. */
+function mayBePreemptedBy(
   cycle: SchedulingCycle,
-  task: PreemptibleTask,
+  task: PreemptionCandidate,
   { job, guaranteed }: Preemptor,
 ): boolean {
   const { jobId, spec } = task;
@@ -53,8 +54,9 @@
 }
 
 /**
- * A job that started long overdue was scheduled before guaranteed work. Stopped for that at once, it would be scheduled
- * first again, and both would preempt each other endlessly.
+ * Returns true if the task is protected because its job was overdue when it started. Such a job is scheduled
+ * before guaranteed jobs. If it were stopped for one at once, it would be scheduled first again, and both
+ * would preempt each other endlessly.
  */
 function isProtectedFromPreemption(
   cycle: SchedulingCycle,
@@ -69,10 +71,10 @@
   );
 }
 
-/** Could a task of the waiting job be stopped for the preemptor as soon as it had started? */
+/** Returns true if a task of the waiting job could be stopped for the preemptor as soon as it had started. */
 export function wouldBePreemptible(cycle: SchedulingCycle, job: ShardJob, preemptor: Preemptor): boolean {
   return (
-    mayBeStoppedFor(cycle, { jobId: job.id, spec: job.spec, isStarted: false }, preemptor) &&
+    mayBePreemptedBy(cycle, { jobId: job.id, spec: job.spec, isStarted: false }, preemptor) &&
     !wouldBeProtected(cycle, job, preemptor.job)
   );
 }
@@ -83,10 +85,10 @@
 }
 
 /**
- * Would the team without this task still use all of a guaranteed quota that the task counts towards? A team without any
- * guaranteed quota has only borrowed what it uses.
+ * Returns true if the team would still use all of its guaranteed quota of a resource that the task needs if
+ * the task were gone. All usage of a team without any guaranteed quota is borrowed.
  */
-function exceedsGuarantee(cycle: SchedulingCycle, { spec, isStarted }: PreemptibleTask): boolean {
+function exceedsGuarantee(cycle: SchedulingCycle, { spec, isStarted }: PreemptionCandidate): boolean {
   const guarantee = cycle.context.teams.get(spec.team)?.guaranteed;
   if (!guarantee) return true;
   const counted = RESOURCE_KINDS.filter((kind) => guarantee[kind] > 0 && spec[kind] > 0);
--- a/src/scheduling/preemption-stops.ts
+++ b/src/scheduling/preemption-stops.ts
@@ -1,11 +1,14 @@
-/** Stops tasks for others, in the plan of a cycle: gangs as a whole, and with what comes free counted as such. */
+/**
+ * Adds the stops of preempted tasks to the plan of a cycle: stops gangs as a whole, and accounts for the
+ * resources that become free.
+ */
 import type { JobSpec } from '../jobs/spec.js';
 import type { Allocation, Shard } from '../shards/model.js';
 import type { StopCause } from './cycle.js';
 import { gracePeriodS } from './preemption-cost.js';
 import { returnResources, type SchedulingCycle } from './scheduling-cycle.js';
 
-/** Stops the tasks, and all other members of the gangs among them. */
+/** Stops the tasks, and all other members of their gangs. */
 export function stopPreempted(
   cycle: SchedulingCycle,
   allocations: readonly Allocation[],
@@ -23,11 +26,11 @@
   }
 }
 
-/** The longest time to save that any of the tasks has, in seconds. */
+/** Returns the longest grace period of the tasks, in seconds. */
 export const longestGraceS = (allocations: readonly Allocation[]): number =>
   Math.max(0, ...allocations.map(gracePeriodS));
 
-/** The tasks, and the other members of their gangs: those stop with them. */
+/** Returns the tasks and the other members of their gangs, which stop with them. */
 export function expandToGangs(shard: Shard, allocations: readonly Allocation[]): Set<Allocation> {
   const all = new Set(allocations);
   for (const allocation of allocations) {
--- a/src/scheduling/preemption.ts
+++ b/src/scheduling/preemption.ts
@@ -1,6 +1,6 @@
 /**
- * Preempts tasks for one that goes first: finds the machine on which stopping others costs least, stops them and
- * reserves their resources. Pure: decisions go into the plan of the cycle.
+ * Preempts tasks for a task that takes precedence: finds the machine on which preemption costs least, stops
+ * the victims and reserves their resources. Performs no I/O: decisions go into the plan of the cycle.
  */
 import { Priority, type JobSpec } from '../jobs/spec.js';
 import { add, fits, isZero, type Resources } from '../model/resources.js';
@@ -11,55 +11,55 @@
 import { deadlineAt } from './deadlines.js';
 import {
   failedSearchKey,
-  hasFailedSearch,
-  rememberFailedSearch,
+  hasRecentFailedSearch,
+  recordFailedSearch,
   SEARCH_RETRY_DELAY_MS,
 } from './failed-searches.js';
 import { preemptionCost } from './preemption-cost.js';
 import { isPreemptible, type Preemptor } from './preemption-eligibility.js';
 import { longestGraceS, stopPreempted } from './preemption-stops.js';
-import { hasUnusedPreemption } from './reservation-terms.js';
-import { yieldedTo } from './reservation-precedence.js';
+import { hasRecentUnusedPreemption } from './reservation-terms.js';
+import { reservedForPreemptibleJobs } from './reservation-precedence.js';
 import { returnResources, takeResources, type SchedulingCycle } from './scheduling-cycle.js';
 
-/** Searches in one cycle. */
+/** Maximum number of searches in one cycle. */
 const MAX_PREEMPTION_SEARCHES = 12;
-/** More for critical work: a large service must not start half of its tasks where their image is missing. */
+/** Limit for critical jobs: a large service must not start half its tasks on machines without its image. */
 const MAX_CRITICAL_SEARCHES = 64;
-/** Machines on which preemption was found possible before the cheapest of them is taken. */
+/** A search ends after this many machines on which preemption is possible, and takes the cheapest. */
 const PREEMPTION_SAMPLE = 24;
-/** How long a critical task waits for a peer with announced capacity before others are stopped. */
+/** How long a critical task waits for a peer with announced capacity before it preempts others. */
 const CRITICAL_PREEMPTION_DELAY_MS = 400;
-/** How long any other task waits for resources to become free before others are stopped. */
+/** How long any other task waits for resources to become free before it preempts others. */
 const PREEMPTION_DELAY_MS = 1500;
 
-/** Where preemption may happen. */
+/** The machines on which a search may preempt tasks. */
 export type PreemptionScope = 'any machine' | 'machines with the image';
 
-/** Which machines a search looks at. */
+/** The machines that a search examines. */
 interface PreemptionTarget {
   readonly zone: ZoneId | null;
   readonly scope: PreemptionScope;
   readonly mayUse: (machine: Machine) => boolean;
 }
 
-/** Tasks on one machine whose end makes room for a task. */
+/** Tasks on one machine that are stopped together to make room for a task. */
 interface Preemption {
   readonly machine: Machine;
   readonly allocations: readonly Allocation[];
   readonly cost: number;
 }
 
-/** What a preemption must observe beside the job's own requirements. */
+/** Restrictions of a preemption in addition to the job's own requirements. */
 export interface PreemptionOptions {
   readonly scope?: PreemptionScope;
-  /** Machines that the task may use, beside its requirements. */
+  /** Restricts the machines further than the job's requirements do. */
   readonly mayUse?: (machine: Machine) => boolean;
-  /** The longest time to save, in seconds, of tasks that are stopped for the same start already. */
+  /** Longest grace period, in seconds, of tasks that are already being stopped for the same start. */
   readonly graceS?: number;
 }
 
-/** Stops others for a task and reserves the machine for it; false: none may be stopped, or not yet. */
+/** Stops tasks for another task and reserves their machine for it; false: none may be stopped, or not yet. */
 export function preemptForTask(
   cycle: SchedulingCycle,
   job: ShardJob,
@@ -81,7 +81,11 @@
   return true;
 }
 
-/** Is the job's turn to search, has it waited long enough for others to be stopped, and is it of use to start now? */
+/**
+ * Returns true if the job may search now: neither the limit of searches nor the delay after a failed search
+ * prevents it, its deadline has not passed (unless it is critical), and it has waited long enough to preempt
+ * others.
+ */
 function mayPreempt(cycle: SchedulingCycle, job: ShardJob, scope: PreemptionScope): boolean {
   const { context } = cycle;
   const critical = job.spec.priority === Priority.critical;
@@ -98,15 +102,19 @@
   return job.spec.priority === Priority.critical && waitedMs >= criticalPreemptionDelayMs(cycle, job);
 }
 
-/** Overflow to a peer is tried first, but not from a receiving shard: tasks stay there longer before they move on. */
+/**
+ * Returns how long a critical job waits so that overflow to a peer is tried first. It is 0 if no peer has
+ * announced capacity, and on a shard that has received the tasks by overflow: tasks stay there longer before
+ * they are transferred again.
+ */
 function criticalPreemptionDelayMs({ shard, context }: SchedulingCycle, job: ShardJob): number {
   const mayOverflow = job.record.homeShard === shard.id && context.peerHasCapacity(job.spec);
   return mayOverflow ? CRITICAL_PREEMPTION_DELAY_MS : 0;
 }
 
 /**
- * The cheapest preemption. A failed search is remembered, unless it was for a critical job, which searches again in
- * each cycle, or only among machines with the image.
+ * Finds the cheapest preemption. Records a failed search, except for critical jobs, which search again in
+ * each cycle, and for searches among machines with the image only.
  */
 function searchPreemption(
   cycle: SchedulingCycle,
@@ -117,19 +125,22 @@
   const { zone, scope, mayUse } = target;
   const remembersFailure = job.spec.priority !== Priority.critical && scope === 'any machine';
   const searchKey = remembersFailure ? failedSearchKey(job, zone, context) : null;
-  if (searchKey !== null && hasFailedSearch(shard, searchKey, job.spec, context.now)) return null;
+  if (searchKey !== null && hasRecentFailedSearch(shard, searchKey, job.spec, context.now)) return null;
   cycle.preemptionSearches += 1;
   const preemption = cheapestPreemption(cycle, job, target);
   if (!preemption && searchKey !== null) {
     job.nextPreemptionSearchAt = plus(context.now, millis(SEARCH_RETRY_DELAY_MS));
-    // A search that had to leave out machines speaks for this job alone.
+    // A search that excluded machines because of this job says nothing about other jobs.
     if (mayUse === anyMachine && job.unusedPreemptions.size === 0)
-      rememberFailedSearch(shard, searchKey, job.spec, context.now);
+      recordFailedSearch(shard, searchKey, job.spec, context.now);
   }
   return preemption;
 }
 
-/** The cheapest of the first machines on which enough tasks may be stopped. */
+/**
+ * Returns the cheapest preemption among the first PREEMPTION_SAMPLE machines on which enough tasks may be
+ * stopped.
+ */
 function cheapestPreemption(
   cycle: SchedulingCycle,
   job: ShardJob,
@@ -141,21 +152,24 @@
     scope === 'machines with the image'
       ? shard.totals.machinesWithImage(job.spec.image)
       : shard.machines.values();
-  let best: Preemption | null = null;
-  let found = 0;
+  let cheapest: Preemption | null = null;
+  let sampleCount = 0;
   for (const machine of machines) {
-    if (!mayUse(machine) || hasUnusedPreemption(job, machine.id, cycle.context.now)) continue;
+    if (!mayUse(machine) || hasRecentUnusedPreemption(job, machine.id, cycle.context.now)) continue;
     const free = freeBeforePreemption(cycle, machine, preemptor, zone);
     const preemption = free && findPreemptionOn(cycle, machine, free, preemptor);
     if (!preemption) continue;
-    if (!best || preemption.cost < best.cost) best = preemption;
-    found += 1;
-    if (found >= PREEMPTION_SAMPLE) break;
+    if (!cheapest || preemption.cost < cheapest.cost) cheapest = preemption;
+    sampleCount += 1;
+    if (sampleCount >= PREEMPTION_SAMPLE) break;
   }
-  return best;
+  return cheapest;
 }
 
-/** What is free, or kept for jobs that yield, on a machine where preemption could make room; null: it cannot. */
+/**
+ * Returns the resources of the machine that are free, or reserved for jobs that the preemptor could preempt;
+ * null if preemption cannot make enough room there.
+ */
 function freeBeforePreemption(
   cycle: SchedulingCycle,
   machine: Machine,
@@ -163,17 +177,17 @@
   zone: ZoneId | null,
 ): Resources | null {
   const { spec } = preemptor.job;
-  const yielded = yieldedTo(cycle, machine, preemptor);
-  const atMost = add(machine.preemptible, yielded);
-  if (isZero(atMost) || !mayRunOn(spec, machine.type, machine.zone, machine.spot, zone)) return null;
+  const preemptibleReservations = reservedForPreemptibleJobs(cycle, machine, preemptor);
+  const reclaimable = add(machine.preemptible, preemptibleReservations);
+  if (isZero(reclaimable) || !mayRunOn(spec, machine.type, machine.zone, machine.spot, zone)) return null;
   const unreserved = cycle.freeAfterStops.get(machine.id) ?? cycle.freeResourcesOn(machine);
-  if (!unreserved || !fits(spec, add(unreserved, atMost))) return null;
-  const free = add(unreserved, yielded);
+  if (!unreserved || !fits(spec, add(unreserved, reclaimable))) return null;
+  const free = add(unreserved, preemptibleReservations);
   const { types, now } = cycle.context;
   return isCrowded(machine, free, spec, types.get(machine.type), now) ? null : free;
 }
 
-/** The cheapest tasks of a machine whose end is enough; null: all that may be stopped there are not. */
+/** Finds the cheapest tasks of a machine that make enough room; null if stopping all would not be enough. */
 function findPreemptionOn(
   cycle: SchedulingCycle,
   machine: Machine,
@@ -188,7 +202,7 @@
     preemptible.push(allocation);
     returnResources(freeAtMost, allocation.spec as JobSpec);
   }
-  // Costs are only worked out where stopping everything would be enough.
+  // Costs are computed only if stopping all preemptible tasks would be enough.
   if (!fits(spec, freeAtMost)) return null;
   const free = { ...freeBefore };
   const allocations: Allocation[] = [];
@@ -208,10 +222,10 @@
 ): { allocation: Allocation; cost: number }[] {
   return allocations
     .map((allocation) => ({ allocation, cost: preemptionCost(shard, allocation, context) }))
-    .sort((x, y) => x.cost - y.cost);
+    .sort((first, second) => first.cost - second.cost);
 }
 
-/** Reserves what is free on the machine, or is becoming free, for the task; its quota counts as used. */
+/** Reserves resources of the machine, free or becoming free, and counts them as used by the job's team. */
 export function reserveAfterPreemption(
   cycle: SchedulingCycle,
   job: ShardJob,
--- a/src/scheduling/quota-preemption.ts
+++ b/src/scheduling/quota-preemption.ts
@@ -1,6 +1,7 @@
 /**
- * Preempts within a team: critical tasks of a team whose quota is used up get what its own less urgent tasks use of the
- * resources that are short, if there is a machine for them as well. Pure: decisions go into the plan of the cycle.
+ * Preemption within a team: when the team's quota is used up, critical tasks preempt lower-priority tasks of
+ * the same team that use the exhausted resources, provided that there is a machine for the critical tasks as
+ * well. Performs no I/O: decisions go into the plan of the cycle.
  */
 import type { JobSpec } from '../jobs/spec.js';
 import { addTo, RESOURCE_KINDS, subtract, TOLERANCE, ZERO, type ResourceKind } from '../model/resources.js';
@@ -10,13 +11,14 @@
 import { lostWork } from './preemption-cost.js';
 import { preemptForTask, reserveAfterPreemption } from './preemption.js';
 import { expandToGangs, longestGraceS, stopPreempted } from './preemption-stops.js';
-import { hasUnusedPreemption } from './reservation-terms.js';
+import { hasRecentUnusedPreemption } from './reservation-terms.js';
 import type { SchedulingCycle } from './scheduling-cycle.js';
 
 /**
- * Makes room in the team's quota for a critical task, but only where a machine has room for it or others may be stopped
- * there, so that its start follows: a stopped task would else take the quota back, to be stopped again. Both together are
- * one decision, and the machine is reserved. false: nothing is stopped.
+ * Frees quota of the team for a critical task, but only if a machine has room for the task or others may be
+ * preempted there, so that its start follows: otherwise a stopped task would take the quota back and be
+ * stopped again. Stops for quota and for capacity are one decision, and the machine is reserved. Returns
+ * false if that is not possible; nothing is stopped then.
  */
 export function preemptForQuota(
   cycle: SchedulingCycle,
@@ -36,7 +38,7 @@
   const graceS = longestGraceS(allocations);
   const machine = candidates.next();
   if (machine) {
-    if (allocations.length > 0 && hasUnusedPreemption(job, machine.id, cycle.context.now)) return false;
+    if (allocations.length > 0 && hasRecentUnusedPreemption(job, machine.id, cycle.context.now)) return false;
     stopPreempted(cycle, allocations, cause);
     reserveAfterPreemption(cycle, job, index, machine, graceS);
     return true;
@@ -49,8 +51,9 @@
 }
 
 /**
- * Tasks of the job's team without which one more task of the job is within the quota, those that lose least first; none
- * where enough are being stopped already. null: all that may be stopped are not enough, so that none is to be stopped.
+ * Chooses the tasks of the job's team to stop so that one more task of the job fits into the quota, those
+ * that lose least work first. Returns an empty list if enough tasks are already being stopped, and null if
+ * stopping all tasks that may be stopped would not be enough.
  */
 function chooseStopsForQuota(cycle: SchedulingCycle, job: ShardJob): Allocation[] | null {
   const { spec } = job;
@@ -84,7 +87,7 @@
     .map(({ allocation }) => allocation);
 }
 
-/** Tasks of the team with a lower priority. */
+/** Returns the tasks of the team with a lower priority that are not being stopped yet. */
 function preemptibleForQuota({ shard, stopping }: SchedulingCycle, spec: JobSpec): Allocation[] {
   const preemptible: Allocation[] = [];
   for (const [id, allocations] of shard.allocationsByJob) {
--- a/src/scheduling/reservation-ends.ts
+++ b/src/scheduling/reservation-ends.ts
@@ -1,13 +1,13 @@
 /**
- * Ends reservations of machines, and remembers why the task of one that stands has not started. What happened to each goes
- * into the plan of the cycle, from where it is logged and counted.
+ * Ends reservations of machines, and records why the task of a reservation that still holds has not started.
+ * Each outcome goes into the plan of the cycle, from where it is logged and counted.
  */
 import type { MachineId } from '../model/units.js';
 import type { ReservationObstacle, ShardJob } from '../shards/model.js';
 import type { ReservationOutcome } from './cycle.js';
 import type { SchedulingCycle } from './scheduling-cycle.js';
 
-/** Ends the reservation of one task; nothing happens where there is none. */
+/** Ends the reservation of one task; does nothing if the task has none. */
 export function endReservation(
   cycle: SchedulingCycle,
   job: ShardJob,
@@ -25,7 +25,7 @@
   for (const index of [...job.reservations.keys()]) endReservation(cycle, job, index, outcome);
 }
 
-/** The task starts on the machine: whether or not that is the reserved one, its reservation has ended. */
+/** Ends the reservation of a task that starts on the machine, whether or not that is the reserved machine. */
 export function endReservationByStart(
   cycle: SchedulingCycle,
   job: ShardJob,
@@ -36,7 +36,7 @@
   endReservation(cycle, job, index, isReserved ? 'used' : 'started elsewhere');
 }
 
-/** Every reservation of the job stands, and its task does not start for this reason. */
+/** Records on all reservations of the job why its tasks do not start. */
 export function recordObstacle(job: ShardJob, obstacle: ReservationObstacle): void {
   for (const reservation of job.reservations.values()) reservation.lastObstacle = obstacle;
 }
--- a/src/scheduling/reservation-precedence.ts
+++ b/src/scheduling/reservation-precedence.ts
@@ -1,7 +1,8 @@
 /**
- * Whom a reservation without preemption holds off. It keeps a machine for a job that has waited too long, from jobs that
- * could not stop its task there; for the others it must not count, or they wait for room that they would take back as
- * soon as the task has started. And it never holds off a task for which others were stopped on the machine.
+ * Precedence between reservations. A reservation without preemption keeps a machine free for a job that has
+ * waited too long. It applies only to jobs that could not preempt the task of that job; other jobs would wait
+ * for resources that they would take back as soon as the task had started. It never blocks a task for which
+ * others were stopped on the machine.
  */
 import { add, fits, ZERO, type Resources } from '../model/resources.js';
 import type { Machine, ShardJob } from '../shards/model.js';
@@ -9,20 +10,27 @@
 import { wouldBePreemptible, type Preemptor } from './preemption-eligibility.js';
 import type { SchedulingCycle } from './scheduling-cycle.js';
 
-/** Kept on the machine for jobs whose tasks could be stopped for the preemptor anyway: for it this is as good as free. */
-export function yieldedTo(cycle: SchedulingCycle, machine: Machine, preemptor: Preemptor): Resources {
-  let yielded = ZERO;
-  for (const other of cycle.keptMachines.othersOn(machine.id, preemptor.job))
-    if (wouldBePreemptible(cycle, other, preemptor)) yielded = add(yielded, other.spec);
-  return yielded;
+/**
+ * Returns what is reserved on the machine for jobs whose tasks the preemptor could preempt as soon as they
+ * had started. To the preemptor these resources are as good as free.
+ */
+export function reservedForPreemptibleJobs(
+  cycle: SchedulingCycle,
+  machine: Machine,
+  preemptor: Preemptor,
+): Resources {
+  let reserved = ZERO;
+  for (const other of cycle.nonPreemptiveReservations.otherJobsOn(machine.id, preemptor.job))
+    if (wouldBePreemptible(cycle, other, preemptor)) reserved = add(reserved, other.spec);
+  return reserved;
 }
 
 /**
- * The machine that is reserved for the task, if others were stopped there for it and they are gone: what is kept on it
- * for jobs that have waited too long is what the stops have left, not what they were made for. The job's own reservation
- * must have been returned to what is free.
+ * Returns the machine reserved for the task if tasks were stopped there for it and the task fits by now, else
+ * null. Reservations without preemption of other jobs on the machine are ignored, since the tasks were not
+ * stopped for those jobs. The caller must have returned the job's own reservation to the free resources.
  */
-export function machineMadeFree(
+export function machineFreedByPreemption(
   cycle: SchedulingCycle,
   job: ShardJob,
   index: number,
@@ -34,6 +42,7 @@
   const free = machine && mayUse(machine) ? cycle.freeResourcesOn(machine) : null;
   if (!machine || !free) return null;
   let available: Resources = free;
-  for (const other of cycle.keptMachines.othersOn(machine.id, job)) available = add(available, other.spec);
+  for (const other of cycle.nonPreemptiveReservations.otherJobsOn(machine.id, job))
+    available = add(available, other.spec);
   return fits(job.spec, available) ? machine : null;
 }
--- a/src/scheduling/reservation-terms.ts
+++ b/src/scheduling/reservation-terms.ts
@@ -1,16 +1,18 @@
-/** For how long reservations hold, and after which time stops that were of no use are tried again. */
+/** How long reservations hold, and when a preemption that was of no use may be tried again. */
 import { millis, plus, type MachineId, type SteadyMs } from '../model/units.js';
 import type { Reservation, ShardJob } from '../shards/model.js';
 import type { PlannedReservation } from './cycle.js';
 
-/** How long a machine stays reserved after the tasks that were stopped there have had their time to save. */
+/** How long a machine stays reserved after the grace period of the tasks that were stopped there. */
 const RESERVATION_TTL_MS = 6000;
-/** How long a machine may take to become empty for a task that has waited too long. */
+/** How long a reservation without preemption holds, while tasks on the machine end by themselves. */
 const LONG_RESERVATION_TTL_MS = 120_000;
-/** After a reservation has ended unused, nothing is stopped on its machine for the same job for this long. */
-const UNUSED_PREEMPTION_PAUSE_MS = 30_000;
+/**
+ * After a reservation has expired unused, nothing is stopped on its machine for the same job for this long.
+ */
+const UNUSED_PREEMPTION_BACKOFF_MS = 30_000;
 
-/** The reservation that a decision of a cycle makes. */
+/** Creates the reservation for a decision of a cycle. */
 export function newReservation(
   {
     machine,
@@ -28,13 +30,13 @@
   };
 }
 
-/** Others were stopped on the machine for a task of the job, and it has not started there. */
-export function rememberUnusedPreemption(job: ShardJob, machine: MachineId, now: SteadyMs): void {
+/** Records that others were stopped on the machine for a task of the job that did not start there. */
+export function recordUnusedPreemption(job: ShardJob, machine: MachineId, now: SteadyMs): void {
   job.unusedPreemptions.set(machine, now);
 }
 
-/** Was it a moment ago that stops on the machine were of no use to the job? */
-export function hasUnusedPreemption(job: ShardJob, machine: MachineId, now: SteadyMs): boolean {
+/** Returns true if tasks were recently stopped on the machine for the job to no effect. */
+export function hasRecentUnusedPreemption(job: ShardJob, machine: MachineId, now: SteadyMs): boolean {
   const endedAt = job.unusedPreemptions.get(machine);
-  return endedAt !== undefined && now - endedAt < UNUSED_PREEMPTION_PAUSE_MS;
+  return endedAt !== undefined && now - endedAt < UNUSED_PREEMPTION_BACKOFF_MS;
 }
--- a/src/scheduling/reservations.ts
+++ b/src/scheduling/reservations.ts
@@ -1,6 +1,7 @@
 /**
- * Reservations for jobs that have waited too long: machines that become free for them, and quota that their team leaves
- * unused. Without them smaller tasks would take each piece of a machine or of a quota as soon as it comes free. Pure.
+ * Reservations for jobs that have waited too long: machines, kept as they become free, and quota of their
+ * team. Without them smaller tasks would take each part of a machine or quota as soon as it becomes free.
+ * Performs no I/O: decisions go into the plan of the cycle.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
@@ -11,28 +12,32 @@
 import { endReservation } from './reservation-ends.js';
 import { returnResources, takeResources, type SchedulingCycle } from './scheduling-cycle.js';
 
-/** A job that has waited this long without any start may have machines or quota reserved. */
+/** A job that has waited this long without any start may reserve machines or quota. */
 const RESERVE_AFTER_MS = 60_000;
-/** At most one in this many machines of a shard is reserved for tasks that fit nowhere. */
+/** At most one in this many machines of a shard, but at least one, is reserved for tasks that fit nowhere. */
 const MACHINES_PER_RESERVATION = 8;
-/** A task may have a machine reserved if it takes at least this share of some resource there. */
+/** A task may reserve a machine if it takes at least this share of one of its resources. */
 const MIN_RESERVABLE_SHARE = 0.5;
-/** Machines are reserved for a gang for this long. */
+/** How long a gang may hold reservations in one turn. */
 const GANG_RESERVATION_MS = 60_000;
-/** After its reservation a gang leaves this long to others. */
+/** Pause between two turns of a gang, in which other jobs may use the machines. */
 const GANG_RESERVATION_PAUSE_MS = 30_000;
 
-/** Smaller tasks find a piece of some machine soon. */
+/** Returns true if the task needs most of such a machine. Smaller tasks soon find room on some machine. */
 const needsMostResources = (type: InstanceType, spec: JobSpec): boolean =>
   fits(spec, type) && dominantShare(spec, type) >= MIN_RESERVABLE_SHARE;
 
-/** Free CPUs, or GPUs as CPUs where the task needs them and they are scarcer. Memory does not choose the machine. */
+/**
+ * Returns the free CPUs, or the free GPUs converted to CPUs if the task needs GPUs and they are scarcer.
+ * Memory does not affect the choice of the machine.
+ */
 const freeReservableCpus = (freeResources: Resources, type: InstanceType, spec: JobSpec): number =>
   freeAsCpus(freeResources, type, { cpus: 0, gpus: spec.gpus, memoryGb: 0 });
 
 /**
- * Reserves the machine with most free for a task that needs most of one: it fits nowhere as long as smaller tasks take
- * each piece that comes free. One machine for each job, and few of a shard at a time; false: none.
+ * Reserves the machine with the most free resources for a task that needs most of a machine and that fits
+ * nowhere as long as smaller tasks take each part that becomes free. A job reserves one machine at a time,
+ * and a shard has few such reservations. Returns false if no machine is reserved.
  */
 export function reserveMachine(
   cycle: SchedulingCycle,
@@ -58,41 +63,44 @@
   if (reservations.some((reservation) => reservation.job === job)) return false;
   const maxReserved = Math.max(1, Math.floor(cycle.shard.machines.size / MACHINES_PER_RESERVATION));
   const planned = reservations.filter((reservation) => reservation.withoutPreemption).length;
-  return cycle.reservedMachines + planned < maxReserved;
+  return cycle.nonPreemptiveReservationCount + planned < maxReserved;
 }
 
 /**
- * Reserves quota of the job's team for `count` tasks, one of an array or all of a gang: it is collected, also from other
- * shards, for one job of a team at a time.
+ * Reserves quota of the job's team for `count` tasks: one task of an array, or all tasks of a gang. Quota is
+ * collected, also from other shards, for one job of a team at a time.
  */
 export function reserveQuota(cycle: SchedulingCycle, job: ShardJob, count: number): void {
   const { team } = job.spec;
   const { quotaReservations } = cycle.plan;
   if (quotaReservations.has(team) || cycle.waitedWithoutStartMs(job) <= RESERVE_AFTER_MS) return;
   const needed = scale(job.spec, count);
-  if (!canComeTogether(cycle, team, needed)) return;
+  if (!canEverFitTeamQuota(cycle, team, needed)) return;
   quotaReservations.set(team, needed);
   cycle.addTeamUsage(team, needed);
 }
 
 /**
- * Can the team have so much at once? Not beside its services, which do not end: quota kept for a job that can never start
- * would keep all smaller ones of the team waiting with it.
+ * Returns true if the team's quota has room for the amount in addition to the team's services, which do not
+ * end. Quota reserved for a job that can never start would keep all smaller jobs of the team waiting with it.
  */
-function canComeTogether(cycle: SchedulingCycle, team: TeamId, needed: Resources): boolean {
+function canEverFitTeamQuota(cycle: SchedulingCycle, team: TeamId, needed: Resources): boolean {
   const quota = cycle.context.teams.get(team)?.quota;
   if (!quota) return true;
   const services = add(cycle.servicesUsage(team), cycle.context.servicesOnOtherShards(team));
   return fits(needed, subtract(quota, services));
 }
 
-/** Reservations for gangs come and go in turns: no other job may wait for long beside capacity that is kept free. */
+/**
+ * Returns true if the gang may hold reservations now. Gangs reserve in turns with pauses, so that no other
+ * job waits for long while capacity is kept free.
+ */
 function hasReservationTurn(cycle: SchedulingCycle, job: ShardJob): boolean {
   const waitedMs = cycle.waitedWithoutStartMs(job) - RESERVE_AFTER_MS;
   return waitedMs > 0 && waitedMs % (GANG_RESERVATION_MS + GANG_RESERVATION_PAUSE_MS) < GANG_RESERVATION_MS;
 }
 
-/** At the end of its turn a gang gives up the machines that were reserved for it without preemption. */
+/** Ends the gang's reservations without preemption when its turn is over. */
 export function expireGangReservations(cycle: SchedulingCycle, job: ShardJob): void {
   if (hasReservationTurn(cycle, job)) return;
   for (const [index, { machine, withoutPreemption }] of [...job.reservations]) {
@@ -108,8 +116,9 @@
 }
 
 /**
- * Reserves a machine for each waiting member of a gang that does not fit on the shard now, where preemptible work will
- * leave enough. One gang of a shard at a time, and only if there is a machine for all members.
+ * Reserves a machine for each waiting member of a gang that does not fit on the shard now, on machines with
+ * enough free and preemptible resources. Only one gang of a shard does so at a time, and only if there are
+ * machines for all members; otherwise the plan names it as an oversized gang.
  */
 export function reserveGangMachines(
   cycle: SchedulingCycle,
@@ -118,7 +127,10 @@
 ): void {
   const { plan } = cycle;
   if (!hasReservationTurn(cycle, job) || job.reservations.size > 0) return;
-  if (cycle.reservedMachines > 0 || plan.reservations.some((reservation) => reservation.withoutPreemption))
+  if (
+    cycle.nonPreemptiveReservationCount > 0 ||
+    plan.reservations.some((reservation) => reservation.withoutPreemption)
+  )
     return;
   const reserved = reserveForMembers(cycle, job, mayUse);
   if (reserved.length === job.waiting.size) {
@@ -130,7 +142,7 @@
   plan.oversizedGang ??= { job, missingTasks: job.waiting.size - reserved.length };
 }
 
-/** Takes resources for one member after the other, up to the first that finds no machine. */
+/** Takes resources for the members in order, up to the first for which there is no machine. */
 function reserveForMembers(
   cycle: SchedulingCycle,
   job: ShardJob,
@@ -148,14 +160,17 @@
   return reserved;
 }
 
-/** Which machines come into question for a reservation. */
+/** Selects the machines that may be reserved. */
 interface MachineFilter {
   readonly mayUse: (machine: Machine, type: InstanceType) => boolean;
-  /** Will the task fit there, with so much free now? */
+  /** Returns true if the task will fit on the machine, given the resources that are free there now. */
   readonly willFit: (machine: Machine, free: Resources) => boolean;
 }
 
-/** Of the machines on which the task may run and that pass the filter, the one with most free. */
+/**
+ * Returns the machine with the most free resources of those on which the task may run and that pass the
+ * filter.
+ */
 function machineWithMostFree(
   cycle: SchedulingCycle,
   spec: JobSpec,
--- a/src/scheduling/runtime-estimator.ts
+++ b/src/scheduling/runtime-estimator.ts
@@ -1,22 +1,22 @@
 /**
- * Learns how far the run time estimates of each job class are off. They are often wrong in one direction for hours, so
- * a median of recent tasks corrects them.
+ * Corrects the run time estimates of each job class. They are often wrong in one direction for hours, so they
+ * are scaled by a median over recent tasks.
  */
 
-/** Recent tasks of a class that count. */
+/** Maximum number of recent tasks of a class that are evaluated. */
 const MAX_SAMPLES = 40;
-/** Before so many have ended, estimates are taken as they are. */
+/** Estimates are not corrected before this many tasks have ended. */
 const MIN_SAMPLES = 6;
-/** Limits of the correction, so that no run of odd tasks makes estimates useless. */
+/** Limits of the correction factor, so that a series of outliers does not make estimates useless. */
 const MIN_CORRECTION = 0.25;
 const MAX_CORRECTION = 4;
 
-/** Actual over estimated run time, by job class. */
+/** Tracks the ratio of actual to estimated run time by job class. */
 export class RuntimeEstimator {
   private readonly ratios = new Map<string, number[]>();
   private readonly medians = new Map<string, number>();
 
-  /** A task of the class has ended; times without a meaning are left out. */
+  /** Records the run time of a task that has ended. Ignores times that are not positive. */
   addSample(jobClass: string, estimateS: number, actualS: number): void {
     if (estimateS <= 0 || actualS <= 0) return;
     const ratios = this.ratios.get(jobClass) ?? [];
@@ -29,7 +29,9 @@
     this.medians.set(jobClass, Math.min(MAX_CORRECTION, Math.max(MIN_CORRECTION, median)));
   }
 
-  /** Median of actual over estimated run time; 1 until enough tasks have ended. */
+  /**
+   * Returns the median ratio of actual to estimated run time, within limits; 1 until enough tasks have ended.
+   */
   correctionFactor(jobClass: string): number {
     return this.medians.get(jobClass) ?? 1;
   }
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -1,7 +1,7 @@
 /**
- * Runs scheduling cycles: plans one for each shard that this controller leads, carries the plan out, and passes on what
- * stayed unplaced to peers, to quota transfer and to the autoscaler. Relies on `Core` for the command deadline and for
- * exclusive access to the shards.
+ * Runs the scheduling cycles of the shards that this controller leads: plans a cycle, applies the plan, and
+ * passes unplaced tasks on to task transfer, quota transfer and the autoscaler. Relies on `Core` for the
+ * command deadline and for exclusive access to the shards.
  */
 import type { Core } from '../core.js';
 import type { Autoscaler } from '../autoscaling/autoscaler.js';
@@ -26,24 +26,24 @@
 import { SchedulingLog } from './scheduling-log.js';
 import { RELOCATED, TaskAllocator } from './task-allocator.js';
 
-/** An urgent cycle waits this long, so that events of the same moment share it. */
+/** Minimum delay before a cycle, so that events that arrive together are handled by one cycle. */
 const URGENT_CYCLE_DELAY_MS = 15;
-/** Cycles start at least this far apart otherwise. */
+/** Minimum interval between the starts of two cycles, unless one is urgent. */
 const CYCLE_INTERVAL_MS = 90;
-/** Cycles take at most one in this many parts of the time of this process. */
+/** Cycles use at most 1/CYCLE_TIME_DIVISOR of the time of this process. */
 const CYCLE_TIME_DIVISOR = 4;
-/** However long cycles take, the next one starts after this time. */
+/** Upper limit of the cycle interval, however long cycles take. */
 const MAX_CYCLE_INTERVAL_MS = 400;
-/** Replicas are moved one by one, this far apart: few are down at any moment. */
+/** Minimum interval between two relocations of replicas, so that only a few are down at any moment. */
 const RELOCATION_INTERVAL_MS = 400;
 
-/** Decides when cycles run, and carries out their plans. */
+/** Decides when scheduling cycles run, and applies their plans. */
 export class Scheduler {
   private cycleScheduled = false;
   private lastCycleDurationMs = 0;
   private lastCycleAt: SteadyMs | null = null;
   private nextCycleAt = 0;
-  /** Jobs with tasks that the last cycle of a shard could not place. */
+  /** Jobs of each shard with tasks that the shard's last cycle could not place. */
   private readonly unplacedJobs = new WeakMap<Shard, ReadonlySet<ShardJob>>();
   private readonly guarantees: GuaranteedJobs;
   private readonly services = new ServiceAssignments();
@@ -69,7 +69,7 @@
     this.schedulingLog = new SchedulingLog(core.log);
   }
 
-  /** Something that matters for scheduling has changed: a cycle runs when the next one is due. */
+  /** Requests a cycle after a change that affects scheduling. It runs when the next cycle is due. */
   requestCycle(): void {
     if (this.cycleScheduled) return;
     const interval = Math.min(
@@ -80,7 +80,7 @@
     this.scheduleCycle(Math.max(URGENT_CYCLE_DELAY_MS, untilDueMs));
   }
 
-  /** A critical job has arrived: it does not wait until the next cycle is due. */
+  /** Requests a cycle for a critical job that has arrived, without waiting until the next cycle is due. */
   requestUrgentCycle(): void {
     this.scheduleCycle(Math.max(URGENT_CYCLE_DELAY_MS, this.lastCycleDurationMs * CYCLE_TIME_DIVISOR));
   }
@@ -105,19 +105,19 @@
     this.lastCycleDurationMs = this.core.clock.now() - startedAt;
   }
 
-  /** Counted since the process began, for the statistics in the log. */
+  /** Returns the scheduling event counters since process start, for the statistics in the log. */
   eventCounts(): Readonly<Record<string, number>> {
     return this.schedulingLog.events.snapshot();
   }
 
-  /** The record of an active job is new or has changed; null: the job has ended. */
+  /** Handles a new or changed record of an active job; null if the job has ended. */
   onJobRecord(id: JobId, record: JobRecord | null): void {
     this.guarantees.update(id, record);
     this.services.update(id, record);
     this.misassignedJobs.update(id, record);
   }
 
-  /** The job has ended: stops every task of it. */
+  /** Stops every task of a job that has ended. */
   stopJob(jobId: JobId): void {
     this.taskAllocator.stopJob(jobId);
   }
@@ -146,7 +146,7 @@
     return createSchedulingContext(sources, shard, now);
   }
 
-  /** Moves one replica while nothing waits and no task of the shard is being stopped. */
+  /** Relocates one replica, unless a task of the shard is being stopped. Called only while nothing waits. */
   private consolidate(shard: Shard, context: SchedulingContext): void {
     const { now } = context;
     if (!shard.reconciled || shard.stopping.size > 0) return;
@@ -176,7 +176,10 @@
     this.updateWaitingTimes(shard, plan.unplaced, now);
   }
 
-  /** A job waits from the first cycle that could not place a task of it until one that places all. */
+  /**
+   * Sets `waitingSince` of a job in the first cycle that could not place one of its tasks, and clears it in
+   * the first cycle that places them all.
+   */
   private updateWaitingTimes(shard: Shard, unplaced: readonly UnplacedTasks[], now: SteadyMs): void {
     const unplacedJobs = new Set(unplaced.map((entry) => entry.job));
     for (const job of this.unplacedJobs.get(shard) ?? []) if (!unplacedJobs.has(job)) job.waitingSince = null;
@@ -184,7 +187,10 @@
     this.unplacedJobs.set(shard, unplacedJobs);
   }
 
-  /** Asks other shards for quota for what only the quota of its team here keeps from starting. */
+  /**
+   * Requests quota from other shards for the tasks that only their team's quota on this shard keeps from
+   * starting.
+   */
   private requestQuota(shard: Shard, unplaced: readonly UnplacedTasks[]): void {
     const neededByTeam = new Map<TeamId, MutableResources>();
     for (const entry of unplaced) {
--- a/src/scheduling/scheduling-context.ts
+++ b/src/scheduling/scheduling-context.ts
@@ -1,6 +1,6 @@
 /**
- * Composes what one scheduling cycle of a shard reads beside the shard itself: teams and quotas, what peers have
- * announced, and corrections of run times. The cycle stays a function of its inputs.
+ * Builds the input of a scheduling cycle in addition to the shard: teams and quotas, announcements of peers,
+ * and run time corrections. A cycle depends only on its inputs.
  */
 import type { Core } from '../core.js';
 import type { JobSpec } from '../jobs/spec.js';
@@ -14,7 +14,7 @@
 import type { SchedulingContext } from './cycle.js';
 import type { RuntimeEstimator } from './runtime-estimator.js';
 
-/** Where the context of a cycle comes from. */
+/** The components from which the context of a cycle is built. */
 export interface SchedulingContextSources {
   readonly core: Core;
   readonly quotaTransfers: Pick<QuotaTransferService, 'shardQuota'>;
@@ -23,17 +23,17 @@
   readonly runtimeEstimator: Pick<RuntimeEstimator, 'correctionFactor'>;
 }
 
-/** Keeps the answer for each key: a cycle asks for the same one many times. */
+/** Caches the result for each key, since a cycle asks for the same key many times. */
 function memoize<K>(compute: (key: K) => boolean): (key: K) => boolean {
-  const known = new Map<K, boolean>();
+  const cache = new Map<K, boolean>();
   return (key) => {
-    let answer = known.get(key);
-    if (answer === undefined) known.set(key, (answer = compute(key)));
-    return answer;
+    let result = cache.get(key);
+    if (result === undefined) cache.set(key, (result = compute(key)));
+    return result;
   };
 }
 
-/** The context of one cycle; it must not outlive the cycle, since it remembers answers. */
+/** Creates the context of one cycle. It must not outlive the cycle, since it caches results. */
 export function createSchedulingContext(
   sources: SchedulingContextSources,
   shard: Shard,
@@ -41,7 +41,7 @@
 ): SchedulingContext {
   const { core, quotaTransfers, guarantees, services, runtimeEstimator } = sources;
   const usageElsewhere = usageOnOtherShards(core, shard);
-  const usedOn =
+  const teamUsageOn =
     (team: TeamId) =>
     (other: ShardId): Resources =>
       usageByTeamOn(core, other)?.get(team) ?? ZERO;
@@ -51,7 +51,7 @@
     teams: core.settings.teams,
     shardQuota: (team) => quotaTransfers.shardQuota(shard.id, team),
     usageOnOtherShards: (team) => usageElsewhere.get(team) ?? ZERO,
-    servicesOnOtherShards: (team) => services.usageOutside(team, shard.id, usedOn(team)),
+    servicesOnOtherShards: (team) => services.usageOutside(team, shard.id, teamUsageOn(team)),
     guaranteed: memoize((job) => guarantees.has(job)),
     peerHasCapacity: (spec) => peerHasCapacity(core, shard, spec, now),
     maxLatenessFactor: (jobClass) => core.settings.deadlineFactorByClass.get(jobClass) ?? 1,
@@ -61,11 +61,11 @@
   };
 }
 
-/** What each team uses on a shard: from memory if it is led here, else by its announcement. */
+/** Returns the usage by team on a shard: from memory if the shard is led here, else from its announcement. */
 const usageByTeamOn = (core: Core, shard: ShardId): ReadonlyMap<TeamId, Resources> | undefined =>
   core.shards.get(shard)?.totals.usageByTeam ?? core.shardAnnouncements.get(shard)?.usage;
 
-/** What each team uses on the other shards. */
+/** Returns the usage by team on all other shards. */
 function usageOnOtherShards(core: Core, shard: Shard): Map<TeamId, Resources> {
   const usage = new Map<TeamId, Resources>();
   for (const { shard: shardId } of core.settings.shards) {
--- a/src/scheduling/scheduling-cycle.ts
+++ b/src/scheduling/scheduling-cycle.ts
@@ -1,6 +1,6 @@
 /**
- * The state of one scheduling cycle of a shard: free resources and quota as the decisions so far leave them, and the
- * plan that they make up. The stages of a cycle share it; nothing of it outlives the cycle.
+ * The state of one scheduling cycle of a shard: free resources and quota after the decisions so far, and the
+ * plan that holds these decisions. The stages of the cycle share it; it is discarded at the end of the cycle.
  */
 import type { JobSpec } from '../jobs/spec.js';
 import {
@@ -22,36 +22,39 @@
   type Shard,
   type ShardJob,
 } from '../shards/model.js';
-import { KeptMachines } from './kept-machines.js';
+import { NonPreemptiveReservations } from './kept-machines.js';
 import { newPlan, type SchedulingContext, type SchedulingPlan } from './cycle.js';
 import { isSchedulable } from '../shards/machine-health.js';
 
-/** Takes the resources of one task off what is free; nothing happens where nothing is known to be free. */
+/** Subtracts the resources of one task from `free`; does nothing if `free` is absent. */
 export function takeResources(free: MutableResources | null | undefined, spec: JobSpec): void {
   if (free) addTo(free, spec, -1);
 }
 
-/** Adds the resources of one task to what is free. */
+/** Adds the resources of one task to `free`; does nothing if `free` is absent. */
 export function returnResources(free: MutableResources | null | undefined, spec: JobSpec): void {
   if (free) addTo(free, spec, 1);
 }
 
-/** One cycle of one shard. */
+/** State shared by the stages of one cycle of one shard. */
 export class SchedulingCycle {
   readonly plan: SchedulingPlan = newPlan();
-  /** Free for starts of this cycle, on machines that were looked at. */
+  /** Resources that are free for starts of this cycle, for the machines examined so far. */
   readonly freeResources = new Map<MachineId, MutableResources>();
-  /** Free once the tasks are gone that this cycle stops there: for reservations, not for starts. */
+  /**
+   * Resources that will be free once the tasks that this cycle stops have ended; for reservations, not for
+   * starts.
+   */
   readonly freeAfterStops = new Map<MachineId, MutableResources>();
   /** Tasks that this cycle stops. */
   readonly stopping = new Set<Allocation>();
-  /** Searches for tasks to preempt; limited for each cycle. */
+  /** Number of searches for preemption victims so far; limited per cycle. */
   preemptionSearches = 0;
-  /** Machines that earlier cycles have reserved without preemption. */
-  reservedMachines = 0;
-  readonly keptMachines = new KeptMachines();
+  /** Number of reservations without preemption that earlier cycles made and that still hold. */
+  nonPreemptiveReservationCount = 0;
+  readonly nonPreemptiveReservations = new NonPreemptiveReservations();
   private readonly usage: Map<TeamId, Resources>;
-  /** Used by tasks whose team is not known. */
+  /** Usage by tasks whose team is not known. */
   private readonly unattributedUsage: Resources;
   private usageByServices: ReadonlyMap<TeamId, Resources> | null = null;
   private readonly usageBeingStopped = new Map<TeamId, Resources>();
@@ -68,14 +71,19 @@
     for (const allocation of shard.stopping) if (allocation.spec) this.addStoppingUsage(allocation.spec);
   }
 
-  /** How long the job has waited without any start, in milliseconds; 0: a task of it has started. */
+  /**
+   * Returns how long the job has waited without any start, in milliseconds; 0 if one of its tasks has
+   * started.
+   */
   waitedWithoutStartMs(job: ShardJob): number {
     const hasStarted =
       !job.record.done.isEmpty || !job.finished.isEmpty || this.shard.allocationsByJob.has(job.id);
     return hasStarted ? 0 : this.context.now - job.acceptedAt;
   }
 
-  /** Free on the machine as this cycle leaves it; null: nothing may start there. */
+  /**
+   * Returns the free resources of the machine after the decisions so far; null if nothing may start there.
+   */
   freeResourcesOn(machine: Machine): MutableResources | null {
     const known = this.freeResources.get(machine.id);
     if (known) return known;
@@ -85,7 +93,10 @@
     return free;
   }
 
-  /** Free on the machine once the tasks are gone that this cycle stops there; null: nothing may start there. */
+  /**
+   * Returns the resources of the machine that will be free once the tasks that this cycle stops there have
+   * ended; null if nothing may start there.
+   */
   freeAfterStopsOn(machine: Machine): MutableResources | null {
     const known = this.freeAfterStops.get(machine.id);
     if (known) return known;
@@ -96,33 +107,36 @@
     return freeAfterStops;
   }
 
-  /** What the team uses on this shard, starts of this cycle included. */
+  /** Returns the usage of the team on this shard, including the decisions of this cycle. */
   teamUsage(team: TeamId): Resources {
     return this.usage.get(team) ?? ZERO;
   }
 
-  /** What services of the team use on this shard, those being stopped left out. Counted on the first question. */
+  /**
+   * Returns the usage of the team's services on this shard, without tasks that are being stopped. Computed at
+   * the first call.
+   */
   servicesUsage(team: TeamId): Resources {
     this.usageByServices ??= usageOfServices(this.shard);
     return this.usageByServices.get(team) ?? ZERO;
   }
 
-  /** Sets the team's usage back to an earlier value. */
+  /** Resets the team's usage to an earlier value. */
   restoreTeamUsage(team: TeamId, usage: Resources): void {
     this.usage.set(team, usage);
   }
 
-  /** Counts the amount as used by the team on this shard. */
+  /** Adds the amount to the team's usage on this shard. */
   addTeamUsage(team: TeamId, amount: Resources): void {
     this.usage.set(team, add(this.teamUsage(team), amount));
   }
 
-  /** Counts one task of the job as used. */
+  /** Adds one task of the job to the usage of its team on this shard. */
   addTaskUsage(spec: JobSpec): void {
     this.addTeamUsage(spec.team, spec);
   }
 
-  /** What the team uses on all shards, less what is being stopped here. */
+  /** Returns the usage of the team on all shards, without the tasks that are being stopped on this shard. */
   usageAfterStops(team: TeamId): Resources {
     return add(
       subtract(this.teamUsage(team), this.stoppingUsage(team)),
@@ -130,27 +144,33 @@
     );
   }
 
-  /** What the team may be using on this shard with one more task of the job. */
+  /**
+   * Returns the largest possible usage of the team on this shard with one more task of the job. Tasks whose
+   * team is not known count towards every team.
+   */
   usageWithTask(spec: JobSpec): Resources {
     return add(add(this.teamUsage(spec.team), this.unattributedUsage), spec);
   }
 
-  /** Would one more task of the job stay within the team's quota on this shard? */
+  /** Returns true if one more task of the job stays within the team's quota on this shard. */
   fitsShardQuota(spec: JobSpec): boolean {
     return fits(this.usageWithTask(spec), this.context.shardQuota(spec.team));
   }
 
-  /** What the team's tasks use that are being stopped. */
+  /** Returns the usage of the team's tasks that are being stopped. */
   stoppingUsage(team: TeamId): Resources {
     return this.usageBeingStopped.get(team) ?? ZERO;
   }
 
-  /** A task told to stop counts no longer towards the guaranteed quota, but towards the quota until it is seen gone. */
+  /**
+   * Records that a task is being stopped. It no longer counts towards the guaranteed quota, but it counts
+   * towards the quota until a heartbeat shows that it is gone.
+   */
   addStoppingUsage(spec: JobSpec): void {
     this.usageBeingStopped.set(spec.team, add(this.stoppingUsage(spec.team), spec));
   }
 
-  /** Remembers the cycle as it stands; the returned function takes back everything decided since. */
+  /** Saves free resources, usage, stops and reservations; the returned function restores them. */
   savepoint(): () => void {
     const freeResourcesBefore = copyFreeResources(this.freeResources);
     const freeAfterStopsBefore = copyFreeResources(this.freeAfterStops);
@@ -173,7 +193,7 @@
   }
 }
 
-/** One pass over the jobs with tasks on machines. */
+/** Sums up the usage of services by team, in one pass over the jobs with tasks on machines. */
 function usageOfServices(shard: Shard): Map<TeamId, Resources> {
   const usage = new Map<TeamId, Resources>();
   for (const [id, allocations] of shard.allocationsByJob) {
@@ -190,7 +210,7 @@
 const copyFreeResources = (freeResourcesByMachine: FreeResourcesByMachine): FreeResourcesByMachine =>
   new Map([...freeResourcesByMachine].map(([id, free]) => [id, { ...free }]));
 
-/** In place: searches of this cycle keep references to the entries. */
+/** Restores the entries in place, since searches of this cycle keep references to them. */
 function restoreFreeResources(current: FreeResourcesByMachine, saved: FreeResourcesByMachine): void {
   for (const [id, free] of current) {
     const before = saved.get(id);
--- a/src/scheduling/scheduling-log.ts
+++ b/src/scheduling/scheduling-log.ts
@@ -1,7 +1,7 @@
 /**
- * Tells in the log what became of reservations, and counts what a scheduler should never do often: stop others for a
- * start that does not follow, and stop a task that has only just been started. The cost grows with the decisions of a
- * cycle alone.
+ * Logs the outcome of reservations, and counts what should be rare: preemption that is not followed by a
+ * start, and tasks that are stopped shortly after their start. The cost depends only on the number of
+ * decisions of a cycle.
  */
 import { CounterSet } from '../logging/counter-set.js';
 import type { Log } from '../logging/log.js';
@@ -9,10 +9,10 @@
 import type { Shard } from '../shards/model.js';
 import type { EndedReservation, PlannedReservation, SchedulingPlan, TaskStop } from './cycle.js';
 
-/** A task stopped within this time of its start has done next to nothing. */
+/** A task stopped within this time of its start is counted as an early stop: it has done almost no work. */
 const EARLY_STOP_MS = 1000;
 
-/** What is counted since the process began. */
+/** The events counted since process start. */
 export type SchedulingEvent =
   | 'tasks stopped for others'
   | 'tasks stopped for others within a second of their start'
--- a/src/scheduling/start-invariants.ts
+++ b/src/scheduling/start-invariants.ts
@@ -1,11 +1,14 @@
-/** Checks again, at the moment of a start, what the plan relied on. Cheap: it looks at the task, its job and its machine. */
+/**
+ * Checks the assumptions of the plan again when a task is started. Cheap: it examines only the task, its job
+ * and its machine.
+ */
 import type { Invariant } from '../logging/invariant-monitor.js';
 import { taskId, type Revision, type TaskIndex } from '../model/units.js';
 import { isAssignedTo, type Shard } from '../shards/model.js';
 import type { TaskStart } from './cycle.js';
 
 /**
- * Which invariant the start would violate; null: none.
+ * Returns the invariant that the start would violate; null if there is none.
  * @param storedVersion version of the shard's record in the watch cache
  */
 export function violatedByStart(
--- a/src/scheduling/task-allocator.ts
+++ b/src/scheduling/task-allocator.ts
@@ -1,7 +1,8 @@
 /**
- * Starts and stops tasks in the memory of a shard: it allocates resources for a start, marks what must stop, and moves
- * work off spot machines that will be interrupted. It sends nothing: machines with pending commands are left to
- * `WorkerService.dispatchCommands`, which asks for the command deadline at the sending.
+ * Starts and stops tasks in the in-memory state of a shard: allocates resources for starts, marks tasks to be
+ * stopped, and evacuates spot machines that will be interrupted. Sends no commands: it marks machines with
+ * pending commands for `WorkerService.dispatchCommands`, which checks the command deadline before it sends
+ * them.
  */
 import type { Core } from '../core.js';
 import {
@@ -19,10 +20,13 @@
 import { gracePeriodS } from './preemption-cost.js';
 import type { RuntimeEstimator } from './runtime-estimator.js';
 
-/** A task may be expected to end this long after the announced interruption and is still left to finish. */
+/**
+ * A task on a machine that will be interrupted is left to finish if it is expected to end at most this long
+ * after the announced interruption.
+ */
 const INTERRUPTION_TOLERANCE_MS = 2000;
 
-/** Why a task is stopped, for the log; a plan gives its own cause. */
+/** Why a task is stopped, as logged. Stops of a plan have the cause given there. */
 type StopReason = StopCause | { readonly reason: 'relocated' | 'job ended' | 'interruption notice' };
 
 /** A replica moves to another machine. */
@@ -30,7 +34,7 @@
 const JOB_ENDED: StopReason = { reason: 'job ended' };
 const INTERRUPTION_NOTICE: StopReason = { reason: 'interruption notice' };
 
-/** An allocation whose launch is still to be sent. */
+/** Creates an allocation whose launch has not been sent yet. */
 function newAllocation(
   job: ShardJob,
   index: TaskIndex,
@@ -57,14 +61,17 @@
   };
 }
 
-/** Carries out the starts and stops of a scheduling plan. */
+/** Applies the starts and stops of a scheduling plan. */
 export class TaskAllocator {
   constructor(
     private readonly core: Core,
     private readonly runtimeEstimator: RuntimeEstimator,
   ) {}
 
-  /** Allocates resources for the tasks. Members of a gang find each other by their attempt: one start shares one. */
+  /**
+   * Allocates resources for the tasks. Members of a gang find each other by their attempt, so all members
+   * that start together share one.
+   */
   startAll(shard: Shard, starts: readonly TaskStart[], now: SteadyMs): void {
     const gangAttempts = new Map<JobId, Attempt>();
     for (const start of starts) {
@@ -75,7 +82,10 @@
     }
   }
 
-  /** A start that violates an invariant is not carried out: the task waits, and the plan before it was wrong. */
+  /**
+   * Returns true and reports it if the start violates an invariant. Such a start is skipped: the task keeps
+   * waiting, and the plan that contained it was wrong.
+   */
   private reportViolation(shard: Shard, start: TaskStart): boolean {
     const { invariants, storeCache } = this.core;
     const { job, index, machine } = start;
@@ -104,7 +114,10 @@
     this.logStart(shard, job, machine, allocation);
   }
 
-  /** On what knowledge the start was decided: enough to tell from the logs of two controllers which one was wrong. */
+  /**
+   * Logs the state on which the decision to start was based, so that the logs of two controllers show which
+   * one was wrong.
+   */
   private logStart(shard: Shard, job: ShardJob, machine: Machine, { id, attempt }: Allocation): void {
     this.core.log.debug(
       {
@@ -125,12 +138,15 @@
     );
   }
 
-  /** Stops the tasks that a plan names. */
+  /** Stops the tasks named by a plan. */
   stopAll(shard: Shard, stops: readonly TaskStop[]): void {
     for (const { allocation, graceS, cause } of stops) this.stop(shard, allocation, graceS, cause);
   }
 
-  /** Stops a task; of a gang all tasks, with the same grace: a gang can only write a checkpoint as a whole. */
+  /**
+   * Stops a task; for a gang, stops all tasks with the same grace period, since a gang can only write a
+   * checkpoint as a whole.
+   */
   stop(shard: Shard, allocation: Allocation, graceS: number, reason: StopReason): void {
     if (allocation.spec?.kind !== 'gang') {
       this.stopTask(shard, allocation, graceS, reason);
@@ -140,7 +156,10 @@
       this.stopTask(shard, member, graceS, reason);
   }
 
-  /** A stop with a shorter grace replaces an earlier one; a longer one changes nothing. */
+  /**
+   * Stops one task. A stop with a shorter grace period replaces an earlier stop; one with the same or a
+   * longer period has no effect.
+   */
   private stopTask(shard: Shard, allocation: Allocation, graceS: number, reason: StopReason): void {
     const machine = shard.machines.get(allocation.machine);
     if (!machine || (allocation.stop && allocation.stop.grace <= graceS)) return;
@@ -158,7 +177,10 @@
     stopOrRelease(shard, machine, allocation, graceS);
   }
 
-  /** The job has ended: stops every task of it. Each uses quota and capacity until a heartbeat shows it gone. */
+  /**
+   * Stops every task of a job that has ended. Each task uses quota and capacity until a heartbeat shows that
+   * it is gone.
+   */
   stopJob(jobId: JobId): void {
     for (const shard of this.core.shards.values()) {
       shard.jobs.delete(jobId);
@@ -168,8 +190,8 @@
   }
 
   /**
-   * Moves work off machines with an interruption notice: tasks with checkpoints write one, replicas move at once, and
-   * the others stay if they are expected to finish in time.
+   * Evacuates machines with an interruption notice: tasks with checkpoints write one, replicas move at once,
+   * and other tasks stay if they are expected to finish in time.
    */
   evacuateInterruptedMachines(shard: Shard): void {
     for (const machine of shard.interruptedMachines) {
@@ -180,7 +202,7 @@
   private evacuate(shard: Shard, machine: Machine, allocation: Allocation): void {
     const { spec } = allocation;
     if (allocation.stop || !spec) return;
-    // A member of a gang that has not started yet can be replaced on another machine alone.
+    // A member of a gang that is not running yet can be replaced on another machine without its peers.
     if (spec.kind === 'gang' && allocation.runningSince === null)
       this.stopTask(shard, allocation, 0, INTERRUPTION_NOTICE);
     else if (spec.kind === 'service' || spec.checkpointIntervalS > 0)
