--- a/src/workers/commands.ts
+++ b/src/workers/commands.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the commands that a worker should get now, for the answer to its heartbeat or for a direct request, and marks
- * launches as sent. Every command may be repeated, except a launch after its removal: `release-rules.ts` prevents that.
+ * Selects the commands to send to a worker, in the answer to its heartbeat or in a direct request, and marks launches
+ * as sent. Every command may be repeated, except a launch after its `forget`: `release-rules.ts` prevents that.
  */
 import type { Log } from '../logging/log.js';
 import { taskId, type Seconds } from '../model/units.js';
@@ -8,17 +8,17 @@
 import { mayForget, type ResultRecords } from './release-rules.js';
 import type { WorkerCommand } from './wire.js';
 
-/** Commands of one kind in a message: keeps its one line well under 64 KiB. */
+/** Maximum number of commands of one kind per message, which keeps the message well under 64 KiB. */
 const MAX_COMMANDS = 400;
 
-/** The content of one direct request. */
+/** The commands of one direct request. */
 export interface CommandBatch {
   readonly commands: readonly WorkerCommand[];
   /** Allocations whose launch is among the commands. */
   readonly launches: readonly Allocation[];
 }
 
-/** Without commands a request still carries the fencing token. */
+/** A request without commands, which only tells the worker the fencing token. */
 export const FENCING_TOKEN_ONLY: CommandBatch = { commands: [], launches: [] };
 
 const startCommand = ({ job, index, attempt }: Allocation): WorkerCommand => ({
@@ -47,7 +47,7 @@
   return commands;
 }
 
-/** Says which results a worker is told to forget: from then on only the store shows that these tasks have ended. */
+/** Logs which results a worker is told to forget: from then on only the store shows that these tasks have ended. */
 export function logForgotten(
   log: Log,
   shard: Shard,
@@ -63,7 +63,10 @@
   }
 }
 
-/** For the answer to a heartbeat: all that the worker does not show yet. Marks launches as sent in this answer. */
+/**
+ * Returns the commands for the answer to a heartbeat, including those that were sent before and that the worker's
+ * status does not reflect yet. Marks launches as sent in this answer.
+ */
 export function commandsInReply(machine: Machine, records: ResultRecords): WorkerCommand[] {
   const commands = forgetCommands(machine, records);
   for (const allocation of machine.allocations.values()) {
@@ -78,7 +81,10 @@
   return commands.slice(0, MAX_COMMANDS);
 }
 
-/** For a direct request: what is due and not yet sent, which is marked as sent. Exits ride along with that only. */
+/**
+ * Returns the stops and launches that are due for a direct request, and marks them as sent. `forget` commands are added
+ * only to a request that has at least one of these.
+ */
 export function takeDirectCommands(machine: Machine, records: ResultRecords): CommandBatch {
   const stops: WorkerCommand[] = [];
   const launches: Allocation[] = [];
@@ -99,8 +105,8 @@
 }
 
 /**
- * Prevents: a launch that is in the answer to a heartbeat is sent directly as well, so that the absence of the task from
- * the next heartbeat no longer proves that it will not start.
+ * Prevents: a launch that was sent in the answer to a heartbeat is sent directly as well, so that the absence of the
+ * task from the next heartbeat no longer proves that the task will not start.
  */
 function isDirectLaunchDue(allocation: Allocation): boolean {
   return (
--- a/src/workers/direct-commands.ts
+++ b/src/workers/direct-commands.ts
@@ -1,7 +1,7 @@
 /**
- * Sends commands straight to workers, where waiting for their next heartbeat would be too slow: at most one request
- * a machine and a bounded number in all. Relies on `commands.ts` for the content, and on the leadership's command
- * deadline, which is checked again when a request is written.
+ * Sends commands directly to workers when waiting for their next heartbeat would be too slow: at most one request at a
+ * time per machine, and a bounded number in total. `commands.ts` selects the commands. The leadership's command
+ * deadline is checked again when a request is written to its connection.
  */
 import type { CallOutcome } from '../http/client.js';
 import type { Log } from '../logging/log.js';
@@ -16,15 +16,15 @@
 import { hasUnacknowledgedLaunch, type ResultRecords } from './release-rules.js';
 import { decodeHeartbeat, encodeDirectCommands, WorkerPath, WorkerStatus, type Heartbeat } from './wire.js';
 
-const CALL_TIMEOUT = millis(2000);
-/** A machine that did not reply is called again after this time. */
-const RETRY_INTERVAL = millis(2000);
-/** After a failover the whole shard waits for the reply: called for a shorter time, and sooner again. */
-const FAILOVER_CALL_TIMEOUT = millis(1000);
-const FAILOVER_RETRY_INTERVAL = millis(250);
+const CALL_TIMEOUT_MS = millis(2000);
+/** Delay before a machine that did not reply is called again. */
+const RETRY_INTERVAL_MS = millis(2000);
+/** After a failover the whole shard waits for the reply, so calls time out sooner and are retried sooner. */
+const FAILOVER_CALL_TIMEOUT_MS = millis(1000);
+const FAILOVER_RETRY_INTERVAL_MS = millis(250);
 const MIN_CONCURRENT_CALLS = 16;
 
-/** What direct commands use of the controller. */
+/** The parts of the controller that direct commands use. */
 export interface DirectCommandsDependencies extends ResultRecords {
   readonly clock: Clock;
   readonly log: Log;
@@ -33,7 +33,7 @@
   exclusive<T>(work: () => T): Promise<T>;
 }
 
-/** `idle`: nothing is due until something changes. `wait`: something is, later. */
+/** `idle`: nothing is due until the state changes. `wait`: a request is due, but cannot be sent yet. */
 type NextCall =
   | { readonly kind: 'idle' }
   | { readonly kind: 'wait' }
@@ -43,10 +43,10 @@
 const WAIT: NextCall = { kind: 'wait' };
 const SEND_FENCING_TOKEN: NextCall = { kind: 'send', batch: FENCING_TOKEN_ONLY };
 
-/** By what a worker tells whether it may still execute a launch. */
+/** The fields by which a worker decides whether it may still execute a launch. */
 type LaunchIdentity = Pick<UnacknowledgedLaunch, 'fencingToken' | 'agentEpoch'>;
 
-/** Bounded calls to workers, one at a time for each machine. */
+/** Sends direct requests to workers: a bounded number in total, one at a time per machine. */
 export class DirectCommands {
   private activeCalls = 0;
 
@@ -56,16 +56,16 @@
     private readonly shardUpdates: ShardUpdates,
   ) {}
 
-  /** Sends what is due on every machine of a shard, as far as calls are free; the rest follows with the next dispatch. */
+  /** Sends the commands that are due to a shard's machines, up to the call limit; the next dispatch sends the rest. */
   dispatch(shard: Shard): void {
     const now = this.controller.clock.now();
     if (!this.controller.mayCommand(now)) return;
     for (const machine of shard.machinesWithPendingCommands) {
-      // After a failover there are hundreds of machines to call, and each call takes a connection.
+      // After a failover there may be hundreds of machines to call, and each call takes a connection.
       if (this.activeCalls >= this.maxConcurrentCalls) return;
       const next = nextCall(shard, machine, now, this.controller);
       if (next.kind === 'idle') shard.machinesWithPendingCommands.delete(machine);
-      // Not awaited: the outcome is applied under the lock, and the dispatch goes on with the other machines.
+      // Not awaited: the outcome is applied under the lock, and the dispatch continues with the other machines.
       if (next.kind === 'send') void this.send(shard, machine, next.batch);
     }
   }
@@ -84,9 +84,9 @@
       method: 'POST',
       path: WorkerPath.commands,
       body: encodeDirectCommands(sent.fencingToken, sent.agentEpoch, commands),
-      timeout: machine.reconciled ? CALL_TIMEOUT : FAILOVER_CALL_TIMEOUT,
-      // Prevents: a connection takes so long to open that the command deadline passes, a successor starts the task
-      // elsewhere, and the launch is written then.
+      timeout: machine.reconciled ? CALL_TIMEOUT_MS : FAILOVER_CALL_TIMEOUT_MS,
+      // Prevents: a connection takes so long to open that the command deadline passes, the next leader starts the task
+      // elsewhere, and only then the launch is written.
       mayStillSend: () => this.controller.mayCommand(this.controller.clock.now()),
     });
     await this.controller.exclusive(() => {
@@ -117,14 +117,14 @@
     recordMissedRequest(machine, now);
     this.controller.log.debug(
       { machine: machine.id, outcome: outcome.kind, launches: launches.length },
-      'direct command',
+      'no valid reply to direct request',
     );
     repeatStops(machine);
     if (!isCertainlyNotExecuted(outcome)) markUnacknowledged(launches, sent, now);
   }
 }
 
-/** What to send to a machine now; what a batch contains is marked as sent. */
+/** Returns the next direct request to a machine; the commands of a returned batch are marked as sent. */
 function nextCall(shard: Shard, machine: Machine, now: SteadyMs, records: ResultRecords): NextCall {
   if (machine.scalingIn) return IDLE;
   if (machine.directRequestInFlight || machine.address === '') return WAIT;
@@ -140,21 +140,23 @@
   return mayRetry ? SEND_FENCING_TOKEN : WAIT;
 }
 
-/** A worker replies with its status, also when it refuses an old fencing token or another agent epoch. */
+/** Decodes a worker's status from its reply, also when it has refused an old fencing token or another agent epoch. */
 function decodeReply(outcome: CallOutcome): Heartbeat | null {
   if (outcome.kind !== 'answer') return null;
   const hasStatus = outcome.status === WorkerStatus.ok || outcome.status === WorkerStatus.stale;
   return hasStatus ? decodeHeartbeat(outcome.body) : null;
 }
 
-/** Nothing new is placed on the machine until it replies. */
+/** Marks the machine as unreachable: no new task is placed on it until it replies. */
 function recordMissedRequest(machine: Machine, now: SteadyMs): void {
   machine.missedDirectRequests += 1;
-  machine.quarantinedUntil = plus(now, machine.reconciled ? RETRY_INTERVAL : FAILOVER_RETRY_INTERVAL);
+  machine.quarantinedUntil = plus(now, machine.reconciled ? RETRY_INTERVAL_MS : FAILOVER_RETRY_INTERVAL_MS);
   machine.unreachableSince ??= now;
 }
 
-/** What may not have arrived is due again: the tasks of a gang must be told to stop within seconds of each other. */
+/**
+ * Marks stops that may not have arrived as due again: the tasks of a gang must be stopped within seconds of each other.
+ */
 function repeatStops(machine: Machine): void {
   for (const allocation of machine.allocations.values())
     if (allocation.stop?.direct === 'sent') allocation.stop.direct = 'due';
@@ -167,8 +169,8 @@
 }
 
 /**
- * Prevents: a launch without a reply is taken for lost, its task is started elsewhere, and the worker executes the
- * launch minutes later, as it may while fencing token and agent epoch are the same.
+ * Prevents: a launch without a reply is assumed to be lost, its task is started elsewhere, and the worker executes the
+ * launch minutes later, which it may do as long as its fencing token and agent epoch are unchanged.
  */
 function markUnacknowledged(launches: readonly Allocation[], sent: LaunchIdentity, now: SteadyMs): void {
   for (const launch of launches) launch.unacknowledged = { ...sent, sentAt: now };
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Answers workers' heartbeats, and with that renews their leases: only as the leader of the machine's shard, and only
- * before the command deadline. Relies on `reconciliation.ts` for what a heartbeat changes.
+ * Answers workers' heartbeats. A 200 answer renews the worker's lease, so it is sent only while this controller leads
+ * the machine's shard and its command deadline has not passed. `reconciliation.ts` applies the heartbeat to the shard.
  */
 import type { HttpResponse } from '../http/server.js';
 import { CounterSet } from '../logging/counter-set.js';
@@ -19,13 +19,16 @@
 import type { ResultRecords } from './release-rules.js';
 import { encodeRedirect, encodeReply, parseHeartbeat, WorkerStatus, type Heartbeat } from './wire.js';
 
-/** A worker waits 4 s for its answer. */
+/** Heartbeats are not answered with 200 after this delay; the worker itself times out after 4 s. */
 const MAX_ANSWER_DELAY_MS = 2500;
-/** The fencing token is not raised again sooner, however many workers have seen a higher one. */
+/** Minimum interval between two raises of the fencing token, however many workers have seen a higher one. */
 const TOKEN_RAISE_INTERVAL_MS = 3000;
-/** Workers are redirected only to a leader that was heard within this time. */
-const LEADER_LIVENESS_TIMEOUT = millis(2500);
-/** Answers without an effect are taken not to arrive after so many heartbeat intervals, and this time on top. */
+/** Workers are redirected only to a leader whose last announcement arrived within this time. */
+const LEADER_LIVENESS_TIMEOUT_MS = millis(2500);
+/**
+ * A worker that still shows an old fencing token this many heartbeat intervals plus `UNANSWERED_MARGIN_MS` after it was
+ * first answered is assumed not to receive the answers.
+ */
 const UNANSWERED_INTERVALS = 3;
 const UNANSWERED_MARGIN_MS = 4000;
 
@@ -36,7 +39,7 @@
 };
 const MALFORMED: HttpResponse = { status: WorkerStatus.malformed, body: { error: 'not a report' } };
 
-/** What the heartbeat handler uses of the controller. */
+/** The parts of the controller that the heartbeat handler uses. */
 export interface HeartbeatHandlerDependencies extends ResultRecords {
   readonly clock: Clock;
   readonly log: Log;
@@ -50,13 +53,13 @@
   heardWithin(node: ControllerId, within: Millis): boolean;
 }
 
-/** What the heartbeat handler uses of the shard leadership. */
+/** The parts of the shard leadership that the heartbeat handler uses. */
 export interface HeartbeatLeadership extends FencingTokenIssuer {
-  /** A machine of another controller's shard has sent its heartbeat here. */
+  /** Records that a machine of a shard led by another controller sent its heartbeat to this one. */
   recordRedirectedHeartbeat(shard: ShardId, machine: MachineId): void;
 }
 
-/** Why a heartbeat was not answered with 200. */
+/** The reason why a heartbeat was not answered with 200. */
 type HeartbeatRefusal =
   | 'malformed'
   | 'store not loaded'
@@ -67,10 +70,10 @@
   | 'outdated'
   | 'not the leader';
 
-/** Answers heartbeats with 200 and commands, with 421 and the leader, or with 503. */
+/** Answers heartbeats with 200 and commands, 421 and the leader, 503, or 400 if the body is malformed. */
 export class HeartbeatHandler {
   private tokenRaisedAt: SteadyMs | null = null;
-  /** Heartbeats that were not answered with 200, by the reason. */
+  /** Counts the heartbeats that were not answered with 200, by reason. */
   readonly refusals = new CounterSet<HeartbeatRefusal>();
 
   constructor(
@@ -88,8 +91,8 @@
     if (!controller.storeCache.loaded) return this.refuse('store not loaded');
     const receivedAt = controller.clock.now();
     const shardId = await this.findShard(heartbeat);
-    // Prevents: registration takes so long that the worker has given up on this answer; tasks are started on the
-    // strength of a lease that the answer does not renew.
+    // Prevents: registration takes so long that the worker has stopped waiting for this answer, and tasks are started
+    // on the assumption that the answer renewed the lease.
     const isTooLate = elapsed(controller.clock.now(), receivedAt) > MAX_ANSWER_DELAY_MS;
     if (shardId === null || isTooLate) return this.refuse('not registered in time');
     return controller.exclusive(() => this.answer(heartbeat, shardId));
@@ -108,13 +111,14 @@
     return record ? record.shard : this.registration.registerOnHeartbeat(heartbeat);
   }
 
-  /** Without waits, so that the command deadline holds for the answer. */
+  /** Synchronous, so that the command deadline cannot pass between its check and the answer. */
   private answer(heartbeat: Heartbeat, shardId: ShardId): HttpResponse {
     const shard = this.controller.shards.get(shardId);
     const machine = shard?.machines.get(heartbeat.machine);
     if (!shard || !machine) return this.redirect(heartbeat, shardId);
     const now = this.controller.clock.now();
-    // Another controller commands this worker: it would drop a 200, and go on coming here until its lease expires.
+    // The worker has accepted commands from another controller. It would discard a 200 with a lower fencing token, and
+    // keep sending heartbeats here until its lease expires.
     if (heartbeat.fencingToken > shard.fencingToken) {
       this.raiseFencingToken(shard, now);
       return this.refuse('higher fencing token', {
@@ -144,11 +148,11 @@
   }
 
   /**
-   * Whether the worker's heartbeats arrive and the answers to them do not: it never shows the fencing token that these
-   * carry.
+   * Returns whether the worker's heartbeats arrive but the answers to them do not: the worker never reports the fencing
+   * token that the answers carry.
    *
-   * Prevents: after a failover each further answer may renew the worker's lease, so that it never certainly expires, and
-   * the shard is never reconciled. Refused, the lease ends.
+   * Prevents: after a failover each further answer may renew the worker's lease, so that the lease can never be
+   * considered expired and the shard is never reconciled. Once its heartbeats are refused, the lease expires.
    */
   private missesAnswers(shard: Shard, machine: Machine, heartbeat: Heartbeat, now: SteadyMs): boolean {
     if (
@@ -163,8 +167,8 @@
   }
 
   /**
-   * If the store still shows this controller as the leader, a new fencing token goes above what the worker has seen.
-   * Not awaited: the worker is sent on at once, and comes back.
+   * Requests a new fencing token above the one that the worker has seen; this succeeds if the store still shows this
+   * controller as the leader. Not awaited: the worker is redirected at once, and retries here later.
    */
   private raiseFencingToken(shard: Shard, now: SteadyMs): void {
     if (this.tokenRaisedAt !== null && elapsed(now, this.tokenRaisedAt) < TOKEN_RAISE_INTERVAL_MS) return;
@@ -178,7 +182,7 @@
     const isReachable =
       leader !== null &&
       leader !== this.controller.settings.node &&
-      this.controller.heardWithin(leader, LEADER_LIVENESS_TIMEOUT);
+      this.controller.heardWithin(leader, LEADER_LIVENESS_TIMEOUT_MS);
     return this.refuse('not the leader', {
       status: WorkerStatus.notLeader,
       body: encodeRedirect(isReachable ? leader : null),
--- a/src/workers/lease-expiry.ts
+++ b/src/workers/lease-expiry.ts
@@ -1,6 +1,6 @@
 /**
- * Periodic review of a shard's machines for what only time ends: expired leases, and unacknowledged launches that
- * a higher fencing token must settle. The rules themselves are in `release-rules.ts`.
+ * Checks a shard's machines periodically for expired leases, and for unacknowledged launches that a higher fencing
+ * token must rule out. The rules are in `release-rules.ts`.
  */
 import type { Log } from '../logging/log.js';
 import type { Settings } from '../settings/settings.js';
@@ -17,12 +17,12 @@
   type LeaseTerms,
 } from './release-rules.js';
 
-/** A direct launch without a reply is settled by a higher fencing token after this time. */
+/** The fencing token is raised to rule out a direct launch that has had no reply for this time. */
 const UNACKNOWLEDGED_LAUNCH_TIMEOUT_MS = 3000;
-/** A machine from which no heartbeat came for so many intervals would not see a higher token either. */
+/** A machine without a message for this many heartbeat intervals would not receive a higher token either. */
 const MAX_SILENT_INTERVALS = 2;
 
-/** What lease expiry uses of the controller. */
+/** The parts of the controller that lease expiry uses. */
 export interface LeaseExpiryDependencies {
   readonly clock: Clock;
   readonly log: Log;
@@ -32,12 +32,12 @@
   readonly leaseDurationMs: number;
 }
 
-/** Raises the fencing token of a shard that this controller leads; the promise ends with the attempt, done or not. */
+/** Raises the fencing token of a shard that this controller leads; the promise also resolves if the attempt fails. */
 export interface FencingTokenIssuer {
   raiseFencingToken(shard: Shard): Promise<void>;
 }
 
-/** Expires leases and has the fencing token raised where a launch stays unacknowledged. */
+/** Expires leases, and requests a higher fencing token where a launch remains unacknowledged. */
 export class LeaseExpiry {
   constructor(
     private readonly controller: LeaseExpiryDependencies,
@@ -45,7 +45,7 @@
     private readonly shardUpdates: Pick<ShardUpdates, 'onShardChanged'>,
   ) {}
 
-  /** Reviews all machines of a shard. */
+  /** Checks all machines of a shard. */
   expire(shard: Shard): void {
     const now = this.controller.clock.now();
     const terms = this.leaseTerms();
@@ -83,12 +83,12 @@
     shard.markReconciled(machine);
   }
 
-  /** Not awaited: the outcome shows in the shard's fencing token, and the next review asks again if need be. */
+  /** Does not await the result: it shows in the shard's fencing token, and the next check retries if necessary. */
   private renewFencingToken(shard: Shard, now: SteadyMs): void {
     if (this.hasOverdueLaunch(shard, now)) {
       this.controller.log.info(
         { shard: shard.id },
-        'raising the fencing token to settle unacknowledged launches',
+        'raising the fencing token to rule out unacknowledged launches',
       );
       void this.tokenIssuer.raiseFencingToken(shard);
     }
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Only of machines that are heard and have not seen a higher token: one silent machine must not have it raised over and
-   * over.
+   * Considers only machines that are not silent and have not seen a higher token: otherwise one silent machine would
+   * cause the token to be raised again and again.
    */
   private hasOverdueLaunch(shard: Shard, now: SteadyMs): boolean {
     const isOverdue = (launch: UnacknowledgedLaunch): boolean =>
@@ -118,7 +118,9 @@
   }
 }
 
-/** Nothing can be released on a reconciled machine that was never heard, or that has no task left. */
+/**
+ * Returns true for a reconciled machine that has never sent a status, or that has no allocation or exited task left.
+ */
 function hasNothingToRelease(machine: Machine): boolean {
   if (!machine.reconciled) return false;
   if (machine.lastHeartbeatAt === null && machine.agentEpochSeenAt === null) return true;
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -1,7 +1,7 @@
 /**
- * Reconciles a shard's memory with what a worker reports: which tasks are on the machine, have exited or are absent.
- * A fixed sequence of stages without I/O; `release-rules.ts` decides what may be released in them, `task-exits.ts`
- * handles the tasks that ended. Callers hold the controller's lock.
+ * Reconciles a shard's in-memory state with a worker's status: tasks that are on the machine, have exited or are
+ * absent. Runs a fixed sequence of steps without I/O. `release-rules.ts` decides which allocations may be released;
+ * `task-exits.ts` handles exited tasks. Callers hold the controller's lock.
  */
 import type { GangHistory } from '../model/gang.js';
 import type { Attempt, Millis, TaskId } from '../model/units.js';
@@ -24,13 +24,13 @@
 } from './unexpected-tasks.js';
 import type { ActiveTaskStatus, Heartbeat } from './wire.js';
 
-/** What reconciliation uses of the controller. */
+/** The parts of the controller that reconciliation uses. */
 export interface ReconciliationContext extends TaskExitContext, UnexpectedTaskContext {
-  /** A worker that received the answer to its heartbeat sends the next one within this time. */
+  /** A worker that received the answer to its heartbeat sends the next heartbeat within this time. */
   readonly heartbeatTimeout: Millis;
 }
 
-/** Applies a worker's status to the shard; false, without any effect, when it is older than what is known. */
+/** Applies a worker's status to the shard. Returns false, without any effect, if the status is outdated. */
 export function reconcileHeartbeat(
   shard: Shard,
   machine: Machine,
@@ -39,7 +39,7 @@
   context: ReconciliationContext,
 ): boolean {
   if (isOutdated(machine, heartbeat)) return false;
-  if (channel === 'heartbeat' && wentUnanswered(machine, heartbeat, context))
+  if (channel === 'heartbeat' && mayHaveMissedAnswer(machine, heartbeat, context))
     requireDirectReply(shard, machine, context);
   if (heartbeat.agentEpoch > machine.agentEpoch) startAgentEpoch(shard, machine, context);
   updateIdentity(machine, heartbeat, context);
@@ -52,10 +52,14 @@
 }
 
 /**
- * Whether an answer to an earlier heartbeat may not have arrived: the agent epoch is new, or the silence was longer
- * than between answered heartbeats.
+ * Returns whether the worker may have missed the answer to an earlier heartbeat: it reports a new agent epoch, or more
+ * time has passed since its last heartbeat than between answered heartbeats.
  */
-function wentUnanswered(machine: Machine, heartbeat: Heartbeat, context: ReconciliationContext): boolean {
+function mayHaveMissedAnswer(
+  machine: Machine,
+  heartbeat: Heartbeat,
+  context: ReconciliationContext,
+): boolean {
   if (machine.lastHeartbeatAt === null || !machine.reconciled) return false;
   return (
     heartbeat.agentEpoch > machine.agentEpoch ||
@@ -64,16 +68,16 @@
 }
 
 /**
- * Nothing is placed on the machine until it replies to a direct request.
+ * Marks the machine as unreachable: no task is placed on it until it replies to a direct request.
  *
- * Prevents: its heartbeats arrive and the answers to them do not, so that tasks placed there never start.
+ * Prevents: the machine's heartbeats arrive but the answers to them do not, so that tasks placed there never start.
  */
 function requireDirectReply(shard: Shard, machine: Machine, context: ReconciliationContext): void {
   machine.unreachableSince ??= context.now;
   shard.machinesWithPendingCommands.add(machine);
 }
 
-/** With a new agent epoch the worker has forgotten all tasks of the one before and refuses its commands. */
+/** In a new agent epoch the worker has no tasks of earlier epochs and refuses commands that were sent for them. */
 function startAgentEpoch(shard: Shard, machine: Machine, context: ReconciliationContext): void {
   releaseAll(shard, machine, context.log);
   machine.agentEpochSeenAt = context.now;
@@ -98,12 +102,12 @@
   shard.setInterruption(machine, interruptedAt);
 }
 
-/** Only heartbeats renew leases: a direct reply must not change these times. */
+/** Records the time of a heartbeat. Only heartbeats renew leases: a direct reply must not change these times. */
 function recordHeartbeat(machine: Machine, heartbeat: Heartbeat, context: ReconciliationContext): void {
-  const interrupted =
+  const hasGap =
     machine.lastHeartbeatAt === null ||
     elapsed(context.now, machine.lastHeartbeatAt) > context.heartbeatTimeout;
-  if (interrupted) machine.continuouslyHeardSince = context.now;
+  if (hasGap) machine.continuouslyHeardSince = context.now;
   machine.lastHeartbeatAt = context.now;
   machine.lastHeartbeatSequence = heartbeat.sequence;
 }
@@ -148,7 +152,7 @@
   if (allocation.spec) shard.recordImage(machine, allocation.spec.image, allocation.spec.imageGb);
 }
 
-/** A task that still waits for its gang shows that the attempt has not started; one that runs, that it has. */
+/** A running task proves that its gang's attempt has started; a task in an earlier state, that it has not. */
 function recordGangState(gang: GangHistory, attempt: Attempt, state: ActiveTaskStatus['state']): void {
   if (hasStarted(state)) gang.started = attempt;
   else gang.mayHaveStarted = false;
@@ -164,7 +168,7 @@
   if (!mayReleaseAbsent(machine, allocation, channel)) return;
   context.log.debug(
     { task: allocation.id, machine: machine.id, attempt: allocation.attempt },
-    'not on its machine',
+    'task absent from worker status, allocation released',
   );
   release(shard, machine, allocation);
 }
--- a/src/workers/registration-batches.ts
+++ b/src/workers/registration-batches.ts
@@ -1,6 +1,6 @@
 /**
- * Writes registrations of machines to the store, many in one transaction, on the condition that none of them is
- * registered yet. Relies on the watch cache for what other controllers have registered.
+ * Writes machine registrations to the store, several per transaction, on the condition that none of the machines is
+ * registered yet. Registrations by other controllers are taken from the watch cache.
  */
 import type { Log } from '../logging/log.js';
 import type { Settings } from '../settings/settings.js';
@@ -11,12 +11,12 @@
 import type { MachineId, Millis, Revision, ShardId } from '../model/units.js';
 import { millis, NO_REVISION } from '../model/units.js';
 
-/** Machines whose heartbeats come within this time share a transaction. */
-const BATCH_DELAY = millis(30);
-/** Of the changes in a second: one transaction must not use up what all else needs. */
+/** Registrations that are added within this time share a transaction. */
+const BATCH_DELAY_MS = millis(30);
+/** Maximum share of one second's write quota that a transaction may use, so that other writes are not starved. */
 const MAX_BATCH_FRACTION = 0.8;
 
-/** What the batches use of the controller. */
+/** The parts of the controller that the batches use. */
 export interface RegistrationBatchesDependencies {
   readonly log: Log;
   readonly settings: Pick<Settings, 'maxTransactionOps'>;
@@ -32,18 +32,18 @@
   readonly resolve: (shard: ShardId | null) => void;
 }
 
-/** Registrations that wait for their transaction, in the order in which they came. */
+/** Queues registrations and writes them in batches, in the order of arrival. */
 export class RegistrationBatches {
   private pending: PendingRegistration[] = [];
   private flushing = false;
 
   constructor(private readonly controller: RegistrationBatchesDependencies) {}
 
-  /** Resolves to the machine's shard once it is registered, or to null when this attempt did not register it. */
+  /** Resolves to the machine's shard once it is registered, or to null if this attempt did not register it. */
   add(id: MachineId, record: MachineRecord): Promise<ShardId | null> {
     return new Promise((resolve) => {
       this.pending.push({ id, record, resolve });
-      // Not awaited: the flush ends when nothing is pending, and resolves each registration by itself.
+      // Not awaited: the flush runs until nothing is pending and resolves each registration.
       if (!this.flushing) void this.flush();
     });
   }
@@ -51,7 +51,7 @@
   private async flush(): Promise<void> {
     this.flushing = true;
     while (this.pending.length > 0) {
-      await this.controller.sleep(BATCH_DELAY);
+      await this.controller.sleep(BATCH_DELAY_MS);
       await this.commit(this.pending.splice(0, this.batchSize));
     }
     this.flushing = false;
@@ -63,7 +63,7 @@
     return Math.max(1, Math.min(settings.maxTransactionOps, byWriteRate));
   }
 
-  /** Registers what is not registered yet; a peer may be faster with some, which are left out and tried without. */
+  /** Registers the unregistered machines. On a conflict, retries without those that a peer registered first. */
   private async commit(batch: readonly PendingRegistration[]): Promise<void> {
     const unregistered = batch.filter(({ id }) => this.isUnregistered(id));
     for (const registration of batch)
@@ -75,7 +75,7 @@
       const remaining = unregistered.filter(({ id }) => !failed.has(machineKey(id)));
       for (const registration of unregistered)
         if (!remaining.includes(registration)) registration.resolve(null);
-      // Ends, since each try is smaller than the one before.
+      // Terminates because each retry has fewer registrations than the previous attempt.
       if (remaining.length < unregistered.length) return this.commit(remaining);
     }
     if (result.kind === 'done') await this.applyToCache(unregistered, result.revision);
@@ -96,7 +96,7 @@
     );
   }
 
-  /** Before the watch shows it, so that the heartbeat that waits can be answered at once. */
+  /** Applies the records before the watch delivers them, so that waiting heartbeats can be answered at once. */
   private applyToCache(registrations: readonly PendingRegistration[], revision: Revision): Promise<void> {
     this.controller.log.info({ machines: registrations.map(({ id }) => id) }, 'machines registered');
     return this.controller.exclusive(() => {
--- a/src/workers/registration.ts
+++ b/src/workers/registration.ts
@@ -1,7 +1,7 @@
 /**
- * Registers machines that send heartbeats and are in nobody's shard yet: decides which are registered, by whom and when.
- * Relies on `shard-choice.ts` for the shard and on `registration-batches.ts` for the write. Bounded: machines that must
- * wait for their turn are remembered as candidates.
+ * Registers machines that send heartbeats and belong to no shard yet: decides which machines are registered, by which
+ * controller and when. `shard-choice.ts` chooses the shard and `registration-batches.ts` writes the records. The number
+ * of registrations in progress is limited; other machines are kept as candidates.
  */
 import { machineKey } from '../shards/codec.js';
 import type { Settings } from '../settings/settings.js';
@@ -13,14 +13,14 @@
 import { chooseShard, machineNumber, type ShardChoiceDependencies } from './shard-choice.js';
 import type { Heartbeat } from './wire.js';
 
-/** Seconds of changes that may wait: what can be registered before a worker that waits for its answer gives up. */
+/** Limits the queue to what can be written in this time, after which waiting workers would time out. */
 const MAX_QUEUE_S = 2;
-/** Without a heartbeat for this long a machine is forgotten: it may have gone, or a peer may have registered it. */
+/** Candidates without a heartbeat for this long are dropped: deleted, or registered by another controller. */
 const CANDIDATE_AGE_MS = 30_000;
-/** Ids are whatever heartbeats say: so many are kept at the most. */
+/** Bounds memory use: machine ids in heartbeats are not verified. */
 const MAX_CANDIDATES = 20_000;
 
-/** What registration uses of the controller. */
+/** The parts of the controller that registration uses. */
 export interface RegistrationDependencies extends RegistrationBatchesDependencies, ShardChoiceDependencies {
   readonly clock: Clock;
   readonly settings: Pick<Settings, 'maxTransactionOps' | 'node' | 'shard' | 'shards'>;
@@ -31,14 +31,14 @@
   isAlive(node: ControllerId, incarnation: Incarnation | null): boolean;
 }
 
-/** Decides about machines that nobody has registered, as their heartbeats come. */
+/** Registers unregistered machines as their heartbeats arrive. */
 export class MachineRegistration {
   private readonly batches: RegistrationBatches;
   private readonly registering = new Set<MachineId>();
-  /** Heartbeats of machines whose turn has not come, in the order in which they came first. */
+  /** The first heartbeats of machines that wait to be registered, in order of arrival. */
   private readonly candidates = new Map<MachineId, Heartbeat>();
-  /** When an unregistered machine was heard last; without those that did not reply to a call. */
-  private readonly lastHeardAt = new Map<MachineId, SteadyMs>();
+  /** Time of the last heartbeat of each unregistered machine, except those that did not reply to a call. */
+  private readonly lastHeartbeatAt = new Map<MachineId, SteadyMs>();
 
   constructor(
     private readonly controller: RegistrationDependencies,
@@ -47,16 +47,16 @@
     this.batches = new RegistrationBatches(controller);
   }
 
-  /** Resolves to the shard in which the machine is registered, or to null when it is not: it will send another. */
+  /** Resolves to the machine's shard, or to null if it was not registered; it is tried again on its next heartbeat. */
   async registerOnHeartbeat(heartbeat: Heartbeat): Promise<ShardId | null> {
     const id = heartbeat.machine;
-    // Prevents: a network fault holds a heartbeat back until its machine has been deleted, and the machine comes back as
-    // one that takes tasks.
+    // Prevents: a network fault delays a heartbeat until its machine has been deleted, and the deleted machine is
+    // registered again and has tasks placed on it.
     if (this.controller.retiredMachines.has(id)) return null;
-    this.recordHeard(id);
+    this.recordHeartbeat(id);
     if (this.registering.has(id)) return null;
-    // Each registration calls the machine, which takes a socket: thousands may come at once. Those whose turn cannot
-    // come in time are answered at once, send further heartbeats, and are registered meanwhile.
+    // Each registration calls the machine, which takes a socket, and thousands of machines may arrive at once. Machines
+    // that cannot be registered in time are refused at once; they keep sending heartbeats and are registered later.
     if (this.registering.size >= this.maxPendingRegistrations) {
       this.addCandidate(heartbeat);
       return null;
@@ -64,22 +64,22 @@
     return this.register(heartbeat);
   }
 
-  /** Whether a machine sends heartbeats, replies as far as is known, and waits for its turn to be registered. */
+  /** Returns whether a machine sends heartbeats, is not known to be unreachable, and waits to be registered. */
   isCandidate(id: MachineId): boolean {
-    const heardAt = this.lastHeardAt.get(id);
-    return heardAt !== undefined && elapsed(this.controller.clock.now(), heardAt) < CANDIDATE_AGE_MS;
+    const heartbeatAt = this.lastHeartbeatAt.get(id);
+    return heartbeatAt !== undefined && elapsed(this.controller.clock.now(), heartbeatAt) < CANDIDATE_AGE_MS;
   }
 
-  private recordHeard(id: MachineId): void {
-    if (this.lastHeardAt.size >= MAX_CANDIDATES) this.dropSilentCandidates();
-    if (this.lastHeardAt.size < MAX_CANDIDATES) this.lastHeardAt.set(id, this.controller.clock.now());
+  private recordHeartbeat(id: MachineId): void {
+    if (this.lastHeartbeatAt.size >= MAX_CANDIDATES) this.dropSilentCandidates();
+    if (this.lastHeartbeatAt.size < MAX_CANDIDATES) this.lastHeartbeatAt.set(id, this.controller.clock.now());
   }
 
   private dropSilentCandidates(): void {
-    for (const id of this.lastHeardAt.keys()) if (!this.isCandidate(id)) this.lastHeardAt.delete(id);
+    for (const id of this.lastHeartbeatAt.keys()) if (!this.isCandidate(id)) this.lastHeartbeatAt.delete(id);
   }
 
-  /** Each machine is one controller's to register: two that try the same waste a change of the store. */
+  /** Assigns each machine to one live controller: a second controller's attempt would waste a write to the store. */
   private isAssignedHere(id: MachineId): boolean {
     const { settings } = this.controller;
     const alive = settings.shards.filter(({ node }) => this.controller.isAlive(node, null));
@@ -93,17 +93,17 @@
     this.candidates.set(machine, { ...heartbeat, tasks: [] });
   }
 
-  /** Those whose turn has come, as far as they still send heartbeats and nobody else has registered them. */
+  /** Registers candidates up to the limit, skipping silent machines and those registered by another controller. */
   private registerCandidates(): void {
     for (const [id, heartbeat] of this.candidates) {
       if (this.registering.size >= this.maxPendingRegistrations) return;
       this.candidates.delete(id);
-      // Not awaited: nobody waits for the answer, and the machine's next heartbeat finds the outcome.
-      if (this.isStillWanted(id)) void this.register(heartbeat);
+      // Not awaited: no heartbeat waits for the result, and the machine's next heartbeat picks it up.
+      if (this.shouldRegister(id)) void this.register(heartbeat);
     }
   }
 
-  private isStillWanted(id: MachineId): boolean {
+  private shouldRegister(id: MachineId): boolean {
     const isUnregistered =
       this.controller.storeCache.version(machineKey(id)) === NO_REVISION &&
       !this.controller.retiredMachines.has(id);
@@ -116,7 +116,7 @@
     this.registering.add(id);
     try {
       if (!(await this.isReachable(heartbeat))) {
-        this.lastHeardAt.delete(id);
+        this.lastHeartbeatAt.delete(id);
         return null;
       }
       const shard = this.controller.intendedShards.get(id) ?? chooseShard(this.controller, heartbeat);
--- a/src/workers/release-rules.ts
+++ b/src/workers/release-rules.ts
@@ -1,8 +1,8 @@
 /**
- * Decides what may be released: every rule by which a task is taken to be certainly gone from a machine, and by which
- * an exited task may be removed from its worker. Each rule excludes a sequence of events in which one task would run
- * twice. The rules rely on the worker's epochs, sequence numbers and fencing tokens and on this process's monotonic
- * clock; they decide, and the callers act.
+ * The rules that decide when a task is certainly no longer on a machine, so that its allocation may be released, and
+ * when a worker may forget an exited task. Each rule prevents a sequence of events in which a task would run twice. The
+ * rules use the worker's agent epochs, sequence numbers and fencing tokens and this process's monotonic clock. Except
+ * for the functions that are documented to change state, they only decide, and the callers act.
  */
 import type { Log } from '../logging/log.js';
 import type { JobId, Millis, Revision, Seconds, SteadyMs, TaskIndex } from '../model/units.js';
@@ -17,15 +17,16 @@
 } from '../shards/model.js';
 import type { Heartbeat } from './wire.js';
 
-/** How a worker's status arrived: in its own heartbeat, or as its reply to a direct command. */
+/** How a worker's status arrived: in a heartbeat, or in the reply to a direct command. */
 export type StatusChannel = 'heartbeat' | 'direct';
 
 /**
- * Whether a status is older than what is known of the machine, by agent epoch and then sequence number.
+ * Returns whether a status is older than the last one applied to the machine, by agent epoch and then sequence number.
  *
- * Prevents: a network fault holds a heartbeat back for minutes; a task starts meanwhile; the delayed heartbeat, written
- * before that start, does not list the task; the task is released and started a second time elsewhere. And: a lease
- * has expired, its tasks are started elsewhere, and a delayed heartbeat of that agent epoch lists them as running.
+ * Prevents: a network fault delays a heartbeat for minutes; a task starts meanwhile; the delayed heartbeat, written
+ * before that start, does not list the task; the task is released and started a second time elsewhere. Also prevents: a
+ * lease has expired, its tasks are started elsewhere, and a delayed heartbeat of that agent epoch lists them as
+ * running.
  */
 export function isOutdated(machine: Machine, heartbeat: Heartbeat): boolean {
   return (
@@ -36,12 +37,13 @@
 }
 
 /**
- * Whether a task that the worker's status does not list is certainly not on the machine.
+ * Returns whether a task that the worker's status does not list is certainly not on the machine.
  *
- * Prevents three sequences. The launch is still in a direct request, or may be executed late because that request had
- * no reply: the status was written before it, and the task starts after its release. The launch was in the reply to a
- * heartbeat: a direct reply may overtake it, and only the worker's next heartbeat is sent after it has executed or
- * dropped that reply. The launch has not been sent yet: its absence says nothing.
+ * Three cases must not be released. (1) The launch is in a direct request that is in flight, or that had no reply and
+ * may be executed late: the status may predate the launch, and the task would start after its release. (2) The launch
+ * was in the answer to a heartbeat: a direct reply may overtake that answer, and only the worker's next heartbeat is
+ * certainly sent after the worker has executed or discarded it. (3) The launch has not been sent yet: the task cannot
+ * be listed.
  */
 export function mayReleaseAbsent(machine: Machine, allocation: Allocation, channel: StatusChannel): boolean {
   if (allocation.launchInFlight || allocation.unacknowledged) return false;
@@ -51,8 +53,8 @@
 }
 
 /**
- * Forgets unacknowledged launches that this status rules out: the worker has refused any launch of an earlier agent
- * epoch, or of a lower fencing token, since before it wrote the status.
+ * Clears unacknowledged launches that the worker can no longer execute: by the time it wrote this status, it already
+ * refused launches of an earlier agent epoch or with a lower fencing token.
  *
  * Prevents: a direct launch without a reply is executed minutes later, after its task was started elsewhere.
  */
@@ -71,13 +73,13 @@
 }
 
 /**
- * The launch that may still arrive at a machine which shows another attempt of the task than `expected`, the one that
- * was sent there; null when there is none.
+ * Returns the launch of `expected` that may still arrive at a machine that reports another attempt of the task, or null
+ * if there is none.
  *
- * Prevents: the attempt that the worker shows ends, its task is released and started elsewhere, and then the launch
- * of the expected attempt arrives at the first machine.
+ * Prevents: the reported attempt ends, its task is released and started elsewhere, and then the launch of the expected
+ * attempt arrives at the first machine.
  */
-export function launchStillExpected(
+export function outstandingLaunchOf(
   shard: Shard,
   machine: Machine,
   expected: Allocation,
@@ -88,7 +90,7 @@
   return { fencingToken: shard.fencingToken, agentEpoch: machine.agentEpoch, sentAt: now };
 }
 
-/** Whether the machine has, or had, a task with an unacknowledged launch of which `matches` holds. */
+/** Returns whether an allocation or an exited task of the machine has an unacknowledged launch that `matches`. */
 export function hasUnacknowledgedLaunch(
   machine: Machine,
   matches: (launch: UnacknowledgedLaunch) => boolean,
@@ -100,18 +102,18 @@
   return false;
 }
 
-/** What the store is known to say about results. */
+/** Tells which task results are recorded in the store. */
 export interface ResultRecords {
-  /** The task's result needs no other trace: its job's record has it, or the job has certainly ended. */
+  /** Returns whether the worker's copy of the result is not needed: the job's record has it, or the job has ended. */
   isResultRecorded(job: JobId, index: TaskIndex): boolean;
 }
 
 /**
- * Whether an exited task may be removed from its worker's memory.
+ * Returns whether a worker may be told to forget an exited task.
  *
- * Prevents: a launch of the same attempt arrives after the removal, and the worker, which does not know the attempt
- * any more, starts it anew; and: the result is removed before the store has it, since the controller ends in between,
- * does not know the job yet or takes the task to be elsewhere, and the task runs again after it was done.
+ * Prevents: a launch of the same attempt arrives afterwards, and the worker, which no longer knows the attempt, starts
+ * it again. Also prevents: the result is forgotten before it is in the store, because the controller stops in between,
+ * does not know the job yet or has the task allocated to another machine; the finished task then runs again.
  */
 export function mayForget(records: ResultRecords, exitedTask: ExitedTask): boolean {
   if (exitedTask.unacknowledged) return false;
@@ -119,47 +121,50 @@
 }
 
 /**
- * Whether a status shows that the machine takes commands of this leadership only, and so lists all that earlier leaders
- * started there.
+ * Returns whether a status proves that the machine no longer accepts commands of earlier leaders, so that it lists
+ * every task that they started there.
  *
- * Prevents: the previous leader, not yet stopped, starts a task after a status that does not list it.
+ * Prevents: the previous leader, which has not stopped yet, starts a task after the worker wrote a status without it.
  */
 export function provesReconciled(shard: Shard, heartbeat: Heartbeat): boolean {
   return heartbeat.fencingToken >= shard.fencingToken;
 }
 
 /**
- * Whether the machine was registered after this leadership began, so that no earlier leader has commanded it.
+ * Returns whether the machine was registered after this leadership began, so that no earlier leader has commanded it.
  *
- * Prevents: a machine of the previous leader counts as empty after a failover while its tasks run.
+ * Prevents: after a failover a machine of the previous leader is assumed to be empty while tasks run on it.
  */
 export function isRegisteredSinceAcquisition(shard: Shard, registeredAt: Revision): boolean {
   return registeredAt > shard.acquiredVersion;
 }
 
-/** What the end of a machine's lease is computed from. */
+/** The inputs for computing when a machine's lease ends. */
 export interface LeaseTerms {
-  /** The lease with the margins for clock drift and timers. */
+  /** Duration of the lease, including margins for clock drift and timers. */
   readonly leaseDuration: Millis;
-  /** Within this time after a failover the previous leader has stopped renewing leases. */
+  /** The previous leader has stopped renewing leases this long after a failover. */
   readonly previousLeaderTimeout: Millis;
-  /** Start of the last request that proved the watch cache, and with it the leadership, current. */
+  /** Start of the last request that confirmed that the watch cache, and with it the leadership, was current. */
   readonly confirmedAt: SteadyMs;
 }
 
-/** At most so many milliseconds of this process's clock pass in a second of another's: drift is 0.05% on each side. */
+/** Upper bound for the milliseconds of this process's clock per second of another's: each may drift by 0.05%. */
 const MAX_MS_PER_REMOTE_SECOND = 1001;
 
-/** Within this time after a failover the previous leader has stopped renewing leases: its cancellation limit. */
+/**
+ * Returns the time after a failover by which the previous leader has stopped renewing leases: its cancellation limit.
+ */
 export const previousLeaderTimeout = (cancelS: Seconds): Millis => millis(cancelS * MAX_MS_PER_REMOTE_SECOND);
 
 /**
- * Whether the worker's lease has expired: it has killed and forgotten all its tasks.
+ * Returns whether the worker's lease has certainly expired, so that the worker has killed and forgotten all its tasks.
  *
- * Prevents: the previous leader answers a heartbeat after the failover, which renews the lease, and the task is started
- * elsewhere while it runs; this controller has lost its leadership without knowing, and its successor renews the lease
- * that is taken to have ended (`confirmedAt`); and a direct reply shows a new agent epoch, whose lease began after the
- * last heartbeat, and what was started in it is released with the old epoch.
+ * Prevents three sequences in which a task would be started elsewhere while it runs. (1) The previous leader answers a
+ * heartbeat after the failover, which renews the lease. (2) This controller has lost its leadership without noticing,
+ * and its successor renews the lease that this controller considers expired; `confirmedAt` excludes this. (3) A direct
+ * reply shows a new agent epoch, whose lease began after the last heartbeat, and its tasks are released with the old
+ * epoch.
  */
 export function isLeaseExpired(shard: Shard, machine: Machine, now: SteadyMs, terms: LeaseTerms): boolean {
   const leaseEnd = Math.max(
@@ -170,8 +175,9 @@
 }
 
 /**
- * Before this time a leader before this one may have renewed the lease. A machine that replies to calls and whose
- * heartbeats do not arrive has shown this leader's fencing token, and not when its lease was last renewed.
+ * Returns the time until which an earlier leader may have renewed the lease; 0 if a heartbeat was received by this
+ * leader from a reconciled machine. A machine that replies to calls but whose heartbeats do not arrive has reported
+ * this leader's fencing token, but not when its lease was last renewed.
  */
 function earliestLeaseEnd(shard: Shard, machine: Machine, terms: LeaseTerms): number {
   const renewedHere = machine.reconciled && machine.lastHeartbeatAt !== null;
@@ -182,12 +188,12 @@
   return Math.max(machine.lastHeartbeatAt ?? 0, machine.agentEpochSeenAt ?? 0);
 }
 
-/** Releases all that was on a machine whose agent epoch has certainly ended, by its expiry, a newer one or deletion. */
+/** Releases all tasks of a machine whose agent epoch has ended: by lease expiry, a newer epoch or its deletion. */
 export function releaseAll(shard: Shard, machine: Machine, log: Log): void {
   for (const allocation of [...machine.allocations.values()]) {
     log.debug(
       { task: allocation.id, machine: machine.id, attempt: allocation.attempt },
-      'lost with its agent epoch',
+      'agent epoch ended, allocation released',
     );
     release(shard, machine, allocation);
   }
--- a/src/workers/service.ts
+++ b/src/workers/service.ts
@@ -1,6 +1,6 @@
 /**
- * Composes the workers' slice: heartbeats, commands sent to workers, lease expiry, and machines that come and go. The
- * rest of the controller uses this class alone.
+ * Entry point of the worker module: heartbeats, commands to workers, lease expiry, and registration and removal of
+ * machines. The rest of the controller uses only this class.
  */
 import type { Core } from '../core.js';
 import type { HttpResponse } from '../http/server.js';
@@ -21,10 +21,10 @@
 } from './heartbeat-handler.js';
 import { isRegisteredSinceAcquisition, releaseAll } from './release-rules.js';
 
-/** Workers that are called to find out whether those of a shard are reachable. */
+/** Maximum number of workers that are called to check whether a shard's workers are reachable. */
 const MAX_PROBED_WORKERS = 5;
 
-/** What the workers' slice uses of the controller: the sum of what its classes use, and what it keeps up to date. */
+/** The parts of the controller that the worker module reads and updates, for all of its classes. */
 export type WorkerServiceDependencies = HeartbeatHandlerDependencies &
   DirectCommandsDependencies &
   LeaseExpiryDependencies &
@@ -34,7 +34,7 @@
     'imageHints' | 'retiredMachines'
   >;
 
-/** What the rest of the controller asks of the workers' slice. */
+/** The interface of the worker module to the rest of the controller. */
 export class WorkerService {
   private readonly clients: WorkerClients;
   private readonly shardUpdates: ShardUpdates;
@@ -64,17 +64,17 @@
     this.leaseExpiry = new LeaseExpiry(controller, leadership, this.shardUpdates);
   }
 
-  /** Answers a worker's heartbeat, given as the request's body. */
+  /** Answers a worker's heartbeat; `body` is the body of the request. */
   handleHeartbeat(body: Buffer): Promise<HttpResponse> {
     return this.heartbeatHandler.handle(body);
   }
 
-  /** Heartbeats that were not answered with 200, by the reason, since the process began. */
+  /** Returns the number of heartbeats not answered with 200 since the process started, by reason. */
   heartbeatRefusals(): Readonly<Record<string, number>> {
     return this.heartbeatHandler.refusals.snapshot();
   }
 
-  /** Follows a machine's record in the watch cache; null: it was removed. */
+  /** Applies a change of a machine's record in the watch cache; `record` is null if it was deleted. */
   onMachineChanged(id: MachineId, record: MachineRecord | null, version: Revision): void {
     for (const shard of this.controller.shards.values()) {
       const machine = shard.machines.get(id);
@@ -99,29 +99,29 @@
     retiredMachines.add(id);
   }
 
-  /** To be called when the machine has certainly gone, with all that was on it. */
+  /** Removes a machine. Must be called only when the machine has certainly been deleted, with all tasks on it. */
   removeMachine(shard: Shard, machine: Machine): void {
     releaseAll(shard, machine, this.controller.log);
     shard.removeMachine(machine);
     this.shardUpdates.onShardChanged(shard);
   }
 
-  /** Whether a machine sends heartbeats and waits for its turn to be registered. */
+  /** Returns whether a machine sends heartbeats and waits to be registered. */
   isCandidate(id: MachineId): boolean {
     return this.registration.isCandidate(id);
   }
 
-  /** Sends what is due on every machine of a shard. */
+  /** Sends the commands that are due to the machines of a shard. */
   dispatchCommands(shard: Shard): void {
     this.directCommands.dispatch(shard);
   }
 
-  /** To be called for every shard at intervals. */
+  /** Expires leases of a shard's machines. Must be called periodically for every shard. */
   expireLeases(shard: Shard): void {
     this.leaseExpiry.expire(shard);
   }
 
-  /** Whether workers of a shard reply to this controller at all; asked before it acquires a shard again. */
+  /** Returns whether most of the probed workers of a shard reply. Checked before a shard is acquired again. */
   async areWorkersReachable(shard: ShardId): Promise<boolean> {
     const addresses: Address[] = [];
     for (const entry of this.controller.storeCache.entriesUnder(MACHINES_PREFIX)) {
@@ -133,7 +133,7 @@
     return (await this.clients.countReachable(probed)) * 2 > probed.length;
   }
 
-  /** Closes connections to workers that are in none of this controller's shards any more. */
+  /** Closes connections to workers that no longer belong to any of this controller's shards. */
   closeUnusedClients(): void {
     const addresses = new Set<Address>();
     for (const shard of this.controller.shards.values())
--- a/src/workers/shard-choice.ts
+++ b/src/workers/shard-choice.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses the shard for a machine that no controller has registered yet. Every controller comes to the same choice from
- * the same settings and registrations, without messages between them.
+ * Chooses the shard for an unregistered machine. All controllers make the same choice from the same settings and
+ * registrations, without exchanging messages.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import { dominantShare, largestOf, ZERO } from '../model/resources.js';
@@ -9,23 +9,24 @@
 import type { InstanceTypeId, MachineId, ShardId } from '../model/units.js';
 import type { Heartbeat } from './wire.js';
 
-/** How far a shard may be ahead of the smallest before it is passed over, in machines of the largest type. */
+/** How much larger than the smallest a shard may be before it is skipped, in machines of the largest type. */
 const MAX_IMBALANCE = 1.5;
 const ONE_CPU = { ...ZERO, cpus: 1 };
 
-/** What the choice of a shard uses of the controller. */
+/** The parts of the controller that the choice of a shard uses. */
 export interface ShardChoiceDependencies {
   readonly settings: Pick<Settings, 'shard' | 'shards'>;
   readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
   readonly registeredMachines: Pick<RegisteredMachines, 'capacity'>;
 }
 
-/** The number in a machine's id; machines are numbered in the order in which they were rented. */
+/** Returns the number in a machine's id; machines are numbered in the order in which they were rented. */
 export const machineNumber = (id: MachineId): number => Number(/\d+$/.exec(id)?.[0] ?? 0);
 
 /**
- * Shards follow zones. Among those whose controller is in the machine's zone they take turns by machine number, on which
- * controllers agree while many machines are registered at once, unless the next in turn is clearly ahead in capacity.
+ * Chooses among the shards whose controller is in the machine's zone, or among all shards if there are none. The
+ * machine number selects the shard (round-robin), so that controllers agree while they register many machines
+ * concurrently. If that shard is clearly larger than the smallest one, the smallest is chosen instead.
  */
 export function chooseShard(
   controller: ShardChoiceDependencies,
@@ -48,8 +49,9 @@
 }
 
 /**
- * Capacities in the largest machines there are, by CPUs or GPUs, of whichever a shard has more. Not by memory: small
- * machines often have as much as large ones, which says little about the work that they can take.
+ * Returns the capacity of each shard in units of the largest machine, by CPUs or GPUs, whichever gives the larger
+ * number. Memory is ignored: small machines often have as much as large ones, so it says little about the work they can
+ * take.
  */
 function relativeCapacities(
   { types, registeredMachines }: ShardChoiceDependencies,
--- a/src/workers/shard-updates.ts
+++ b/src/workers/shard-updates.ts
@@ -1,6 +1,6 @@
 /**
- * The consequences outside a shard of a change in it: requeued tasks, a scheduling cycle, learnt run times. Shared by
- * heartbeats, direct commands and lease expiry.
+ * Follow-up work after a change of a shard's machines or allocations: requeues tasks, requests a scheduling cycle and
+ * records run times. Used by heartbeats, direct commands and lease expiry.
  */
 import type { JobSpec } from '../jobs/spec.js';
 import type { Log } from '../logging/log.js';
@@ -10,11 +10,14 @@
 import { elapsed, millis } from '../model/units.js';
 import type { ReconciliationContext } from './reconciliation.js';
 
-/** A worker is taken to have missed an answer after so many heartbeat intervals, and this time on top. */
+/**
+ * A worker that is silent for this many heartbeat intervals plus `HEARTBEAT_TIMEOUT_MARGIN_MS` is assumed to have
+ * missed an answer.
+ */
 const HEARTBEAT_TIMEOUT_INTERVALS = 1.25;
 const HEARTBEAT_TIMEOUT_MARGIN_MS = 3000;
 
-/** What these updates use of the controller. */
+/** The parts of the controller that these updates use. */
 export interface ShardUpdatesDependencies {
   readonly log: Log;
   readonly recentlyEndedJobs: ReadonlyMap<JobId, JobSpec>;
@@ -23,19 +26,19 @@
   requestCycle(): void;
 }
 
-/** Learns how long tasks of a job class run, in seconds, compared with their users' estimates. */
+/** Collects actual run times of a job class, in seconds, together with the users' estimates. */
 export interface RuntimeSamples {
   addSample(jobClass: JobSpec['jobClass'], estimateS: JobSpec['estimateS'], actualS: number): void;
 }
 
-/** Effects of a change of machines or allocations outside their shard. */
+/** Runs the follow-up work after a change of a shard's machines or allocations. */
 export class ShardUpdates {
   constructor(
     private readonly controller: ShardUpdatesDependencies,
     private readonly runtimeSamples: RuntimeSamples,
   ) {}
 
-  /** What reconciling a heartbeat at this time needs to know, and whom it tells of finished tasks. */
+  /** Creates the context for reconciling a heartbeat that was received at `now`. */
   reconciliationContext(now: SteadyMs): ReconciliationContext {
     const { log, recentlyEndedJobs, heartbeatIntervalMs } = this.controller;
     return {
@@ -50,14 +53,14 @@
     };
   }
 
-  /** To be called after every change of the shard's machines or allocations. */
+  /** Must be called after every change of the shard's machines or allocations. */
   onShardChanged(shard: Shard): void {
     const { log } = this.controller;
     const { id, fencingToken, acquiredVersion, unreconciled } = shard;
     const reconciled = requeueAccountedTasks(shard, (job, tasks) =>
       log.debug(
         { job: job.id, tasks: tasks.ranges(), shard: id, fencingToken, acquiredVersion },
-        'unaccounted tasks are on no machine, requeued',
+        'unaccounted tasks are not on any machine, requeued',
       ),
     );
     if (reconciled) log.info({ shard: id, fencingToken, complete: unreconciled.isEmpty }, 'shard reconciled');
--- a/src/workers/task-exits.ts
+++ b/src/workers/task-exits.ts
@@ -1,6 +1,6 @@
 /**
- * Reconciles the tasks that a worker lists as exited: what their ends say about the task, its job, its gang and the
- * machine. Relies on `release` for the accounts of the shard; durable records of the ends are written elsewhere.
+ * Reconciles the tasks that a worker lists as exited: updates the task, its job, its gang and the machine's health.
+ * `release` updates the shard's totals; `jobs/progress.ts` writes finished tasks to the store.
  */
 import type { Log } from '../logging/log.js';
 import type { ExitCause } from '../model/exit-cause.js';
@@ -19,31 +19,32 @@
 } from '../shards/model.js';
 import type { ExitedTaskStatus, Heartbeat } from './wire.js';
 
-/** What handling the end of a task uses of the controller. */
+/** The parts of the controller that are used when a task has exited. */
 export interface TaskExitContext {
   readonly now: SteadyMs;
   readonly onTaskDone: (allocation: Allocation) => void;
   readonly log: Log;
 }
 
-/** No new tasks on a machine that has just refused one for want of capacity. */
-const REFUSAL_QUARANTINE = millis(2000);
-/** No new start of a job that a worker did not know. */
-const UNKNOWN_JOB_BACKOFF = millis(1000);
-/** A job without a success that fails on so many machines is at fault itself. */
+/** No task is placed for this time on a machine that has refused a task for lack of capacity. */
+const REFUSAL_QUARANTINE_MS = millis(2000);
+/** No task of a job is started for this time after a worker did not know the job. */
+const UNKNOWN_JOB_BACKOFF_MS = millis(1000);
+/** A job without a success that fails on this many machines is assumed to be faulty itself. */
 const MIN_MACHINES_TO_BLAME_JOB = 3;
 const MAX_JOB_BACKOFF_S = 60;
-/** The largest power of two of the back-off, in seconds; `MAX_JOB_BACKOFF_S` cuts it short. */
+/** Limits the exponent of the exponential backoff; `MAX_JOB_BACKOFF_S` caps the result. */
 const MAX_JOB_BACKOFF_EXPONENT = 6;
 const MAX_RECENT_FAILURES = 20;
 const FIRST_FAILURE_QUARANTINE_S = 5;
 const REPEATED_FAILURE_QUARANTINE_S = 45;
-/** Exits after which a gang's attempt had certainly not started: the task was never among those that wait. */
+/** Exit causes that prove that the gang's attempt did not start: the task never gathered with the others. */
 const NEVER_STARTED_CAUSES: readonly ExitCause[] = ['no-room', 'busy', 'unknown', 'alone'];
 
 /**
- * Releases the allocations whose tasks have exited, adds these to `seen`, and returns all exited tasks that the worker
- * still remembers. An unacknowledged launch of the same attempt stays known, so that the exit is not removed early.
+ * Releases the allocations of exited tasks, adds these tasks to `seen`, and returns all exited tasks that the worker
+ * still reports. An unacknowledged launch of the same attempt is kept with the exited task, so that the worker is not
+ * told to forget the task too early.
  */
 export function reconcileExitedTasks(
   shard: Shard,
@@ -100,11 +101,11 @@
     markFinished(shard, task);
   } else if (task.cause === 'error') recordFailure(machine, allocation, job, context);
   else if (task.cause === 'no-room' || task.cause === 'busy')
-    machine.quarantinedUntil = plus(context.now, REFUSAL_QUARANTINE);
-  else if (task.cause === 'unknown' && job) job.backoffUntil = plus(context.now, UNKNOWN_JOB_BACKOFF);
+    machine.quarantinedUntil = plus(context.now, REFUSAL_QUARANTINE_MS);
+  else if (task.cause === 'unknown' && job) job.backoffUntil = plus(context.now, UNKNOWN_JOB_BACKOFF_MS);
 }
 
-/** What the end of a gang's task says about its attempt. */
+/** Updates the history of a gang from the exit of one of its tasks. */
 function recordGangExit(
   { gangHistory }: ShardJob,
   machine: Machine,
@@ -131,14 +132,17 @@
   withdrawFromQueue(job, task.index, task.index + 1);
 }
 
-/** The task has ended: where it is allocated, by a late copy of a heartbeat or in fact, it is not to run on. */
+/**
+ * Stops a finished task on the machine where it is still allocated: it may really run there, or a delayed heartbeat may
+ * have shown it there.
+ */
 function stopAllocationElsewhere(shard: Shard, { job, index }: ExitedTaskStatus): void {
   const allocation = shard.allocations.get(taskId(job, index));
   const machine = allocation && shard.machines.get(allocation.machine);
   if (machine) stopOrRelease(shard, machine, allocation, 0);
 }
 
-/** The tasks of a gang complete together: one that is done says that all are. */
+/** Marks all tasks of a gang as finished: they complete together, so one finished task proves that all are. */
 function markGangFinished(shard: Shard, job: ShardJob): void {
   job.finished.addRange(0, job.spec.tasks);
   job.finished.removeAll(job.record.done);
@@ -146,7 +150,7 @@
   withdrawFromQueue(job, 0, job.spec.tasks);
 }
 
-/** Many jobs that fail on one machine put it in quarantine; one job that fails on many machines is delayed itself. */
+/** Backs off a job that has failed on several machines without a success; other failures quarantine the machine. */
 function recordFailure(
   machine: Machine,
   allocation: Allocation,
@@ -173,7 +177,7 @@
   const exponent = Math.min(MAX_JOB_BACKOFF_EXPONENT, machines - (MIN_MACHINES_TO_BLAME_JOB - 1));
   const backoffS = Math.min(MAX_JOB_BACKOFF_S, 2 ** exponent);
   job.backoffUntil = plus(now, toMillis(seconds(backoffS)));
-  log.info({ job: job.id, machines, backoffS }, 'job fails wherever it starts');
+  log.info({ job: job.id, machines, backoffS }, 'job fails on every machine that starts it, backing off');
 }
 
 function quarantineFailingMachine(
--- a/src/workers/unexpected-tasks.ts
+++ b/src/workers/unexpected-tasks.ts
@@ -1,6 +1,6 @@
 /**
- * Tasks on a machine that the shard's leader did not start there: which are adopted, which are stopped, and which are left
- * alone since the record of their job cannot be read.
+ * Handles tasks that a machine reports and that the shard's leader did not start there: they are adopted, stopped, or
+ * left running because the record of their job cannot be read.
  */
 import type { JobSpec } from '../jobs/spec.js';
 import type { Log } from '../logging/log.js';
@@ -16,26 +16,26 @@
   type Shard,
   type ShardJob,
 } from '../shards/model.js';
-import { launchStillExpected } from './release-rules.js';
+import { outstandingLaunchOf } from './release-rules.js';
 import type { ActiveTaskStatus } from './wire.js';
 
-/** What the decision on an unexpected task uses of the controller. */
+/** The parts of the controller that handling an unexpected task uses. */
 export interface UnexpectedTaskContext {
   readonly now: SteadyMs;
   readonly log: Log;
-  /** The specification of a job that has ended and may still have tasks on machines. */
+  /** Returns the specification of a recently ended job, which may still have tasks on machines. */
   readonly endedJobSpec: (job: JobId) => JobSpec | null;
-  /** The store has a record of the job that this version cannot read: the job has not ended. */
+  /** Returns whether the store has a record of the job that this version cannot read, so that the job has not ended. */
   readonly isRecordUnreadable: (job: JobId) => boolean;
 }
 
-/** Whether a task in this state has begun to run. */
+/** Returns whether a task in this state has started to run. */
 export const hasStarted = (state: ActiveTaskStatus['state']): boolean =>
   state === 'running' || state === 'saving';
 
 /**
- * The allocation that the status is compared with. One of unknown size whose job has become known since is released, for
- * the task to be adopted as one of the job.
+ * Returns the allocation that the reported task is compared with. An allocation of unknown size whose job has become
+ * known meanwhile is released, so that the task is adopted with the job's specification.
  */
 export function expectedAllocation(
   shard: Shard,
@@ -52,8 +52,9 @@
 }
 
 /**
- * A task, or an attempt of one, that this leadership did not start there. It is adopted if the shard is to run it and
- * knows it nowhere else; otherwise it is stopped, and uses capacity and quota until it has gone.
+ * Records a task, or an attempt of a task, that this leadership did not start on the machine. The task is adopted if it
+ * is an unfinished task of the shard without another allocation. It is left running if the record of its job cannot be
+ * read. Otherwise it is stopped, and uses capacity and quota until it has exited.
  */
 export function recordUnexpectedTask(
   shard: Shard,
@@ -67,12 +68,12 @@
   const job = shard.jobs.get(task.job);
   const adopted = !elsewhere && !expected && job !== undefined && isUnfinishedHere(shard, job, task);
   const spec = job?.spec ?? context.endedJobSpec(task.job);
-  // Prevents: a process that starts and cannot read the record of a later version stops the tasks of that job.
-  const isLeftAlone = !elsewhere && !expected && !job && context.isRecordUnreadable(task.job);
+  // Prevents: a controller that starts and cannot read a job record of a later version stops the tasks of that job.
+  const isLeftRunning = !elsewhere && !expected && !job && context.isRecordUnreadable(task.job);
   const allocation: Allocation = {
     ...observedAllocation(id, machine, task, spec, context),
-    stop: adopted || isLeftAlone ? null : { grace: 0, direct: 'due' },
-    unacknowledged: expected ? launchStillExpected(shard, machine, expected, context.now) : null,
+    stop: adopted || isLeftRunning ? null : { grace: 0, direct: 'due' },
+    unacknowledged: expected ? outstandingLaunchOf(shard, machine, expected, context.now) : null,
   };
   if (adopted) allocate(shard, machine, allocation);
   else {
@@ -81,7 +82,7 @@
     if (job) withdrawFromQueue(job, task.index, task.index + 1);
     context.log.info(
       { task: id, machine: machine.id, attempt: task.attempt },
-      isLeftAlone ? 'record of its job cannot be read, left alone' : 'not assigned to this shard, stopping',
+      isLeftRunning ? 'job record is unreadable, task left running' : 'unexpected task, stopping it',
     );
   }
   if (task.state !== 'fetching' && spec) shard.recordImage(machine, spec.image, spec.imageGb);
--- a/src/workers/wire.ts
+++ b/src/workers/wire.ts
@@ -1,6 +1,6 @@
 /**
- * Maps the messages of the worker protocol to types of this project and back. The only module of the slice that knows
- * the protocol's names; malformed bodies decode to null and never throw.
+ * Converts between the messages of the worker protocol and the types of this project. Only this module uses the
+ * protocol's field names. Malformed bodies decode to null; decoding never throws.
  */
 import type { ExitCause } from '../model/exit-cause.js';
 import * as v from 'valibot';
@@ -25,15 +25,15 @@
   ok: 200,
   /** The request could not be decoded; nothing was executed. */
   malformed: 400,
-  /** From a worker: nothing was executed, for the fencing token or the agent epoch is not the present one. */
+  /** From a worker: nothing was executed, because the fencing token or the agent epoch is outdated. */
   stale: 409,
   /** To a worker: another controller leads its shard. */
   notLeader: 421,
-  /** To a worker: nobody here may command it now. */
+  /** To a worker: this controller cannot command it at the moment. */
   unavailable: 503,
 } as const;
 
-/** Paths at a worker's own address. */
+/** Request paths of the worker's own HTTP server. */
 export const WorkerPath = { status: '/status', commands: '/orders' } as const;
 
 interface TaskIdentity {
@@ -42,12 +42,12 @@
   readonly attempt: Attempt;
 }
 
-/** A task that is on the machine; `gathering`: it waits for the other tasks of its gang. */
+/** A task that occupies the machine. `gathering`: it waits for the other tasks of its gang. */
 export interface ActiveTaskStatus extends TaskIdentity {
   readonly state: 'fetching' | 'gathering' | 'running' | 'saving';
 }
 
-/** A task that has ended and that the worker remembers until it is told to forget it. */
+/** A task that has ended. The worker keeps reporting it until it receives the `forget` command. */
 export interface ExitedTaskStatus extends TaskIdentity {
   readonly state: 'exited';
   readonly cause: ExitCause;
@@ -56,7 +56,7 @@
 /** One task in a worker's status. */
 export type TaskStatus = ActiveTaskStatus | ExitedTaskStatus;
 
-/** A worker's status: the body of its heartbeats and of its replies to direct commands. */
+/** A worker's status, sent as the body of its heartbeats and of its replies to direct commands. */
 export interface Heartbeat {
   readonly machine: MachineId;
   readonly address: Address;
@@ -70,15 +70,17 @@
   readonly tasks: readonly TaskStatus[];
 }
 
-/** What a worker is told to do with one attempt of a task; each may be repeated, except a start after its forget. */
+/**
+ * A command about one attempt of a task. Commands are idempotent, except that a `start` must not follow its `forget`.
+ */
 export type WorkerCommand =
   | (TaskIdentity & { readonly kind: 'start' })
-  /** `grace`: how long the task may take to save its progress. */
+  /** `grace`: time that the task has for saving its progress. */
   | (TaskIdentity & { readonly kind: 'stop'; readonly grace: Seconds })
   | (TaskIdentity & { readonly kind: 'forget' });
 
-const whole = v.pipe(v.number(), v.integer(), v.minValue(0));
-// An unknown state counts as running: the task uses capacity, and may be stopped.
+const wholeNumber = v.pipe(v.number(), v.integer(), v.minValue(0));
+// An unknown state is treated as running: the task uses capacity and can be stopped.
 const TASK_STATES: Record<string, TaskStatus['state']> = {
   pulling: 'fetching',
   gathering: 'gathering',
@@ -103,16 +105,16 @@
   hull: v.string(),
   harbor: v.string(),
   driftboats: v.boolean(),
-  watch: whole,
-  logNo: whole,
-  helm: whole,
+  watch: wholeNumber,
+  logNo: wholeNumber,
+  helm: wholeNumber,
   recallS: v.optional(v.nullable(v.pipe(v.number(), v.finite())), null),
   legs: v.optional(
     v.nullable(
       v.array(
         v.object({
           leg: v.string(),
-          sailing: whole,
+          sailing: wholeNumber,
           status: v.string(),
           cause: v.optional(v.nullable(v.string()), null),
         }),
@@ -122,7 +124,7 @@
   ),
 });
 
-/** Decodes a status from its parsed JSON; null when it has another form. */
+/** Decodes a status from its parsed JSON. Returns null if it is malformed. */
 export function decodeHeartbeat(body: unknown): Heartbeat | null {
   const result = v.safeParse(heartbeatSchema, body);
   if (!result.success) return null;
@@ -133,7 +135,7 @@
     if (!identity) return null;
     const attempt = task.sailing as Attempt;
     const state = TASK_STATES[task.status] ?? 'running';
-    // An unknown cause ends the task like an error: it is not running, and not done.
+    // An unknown cause is treated as an error: the task is not running and has not completed.
     if (state === 'exited')
       tasks.push({ ...identity, attempt, state, cause: EXIT_CAUSES[task.cause ?? ''] ?? 'error' });
     else tasks.push({ ...identity, attempt, state });
@@ -152,7 +154,7 @@
   };
 }
 
-/** Decodes a heartbeat from the body of its request; null when it has another form. */
+/** Decodes a heartbeat from the body of its request. Returns null if it is malformed. */
 export function parseHeartbeat(body: Buffer): Heartbeat | null {
   try {
     return decodeHeartbeat(JSON.parse(body.toString('utf8')));
@@ -168,13 +170,13 @@
   return { order: 'clear', ...task };
 }
 
-/** The body of the answer to a heartbeat. */
+/** Encodes the body of a 200 answer to a heartbeat. */
 export const encodeReply = (fencingToken: FencingToken, commands: readonly WorkerCommand[]): unknown => ({
   helm: fencingToken,
   orders: commands.map(encodeCommand),
 });
 
-/** The body of a direct request to a worker. */
+/** Encodes the body of a direct request to a worker. */
 export const encodeDirectCommands = (
   fencingToken: FencingToken,
   agentEpoch: AgentEpoch,
@@ -185,6 +187,8 @@
   orders: commands.map(encodeCommand),
 });
 
-/** The body of an answer that sends a worker to its leader, or on to any other controller when that is null. */
+/**
+ * Encodes the body of an answer that redirects a worker to its leader, or to any other controller if `leader` is null.
+ */
 export const encodeRedirect = (leader: ControllerId | null): unknown =>
   leader === null ? {} : { harbormaster: leader };
