--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Admission: which jobs can never run in this deployment, given the teams' quotas and the cloud's instance types. The
- * reasons are for the user: they name the field of the submission and its bound.
+ * Admission control: rejects jobs that can never run in this deployment because of the teams' quotas or the cloud's
+ * instance types. The reasons are shown to the user and name the field of the submission and its limit.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import { mayRunOn } from '../model/constraints.js';
@@ -10,12 +10,12 @@
 import type { JobSpec } from './spec.js';
 import { FIELDS } from './wire.js';
 
-/** Sums over a job's tasks may be off by so much. */
+/** Tolerance for floating-point errors in sums over a job's tasks. */
 const ROUNDING_TOLERANCE = 1e-9;
 
-/** Why the job can never run within its team's quota, or null. */
+/** Returns why the job can never run within its team's quota, or null if it can. */
 function quotaRejection(spec: JobSpec, team: Team): string | null {
-  // An array's tasks may run one after the other; the other kinds need all of theirs at once.
+  // The tasks of an array may run one after the other; jobs of other kinds need all their tasks at once.
   const concurrentTasks = spec.kind === 'array' ? 1 : spec.tasks;
   for (const kind of RESOURCE_KINDS) {
     const need = spec[kind] * concurrentTasks;
@@ -27,7 +27,7 @@
 
 const listNames = (types: readonly InstanceType[]): string => types.map((type) => type.name).join(', ');
 
-/** Why no instance type can run a task of the job, or null. */
+/** Returns why no instance type can run a task of the job, or null if one can. */
 function instanceTypeRejection(spec: JobSpec, types: readonly InstanceType[]): string | null {
   const requested = types.filter((type) => spec.types?.includes(type.name) ?? true);
   if (requested.length === 0)
@@ -39,7 +39,7 @@
   return allowed.some((type) => covers(type, spec)) ? null : taskSizeRejection(spec, allowed);
 }
 
-/** Why a task is larger than each of these types: one resource exceeds them all, or no type has enough of each. */
+/** Returns why a task fits none of these types: one resource exceeds all types, or no type has enough of every one. */
 function taskSizeRejection(spec: JobSpec, allowed: readonly InstanceType[]): string {
   const largest = largestOf(allowed);
   for (const kind of RESOURCE_KINDS) {
@@ -50,7 +50,7 @@
   return `${fields}: no allowed machine type has room for all of a task`;
 }
 
-/** Why a job can never run here, as a text for the user; null: it is admissible. */
+/** Returns why a job can never run in this deployment, as a text for the user, or null if the job is admissible. */
 export function rejectionReason(
   spec: JobSpec,
   types: Iterable<InstanceType>,
--- a/src/jobs/cancellation.ts
+++ b/src/jobs/cancellation.ts
@@ -1,6 +1,6 @@
 /**
- * Cancels jobs: one transaction drops the record and writes the final state. Relies on the store's conditions: the final
- * state of a job that ended otherwise is never overwritten.
+ * Cancels jobs: one transaction deletes the record and writes the final state, on conditions that prevent overwriting
+ * the final state of a job that has already ended.
  */
 import type { HttpResponse } from '../http/server.js';
 import type { Log } from '../logging/log.js';
@@ -13,16 +13,16 @@
 import { finalStateKey, activeJobKey } from './codec.js';
 import { NOT_FOUND, responseTo, UNAVAILABLE, type RequestOutcome } from './responses.js';
 
-/** How often a cancellation is tried when the record changes under it or an outcome is unknown. */
-const MAX_TRIES = 5;
+/** Maximum number of attempts, when the record changes concurrently or the outcome of a write is unknown. */
+const MAX_ATTEMPTS = 5;
 
-/** What one try came to. */
-type TryOutcome =
+/** The outcome of one attempt. */
+type AttemptOutcome =
   | RequestOutcome
-  /** The record has changed since it was looked at, or the outcome is unknown: the next try reads it again. */
+  /** The record has changed since it was read, or the outcome is unknown: the next attempt reads it again. */
   | { readonly kind: 'retry' };
 
-const RETRY: TryOutcome = { kind: 'retry' };
+const RETRY: AttemptOutcome = { kind: 'retry' };
 
 /** Answers users' requests to cancel a job. */
 export class JobCancellation {
@@ -32,14 +32,14 @@
     private readonly finalStates: FinalStateCache,
     private readonly reader: JobReader,
     private readonly log: Log,
-    /** Tells the peers of a committed cancellation; a hint that may be lost. */
+    /** Notifies the peers of a committed cancellation; best effort. */
     private readonly announce: (id: JobId, version: Revision) => void,
   ) {}
 
-  /** 200 only once the final state is committed, also when the job had ended before. */
+  /** Answers 200 only once a final state is committed; also if the job had ended before. */
   async cancel(id: JobId): Promise<HttpResponse> {
-    for (let attempt = 0; attempt < MAX_TRIES; attempt += 1) {
-      // The first try saves a read: if the cached version is old, the store refuses the write.
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
+      // The first attempt skips the read: if the cached version is outdated, the store refuses the write.
       const useCachedVersion = this.activeJobs.has(id) && attempt === 0;
       const version = useCachedVersion ? this.access.storeCache.version(activeJobKey(id)) : NO_REVISION;
       const outcome =
@@ -49,19 +49,20 @@
     return responseTo(UNAVAILABLE);
   }
 
-  private async readAndCancel(id: JobId): Promise<TryOutcome> {
+  private async readAndCancel(id: JobId): Promise<AttemptOutcome> {
     const lookup = await this.reader.read(id);
     if (lookup.kind === 'unknown') return UNAVAILABLE;
     if (lookup.kind === 'absent') return NOT_FOUND;
     if (lookup.kind === 'ended') return { kind: 'existing', id, state: lookup.state };
-    // The job ended while the answer was on its way: to drop a key that is absent would overwrite its final state.
+    // The job ended while the read was in flight. With the version of an absent key as its condition, the write would
+    // be accepted and overwrite the final state.
     const version = this.access.storeCache.version(activeJobKey(id));
     return version === NO_REVISION ? RETRY : this.cancelAt(id, version);
   }
 
-  /** Cancels the job if its record still has that version. */
-  private async cancelAt(id: JobId, version: Revision): Promise<TryOutcome> {
-    // The cached version may belong to a job that has ended since: its final state must not be overwritten.
+  /** Cancels the job if its record still has this version. */
+  private async cancelAt(id: JobId, version: Revision): Promise<AttemptOutcome> {
+    // The second condition keeps the final state of a job that has already ended from being overwritten.
     const result = await this.access.store.compareAndSwap(
       [
         { key: activeJobKey(id), version },
--- a/src/jobs/cluster-clock.ts
+++ b/src/jobs/cluster-clock.ts
@@ -1,7 +1,8 @@
 /**
- * How long ago a job was accepted, also for a controller that has only just started. Steady clocks are not compared
- * between processes, so the controllers count time together: one of them writes the count to the store every few seconds,
- * and each goes on from there by its own clock. While no controller runs, nothing is counted.
+ * A clock shared by all controllers, from which any of them, even a newly started one, computes how long ago a job was
+ * accepted. Monotonic clocks cannot be compared between processes, so one controller writes a millisecond count to the
+ * store every few seconds, and each controller advances it by its own clock. The count does not advance while no
+ * controller runs.
  */
 import { aliveKey, TIME_KEY } from '../shards/codec.js';
 import type { Settings } from '../settings/settings.js';
@@ -10,65 +11,68 @@
 import { millis } from '../model/units.js';
 import type { LeadershipView, StoreAccess } from './dependencies.js';
 
-/** Between two writes of the count, in milliseconds. */
+/** Minimum interval between two writes of the count. */
 const WRITE_INTERVAL_MS = 5000;
 
-/** The count of milliseconds as this controller knows it, continued by its own clock. */
+/** This controller's copy of the shared millisecond count, advanced by its own clock. */
 export class ClusterClock {
-  /** The count at a time of this process's clock; null: nothing is known yet. */
+  /** The count at a time of this process's clock; null until a count is known. */
   private latest: { readonly count: number; readonly at: SteadyMs } | null = null;
 
-  /** The count has reached this: read from the store, or from a job that was accepted then. It never goes back. */
+  /** Advances the count to one seen in the store or in a job's record. Lower counts are ignored: it never goes back. */
   reached(count: number, now: SteadyMs): void {
     if (!Number.isFinite(count) || (this.latest && this.now(now) >= count)) return;
     this.latest = { count, at: now };
   }
 
-  /** The count at a time of this process's clock. */
+  /** Returns the count at a time of this process's clock. */
   now(now: SteadyMs): ClusterMs {
     this.latest ??= { count: 0, at: now };
     return Math.max(0, Math.round(this.latest.count + now - this.latest.at)) as ClusterMs;
   }
 
-  /** How long ago a job was accepted; 0 for records of earlier versions, which do not say when they came. */
+  /** Returns how long ago a job was accepted; 0 for records of earlier versions, which have no time of acceptance. */
   age(acceptedAt: ClusterMs | null, now: SteadyMs): Millis {
     return acceptedAt === null ? millis(0) : millis(Math.max(0, this.now(now) - acceptedAt));
   }
 }
 
-/** The value of `TIME_KEY`, in the store's form. */
+/** Encodes the value of `TIME_KEY`. */
 export const encodeTime = (count: ClusterMs): unknown => ({ ms: count });
 
-/** The count in the value of `TIME_KEY`, in milliseconds; NaN when it cannot be read. */
+/** Decodes the value of `TIME_KEY`, in milliseconds. Returns NaN if it cannot be decoded. */
 export const decodeClusterTime = (value: unknown): number =>
   Number((value as { ms?: unknown } | null | undefined)?.ms ?? NaN);
 
-/** What the writer of the count uses of the controller. */
+/** The parts of the controller that the writer of the count uses. */
 export interface ClusterClockWriterContext extends StoreAccess, LeadershipView {
   readonly clock: Clock;
   readonly clusterClock: Pick<ClusterClock, 'now'>;
   readonly settings: Pick<Settings, 'node' | 'shards'>;
 }
 
-/** Writes the count: the first of the controllers that are alive does, on condition that nobody else has. */
+/**
+ * Writes the count to the store if this controller is the first live controller of the settings, on the condition that no
+ * other controller has written it meanwhile.
+ */
 export class ClusterClockWriter {
-  /** null: this process has not written yet. */
+  /** Time of this process's last write; null: none yet. */
   private lastWriteAt: SteadyMs | null = null;
 
   constructor(private readonly context: ClusterClockWriterContext) {}
 
-  /** Called every few hundred milliseconds. */
+  /** Writes the count if a write is due. Called every few hundred milliseconds. */
   tick(): void {
     const { context } = this;
     const now = context.clock.now();
     if (!context.mayCommand(now) || !context.storeHealthy()) return;
-    if (this.hasJustWritten(now) || !this.isFirstAliveController()) return;
+    if (this.wroteRecently(now) || !this.isFirstAliveController()) return;
     this.lastWriteAt = now;
-    // Nobody waits for the write: a later tick writes a higher count if this one is lost.
+    // Not awaited: if this write is lost, a later tick writes a higher count.
     void this.write(encodeTime(context.clusterClock.now(now)));
   }
 
-  private hasJustWritten(now: SteadyMs): boolean {
+  private wroteRecently(now: SteadyMs): boolean {
     return this.lastWriteAt !== null && now - this.lastWriteAt < WRITE_INTERVAL_MS;
   }
 
--- a/src/jobs/codec.ts
+++ b/src/jobs/codec.ts
@@ -1,6 +1,6 @@
 /**
- * Maps job records to what the store keeps, and names the keys they stand under. Versions of the software read each
- * other's records during an upgrade: keys and field names stay as they are here, whatever the code calls them.
+ * Encodes and decodes job records for the store, and defines their keys. Different versions of the software read each
+ * other's records during an upgrade, so the stored keys and field names must not change, even if the code is renamed.
  */
 import * as v from 'valibot';
 import { RangeSet, type Range } from '../model/ranges.js';
@@ -8,14 +8,14 @@
 import type { FinalState, JobRecord } from './record.js';
 import type { JobSpec } from './spec.js';
 
-/** Prefix of the records of all active jobs: those that have no final state yet. */
+/** Key prefix of the records of all active jobs, which have no final state yet. */
 export const ACTIVE_JOBS_PREFIX = 'c/live/';
-/** Where a job's record stands while the job is active. */
+/** Key of a job's record, which exists while the job is active. */
 export const activeJobKey = (id: JobId): StoreKey => `${ACTIVE_JOBS_PREFIX}${id}` as StoreKey;
-/** Where a job's final state stands: kept for good, outside the prefix that start-up lists. */
+/** Key of a job's final state, which is kept permanently, outside the prefix that is listed at start-up. */
 export const finalStateKey = (id: JobId): StoreKey => `over/${id}` as StoreKey;
 
-/** What the record calls the fields of a specification, in the order in which they are written. */
+/** Stored names of the fields of a specification, in the order in which they are written. */
 const STORED_SPEC_FIELDS = {
   id: 'id',
   jobClass: 'lane',
@@ -39,7 +39,7 @@
   deadlineS: 'deadlineS',
 } as const satisfies Record<Exclude<keyof JobSpec, 'unknownFields'>, string>;
 
-/** By the record's name of a field. */
+/** Fields of a specification by stored name. */
 const SPEC_FIELDS = new Map<string, string>(
   Object.entries(STORED_SPEC_FIELDS).map(([field, stored]) => [stored, field]),
 );
@@ -50,7 +50,7 @@
 );
 const assignmentSchema = v.tuple([v.number(), v.number(), v.number(), v.nullable(v.string())]);
 const recordSchema = v.object({
-  // Written from a checked submission by some version of this software: its presence is what must hold here.
+  // Was written by some version of this software from a validated submission, so only its presence is checked.
   spec: v.custom<Record<string, unknown>>(
     (spec) => typeof spec === 'object' && spec !== null && 'id' in spec && 'tasks' in spec,
   ),
@@ -63,7 +63,7 @@
 });
 const finalStateSchema = v.object({ state: v.picklist(['done', 'cancelled']) });
 
-/** A job's record as the store keeps it. */
+/** The stored form of a job's record. */
 interface StoredRecord {
   readonly spec: Readonly<Record<string, unknown>>;
   readonly home: number;
@@ -73,7 +73,7 @@
   readonly done: readonly Range[];
 }
 
-/** The value of `activeJobKey`. */
+/** Encodes the value of `activeJobKey`. */
 export function encodeRecord(record: JobRecord): StoredRecord {
   return {
     spec: encodeSpec(record.spec),
@@ -90,7 +90,7 @@
   };
 }
 
-/** null: the value was written by a version that this one does not understand. */
+/** Decodes a record. Returns null if it was written in a format that this version does not understand. */
 export function decodeRecord(value: unknown): JobRecord | null {
   const result = v.safeParse(recordSchema, value);
   if (!result.success) return null;
@@ -110,7 +110,7 @@
   };
 }
 
-/** Fields that are absent, since an earlier version did not store them, stay so. */
+/** Encodes a specification. Fields that are absent because an earlier version did not store them stay absent. */
 function encodeSpec(spec: JobSpec): Record<string, unknown> {
   const stored: Record<string, unknown> = {};
   for (const [field, name] of Object.entries(STORED_SPEC_FIELDS)) {
@@ -120,7 +120,7 @@
   return { ...stored, ...spec.unknownFields };
 }
 
-/** Fields that this version does not know are kept, so that they are not lost when the record is written again. */
+/** Decodes a specification. Unknown fields are kept, so that they are not lost when the record is written again. */
 function decodeSpec(stored: Readonly<Record<string, unknown>>): JobSpec {
   const spec: Record<string, unknown> = {};
   const unknownFields: Record<string, unknown> = {};
@@ -133,10 +133,10 @@
   return spec as unknown as JobSpec;
 }
 
-/** The value of `finalStateKey`. */
+/** Encodes the value of `finalStateKey`. */
 export const encodeFinalState = (state: FinalState): { readonly state: FinalState } => ({ state });
 
-/** null: the value cannot be read. */
+/** Decodes a final state. Returns null if the value cannot be decoded. */
 export function decodeFinalState(value: unknown): FinalState | null {
   const result = v.safeParse(finalStateSchema, value);
   return result.success ? result.output.state : null;
--- a/src/jobs/dependencies.ts
+++ b/src/jobs/dependencies.ts
@@ -1,6 +1,6 @@
 /**
- * What the job slice uses of the rest of the controller, as narrow interfaces. The controller passes its own objects:
- * nothing in this folder depends on the class that holds them all.
+ * Narrow interfaces of the parts of the controller that the job module uses, so that it does not depend on the
+ * controller's class.
  */
 import type { ReadResult, CompareAndSwapResult } from '../store/client.js';
 import type { RequestPriority } from '../store/rate-limiter.js';
@@ -8,20 +8,20 @@
 import type { Clock, JobId, Millis, Revision, StoreKey, SteadyMs } from '../model/units.js';
 import type { JobRecord } from './record.js';
 
-/** Active jobs, by this controller's latest copy of the store. */
+/** Active jobs in this controller's cache of the store. */
 export type ActiveJobs = Pick<ReadonlyMap<JobId, JobRecord>, 'get' | 'has'>;
 
-/** The client of the store, as far as jobs need it. */
+/** The parts of the store client that the job module uses. */
 export interface JobStore {
-  /** This controller's share of the request limit, in requests a second. */
+  /** This controller's share of the request limit, in requests per second. */
   readonly requestRate: number;
-  /** This controller's share of the limit of changes, in changes a second. */
+  /** This controller's share of the write limit, in changes per second. */
   readonly writeRate: number;
-  /** How long a submission would wait for its turn within the rate limits. */
+  /** How long a submission would be delayed by the rate limits. */
   readonly submitWait: Millis;
   /** Reads one key from the store, not from the store cache. */
   get(key: StoreKey, priority: RequestPriority): Promise<ReadResult>;
-  /** Applies the changes if every condition holds, and otherwise nothing. */
+  /** Applies all changes if every condition holds, and none otherwise. */
   compareAndSwap(
     conditions: readonly Condition[],
     changes: readonly Change[],
@@ -29,39 +29,39 @@
   ): Promise<CompareAndSwapResult>;
 }
 
-/** This controller's copy of what the store holds. It may be behind the store. */
+/** This controller's cache of the store's contents. It may lag behind the store. */
 export interface JobStoreCache {
-  /** The first complete list has been read. */
+  /** Whether the first complete listing has been read. */
   readonly loaded: boolean;
-  /** A time at which the store held nothing newer than the copy shows. */
+  /** A time at which the store contained nothing newer than the cache. */
   readonly confirmedAt: SteadyMs;
-  /** The store's revision that the copy has reached. */
+  /** The store revision up to which the cache is complete. */
   readonly revision: Revision;
-  /** What a key was last seen to hold; `undefined` when it is absent. */
+  /** Returns the cached entry of a key; `undefined` if the key is absent. */
   get(key: StoreKey): Entry | undefined;
-  /** The version a key was last seen at; `NO_REVISION` when it is absent. */
+  /** Returns the cached version of a key; `NO_REVISION` if the key is absent. */
   version(key: StoreKey): Revision;
-  /** Takes in a fact from a read or a committed write; `undefined` when the key was dropped. */
+  /** Applies the result of a read or of a committed write; `value` is `undefined` if the key was deleted. */
   apply(key: StoreKey, value: unknown, version: Revision): void;
 }
 
-/** Access to the store, and to the state that all slices of the controller share. */
+/** Access to the store, and to the state that the controller's modules share. */
 export interface StoreAccess {
   readonly store: JobStore;
   readonly storeCache: JobStoreCache;
-  /** False while the store does not answer this controller. */
+  /** Returns false while the store does not answer this controller. */
   readonly storeHealthy: () => boolean;
-  /** Runs a short change of shared state under the lock, without I/O. */
+  /** Runs a short change of shared state under the lock; `work` must not do I/O. */
   exclusive<T>(work: () => T): Promise<T>;
 }
 
-/** Whether this controller may still act for the shards that it leads. */
+/** Tells whether this controller may still act as the leader of its shards. */
 export interface LeadershipView {
-  /** False once the store cache was last confirmed too long ago. */
+  /** Returns false if the last confirmation of the store cache is too old. */
   mayCommand(now: SteadyMs): boolean;
 }
 
-/** The steady clock and its timers. */
+/** The monotonic clock and its timers. */
 export interface Timers {
   readonly clock: Clock;
   sleep(delay: Millis): Promise<void>;
--- a/src/jobs/job-creation.ts
+++ b/src/jobs/job-creation.ts
@@ -1,6 +1,6 @@
 /**
- * The write that creates a job. It also proves, where it can, that this process still leads the shards that the job's
- * tasks are assigned to: these may then be started without waiting for the watch to show the record.
+ * Creates jobs in the store. If possible, the same write also proves that this controller still leads the shards to
+ * which the job's tasks are assigned, so that the tasks can be started before the watch delivers the record.
  */
 import { SHARDS_PREFIX } from '../shards/codec.js';
 import type { Shard } from '../shards/model.js';
@@ -12,17 +12,17 @@
 import type { StoreAccess } from './dependencies.js';
 import type { Assignment, JobRecord } from './record.js';
 
-/** What creating a job uses of the controller. */
+/** The parts of the controller that creating a job uses. */
 export interface JobCreationContext extends StoreAccess {
   /** The shards that this controller leads. */
   readonly shards: ReadonlyMap<ShardId, Shard>;
-  /** Holds as long as the shard's record is the one that this leader knows. */
+  /** Returns a condition that holds as long as the shard's record is unchanged since this leader acquired the shard. */
   leaderCondition(shard: Shard): Condition;
 }
 
 /**
- * Writes the record on condition that no job of its id is active or has ended. On `done` the watch cache has it;
- * `conflict`: there is such a job.
+ * Writes the record, on the condition that no job with its id is active or has ended. On `done` the record is in the
+ * watch cache; `conflict` means that such a job exists.
  */
 export async function createJobRecord(
   context: JobCreationContext,
@@ -40,7 +40,7 @@
   let provenShards = shardsLedHere(context, record.assignments);
   const leadership = provenShards.map((shard) => context.leaderCondition(shard));
   let result = await create([...isNew, ...leadership]);
-  // Outcome unknown, or a shard is not led any more: a second try creates the job or shows that there is one.
+  // The outcome is unknown, or a shard is no longer led here: a second attempt creates the job or finds it existing.
   if (result.kind === 'unknown' || failedOnLeadership(result)) {
     provenShards = [];
     result = await create(isNew);
--- a/src/jobs/job-record-cache.ts
+++ b/src/jobs/job-record-cache.ts
@@ -1,29 +1,29 @@
 /**
- * The records of active jobs, decoded once per version from the changes of the watch cache, and the specifications of
- * jobs that ended recently. Relies on being told every change of a job record, in the order of the watch cache.
+ * Caches the records of active jobs, decoded once per version, and the specifications of recently ended jobs. Must be
+ * updated with every change of a job record, in the order of the watch cache.
  */
 import type { JobId } from '../model/units.js';
 import { decodeRecord } from './codec.js';
 import type { JobRecord } from './record.js';
 import type { JobSpec } from './spec.js';
 
-/** Ended jobs whose specifications are kept at least. */
+/** Minimum number of ended jobs whose specifications are kept. */
 const MIN_RECENTLY_ENDED = 500;
 
 /**
- * What a change of a job's record means. `unreadable`: written by a version that this one does not understand; the job
- * has not ended, and its tasks go on.
+ * The effect of a change of a job's record. `unreadable`: the record was written in a format that this version does not
+ * understand; the job has not ended, and its tasks keep running.
  */
 export type JobRecordUpdate =
   | { readonly kind: 'active'; readonly record: JobRecord }
   | { readonly kind: 'ended' }
   | { readonly kind: 'unreadable' };
 
-/** Active jobs by id, and those that ended recently. */
+/** Active and recently ended jobs by id. */
 export class JobRecordCache {
   private readonly active = new Map<JobId, JobRecord>();
   private readonly ended = new Map<JobId, JobSpec>();
-  /** Jobs whose newest record cannot be read; `get` has an older one of them, or none. */
+  /** Jobs whose newest record cannot be read; `get` returns an older record of the job, or `undefined`. */
   private readonly unreadable = new Set<JobId>();
 
   get(id: JobId): JobRecord | undefined {
@@ -34,22 +34,22 @@
     return this.active.has(id);
   }
 
-  /** The store has a newer record of the job than `get`: nothing may be written that rests on the older one. */
+  /** Whether the store has a newer record than `get` returns; then nothing may be written based on the older record. */
   isOutdated(id: JobId): boolean {
     return this.unreadable.has(id);
   }
 
-  /** The records of all active jobs, in the order in which the jobs became known. */
+  /** Returns the records of all active jobs, in the order in which the jobs were first seen. */
   values(): MapIterator<JobRecord> {
     return this.active.values();
   }
 
-  /** Specifications of jobs that have ended while their tasks may still be on machines. */
+  /** Specifications of ended jobs whose tasks may still be on machines. */
   get recentlyEnded(): ReadonlyMap<JobId, JobSpec> {
     return this.ended;
   }
 
-  /** Takes in the stored value of a job's record; `undefined` when the record was deleted. */
+  /** Applies a change of a job's record; `value` is the stored value, `undefined` if the record was deleted. */
   update(id: JobId, value: unknown): JobRecordUpdate {
     if (value === undefined) {
       this.end(id);
@@ -70,7 +70,7 @@
     this.active.delete(id);
     this.unreadable.delete(id);
     if (last) this.ended.set(id, last.spec);
-    // As many jobs may end together as are active, and their tasks are on machines for a while.
+    // All active jobs may end at about the same time, and their tasks remain on machines for a while.
     if (this.ended.size > Math.max(MIN_RECENTLY_ENDED, this.active.size))
       this.ended.delete(this.ended.keys().next().value as JobId);
   }
--- a/src/jobs/lookup-batcher.ts
+++ b/src/jobs/lookup-batcher.ts
@@ -1,7 +1,7 @@
 /**
- * Answers what a job's state is now, for many requests at once. No answer rests on a copy of the store that is older than
- * the query: otherwise a user could be told `pending` after another controller has answered `cancelled`. The queries of a
- * short interval share one request to the store.
+ * Answers queries for the current state of jobs in batches: the queries of a short interval share one request to the
+ * store. No answer is based on cached state that is older than the query; otherwise a user could be answered `pending`
+ * after another controller has answered `cancelled`.
  */
 import { RequestPriority } from '../store/rate-limiter.js';
 import type { Condition } from '../store/wire.js';
@@ -12,29 +12,32 @@
 import type { JobLookup, JobReader } from './lookup.js';
 import { finalStateKey, activeJobKey } from './codec.js';
 
-/** Queries that come within this time share one transaction, in milliseconds; at a low request rate more of them do. */
+/** Queries that arrive within this interval share a transaction; the interval is longer at a low request rate. */
 const BATCH_INTERVAL_MS = 60;
 const MAX_BATCH_INTERVAL_MS = 400;
-/** Fraction of this controller's request rate that batches may take. */
+/** Maximum fraction of this controller's request rate that batches use. */
 const REQUEST_FRACTION = 0.25;
-/** A user waits 2 s for an answer: whoever's turn would come later than this gets `unknown` at once. */
+/** Users wait 2 s for an answer: a query that would take longer than this is answered `unknown` at once. */
 const MAX_QUERY_WAIT_MS = 1500;
-/** A job that is not active needs two conditions, and a transaction may hold four conditions for each change. */
+/** A job that is not active needs two conditions, and a transaction may have four conditions per change. */
 const JOBS_PER_TRANSACTION_OP = 2;
-/** A job whose records keep changing under the batches is read by itself after this many. */
+/** A job whose record keeps changing while batches are checked is read individually after this many batches. */
 const MAX_BATCH_TRIES = 4;
 
-/** The requests that ask about one job, until a transaction is sent that answers them all. */
+/** All waiting requests for the state of one job. */
 interface Query {
   readonly id: JobId;
   readonly resolvers: ((lookup: JobLookup) => void)[];
-  /** When the last of them came. */
+  /** Arrival time of the latest request. */
   askedAt: SteadyMs;
-  /** Batches that could not answer it. */
+  /** Number of batches that could not answer the query. */
   tries: number;
 }
 
-/** Joins a query for a job that is queued already: the answer must be as fresh as the later one needs. */
+/**
+ * Adds a query to the queue, or merges it into the queued query for the same job. The merged query gets the later arrival
+ * time, so that its answer is fresh enough for both.
+ */
 function enqueue(queue: Map<JobId, Query>, query: Query): void {
   const queued = queue.get(query.id);
   if (!queued) queue.set(query.id, query);
@@ -50,9 +53,9 @@
 
 /** Collects queries about jobs and answers them in batches. */
 export class LookupBatcher {
-  /** About jobs that the store cache showed as active. */
+  /** Queries for jobs that were active in the store cache. */
   private readonly activeQueries = new Map<JobId, Query>();
-  /** About all other jobs. */
+  /** Queries for all other jobs. */
   private readonly otherQueries = new Map<JobId, Query>();
   private isBatchLoopRunning = false;
 
@@ -61,27 +64,28 @@
     private readonly activeJobs: ActiveJobs,
     private readonly finalStates: FinalStateCache,
     private readonly reader: JobReader,
-    /** Changes that one transaction may hold. */
+    /** Maximum number of changes per transaction. */
     private readonly maxTransactionOps: number,
-    /** Brings the store cache up to date; false: the store did not answer. */
+    /** Brings the store cache up to date; resolves to false if the store did not answer. */
     private readonly refresh: () => Promise<boolean>,
   ) {}
 
   /**
-   * What holds now. One refresh of the store cache answers all queries about active jobs that came before it; the other
-   * jobs share a transaction that only compares: if no record has been created, the cache is right about them.
+   * Returns the current state of a job. One refresh of the store cache answers all earlier queries for active jobs.
+   * Queries for other jobs share a transaction that only has conditions: if no record was created, the cache is
+   * correct.
    */
   lookUp(id: JobId): Promise<JobLookup> {
     const state = this.finalStates.get(id);
     if (state) return Promise.resolve({ kind: 'ended', state });
     if (!this.context.storeHealthy()) return Promise.resolve({ kind: 'unknown' });
     const queue = this.activeJobs.has(id) ? this.activeQueries : this.otherQueries;
-    // Decided on arrival: a queue of queries whose users have given up would keep every later answer from its user.
+    // Decided on arrival: otherwise a queue of queries whose users have timed out would delay every later answer too.
     if (queue === this.otherQueries && !queue.has(id) && this.expectedWait() > MAX_QUERY_WAIT_MS)
       return Promise.resolve({ kind: 'unknown' });
     return new Promise((resolve) => {
       enqueue(queue, { id, resolvers: [resolve], askedAt: this.context.clock.now(), tries: 0 });
-      // The answer comes through `resolve`; the loop ends with the last query.
+      // Not awaited: the answer is passed to `resolve`, and the loop ends after the last query.
       void this.runBatches();
     });
   }
@@ -94,7 +98,7 @@
     return millis(Math.max(BATCH_INTERVAL_MS, interval));
   }
 
-  /** In jobs. */
+  /** Maximum number of jobs per batch. */
   private get batchSize(): number {
     return this.maxTransactionOps * JOBS_PER_TRANSACTION_OP;
   }
@@ -109,7 +113,7 @@
     try {
       while (this.otherQueries.size + this.activeQueries.size > 0) await this.runBatch();
     } finally {
-      // A failed batch must not keep later queries waiting for ever.
+      // After a failed batch, the next query must be able to restart the loop.
       this.isBatchLoopRunning = false;
     }
   }
@@ -126,14 +130,14 @@
     for (const query of this.otherQueries.values()) {
       if (batch.length >= this.batchSize) break;
       this.otherQueries.delete(query.id);
-      // The store was slow: no user waits for this answer any more.
+      // The store was slow: the user has stopped waiting for this answer.
       if (this.context.clock.now() - query.askedAt > MAX_QUERY_WAIT_MS) respond(query, { kind: 'unknown' });
       else batch.push(query);
     }
     return batch;
   }
 
-  /** Needs no request if the watch has confirmed by now that nothing newer existed when the queries came. */
+  /** Needs no request if the watch has meanwhile confirmed that the cache was current when the queries arrived. */
   private async answerActive(batch: readonly Query[]): Promise<void> {
     if (batch.length === 0) return;
     this.activeQueries.clear();
@@ -149,14 +153,14 @@
     }
   }
 
-  /** `unknown`: the record is in the cache and cannot be read. */
+  /** Returns `unknown` if the cached record cannot be read. */
   private lookupFromCache(id: JobId): JobLookup {
     const record = this.activeJobs.get(id);
     if (record) return { kind: 'active', record };
     return { kind: this.context.storeCache.version(activeJobKey(id)) === NO_REVISION ? 'absent' : 'unknown' };
   }
 
-  /** True in the store as long as the cache is right about the job. */
+  /** Returns conditions that hold in the store as long as the cached state of the job is current. */
   private conditionsFor(id: JobId): Condition[] {
     const activeCondition = {
       key: activeJobKey(id),
@@ -167,7 +171,7 @@
       : [activeCondition];
   }
 
-  /** One transaction without changes: if its conditions hold, the cache was right when the store compared. */
+  /** Sends a transaction without changes: if its conditions hold, the cache was current when the store checked them. */
   private async checkBatch(batch: readonly Query[]): Promise<void> {
     const lookups = new Map(batch.map((query) => [query.id, this.lookupFromCache(query.id)] as const));
     const conditions = new Map<StoreKey, Condition>();
@@ -189,16 +193,16 @@
     await this.retryBatch(batch, new Set(result.failed));
   }
 
-  /** Reads the jobs whose keys have changed; the queries about the others join the next batch. */
+  /** Reads the jobs whose keys have changed; queries for the others are added to the next batch. */
   private async retryBatch(batch: readonly Query[], failed: ReadonlySet<StoreKey>): Promise<void> {
     const reads: Promise<void>[] = [];
     const answer = (query: Query, lookup: Promise<JobLookup>): void => {
-      reads.push(lookup.then((found) => respond(query, found)));
+      reads.push(lookup.then((result) => respond(query, result)));
     };
     for (const query of batch) {
       const { id } = query;
       query.tries += 1;
-      // A final state stays for good: the job's record need not be read.
+      // A final state is permanent: the job's record need not be read.
       if (failed.has(finalStateKey(id))) answer(query, this.reader.readFinal(id));
       else if (failed.has(activeJobKey(id)) || query.tries >= MAX_BATCH_TRIES)
         answer(query, this.reader.read(id));
--- a/src/jobs/lookup.ts
+++ b/src/jobs/lookup.ts
@@ -1,4 +1,4 @@
-/** Looks a single job up in the store. */
+/** Looks up a single job in the store. */
 import { RequestPriority } from '../store/rate-limiter.js';
 import type { JobId } from '../model/units.js';
 import type { StoreAccess } from './dependencies.js';
@@ -6,7 +6,7 @@
 import { decodeFinalState, decodeRecord, finalStateKey, activeJobKey } from './codec.js';
 import type { FinalState, JobRecord } from './record.js';
 
-/** What the store says of a job now. */
+/** The current state of a job in the store. */
 export type JobLookup =
   | { readonly kind: 'active'; readonly record: JobRecord }
   | { readonly kind: 'ended'; readonly state: FinalState }
@@ -14,14 +14,16 @@
   /** The store did not answer, or the job's record cannot be read. */
   | { readonly kind: 'unknown' };
 
-/** Reads job records and final states from the store, and passes on to the store cache what it finds. */
+/** Reads job records and final states from the store, and updates the caches with the results. */
 export class JobReader {
   constructor(
     private readonly access: StoreAccess,
     private readonly finalStates: FinalStateCache,
   ) {}
 
-  /** Reads the record, then the final state: a job that ends in between is found by the second read. */
+  /**
+   * Reads the record first and then the final state, so that a job that ends in between is found by the second read.
+   */
   async read(id: JobId): Promise<JobLookup> {
     const { store, storeCache } = this.access;
     const activeRead = await store.get(activeJobKey(id), RequestPriority.submission);
@@ -36,7 +38,7 @@
     return this.readFinal(id);
   }
 
-  /** Reads the final state only: `absent` does not say that the job is not active. */
+  /** Reads only the final state. `absent` does not imply that the job is not active. */
   async readFinal(id: JobId): Promise<JobLookup> {
     const finalRead = await this.access.store.get(finalStateKey(id), RequestPriority.submission);
     if (finalRead.kind === 'failed') return { kind: 'unknown' };
--- a/src/jobs/misassigned-jobs.ts
+++ b/src/jobs/misassigned-jobs.ts
@@ -1,28 +1,28 @@
-/** Follows which active jobs have assignments that make no sense, and says so once for each. */
+/** Tracks active jobs with invalid task assignments, and logs each of them once. */
 import type { Log } from '../logging/log.js';
 import type { JobId } from '../model/units.js';
-import { assignmentProblem, type KnownPlaces } from './assignment-check.js';
+import { assignmentProblem, type Topology } from './assignment-check.js';
 import type { JobRecord } from './record.js';
 
-/** Active jobs of which no task may be moved. */
+/** Active jobs with invalid assignments, whose tasks must not be moved to other shards. */
 export class MisassignedJobs {
   private readonly misassigned = new Set<JobId>();
 
   constructor(
-    private readonly places: KnownPlaces,
+    private readonly topology: Topology,
     private readonly log: Pick<Log, 'error'>,
   ) {}
 
-  /** A job's record has changed; null: the job has ended. */
+  /** Checks a job's record after a change; `record` is null if the job has ended. */
   update(id: JobId, record: JobRecord | null): void {
-    const problem = record && assignmentProblem(record, this.places);
+    const problem = record && assignmentProblem(record, this.topology);
     if (!problem) {
       this.misassigned.delete(id);
       return;
     }
     if (this.misassigned.has(id)) return;
     this.misassigned.add(id);
-    this.log.error({ job: id, problem }, 'assignments of the job make no sense, its tasks are not moved');
+    this.log.error({ job: id, problem }, 'job has invalid task assignments, its tasks are not moved');
   }
 
   has(id: JobId): boolean {
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -1,6 +1,6 @@
 /**
- * Writes finished tasks into the job records, and ends a job with its last task. Relies on the workers to keep a task's
- * result until it is written: a write that fails or waits loses nothing.
+ * Records finished tasks in the job records, and ends a job with its last task. Workers keep a task's result until it
+ * is recorded, so no result is lost if a write fails or is delayed.
  */
 import type { Log } from '../logging/log.js';
 import type { Shard, ShardJob } from '../shards/model.js';
@@ -16,16 +16,16 @@
 import { storedSizeBytes, withFinishedTasks } from './stored-size.js';
 import { isComplete, type JobRecord } from './record.js';
 
-/** Between two writes of a job's progress, in milliseconds; a shard's last task of the job is written at once. */
+/** Minimum interval between two writes of a job's progress; a shard's last task of the job is written at once. */
 const PROGRESS_INTERVAL_MS = 1500;
-/** Fraction of this controller's changes a second that progress may take. */
+/** Maximum fraction of this controller's write rate that progress uses. */
 const PROGRESS_WRITE_FRACTION = 0.3;
-/** Writes that may be open at once. */
+/** Maximum number of concurrent writes. */
 const MAX_OPEN_WRITES = 4;
-/** Times of writes that are kept; all are dropped beyond it, which costs at most one early write a job. */
+/** Maximum number of recorded write times; beyond it all are dropped, which costs at most one early write per job. */
 const MAX_WRITE_TIMES = 5000;
 
-/** What the writer uses of the controller. */
+/** The parts of the controller that the writer uses. */
 export interface ProgressContext extends StoreAccess {
   readonly clock: Clock;
   readonly log: Log;
@@ -37,37 +37,37 @@
   readonly requestCycle: () => void;
 }
 
-/** Finished tasks of one job that are to be written. */
+/** The finished tasks of one job that have to be written. */
 interface PendingWrite {
   readonly id: JobId;
   readonly record: JobRecord;
   readonly finished: RangeSet;
-  /** Nothing of the job is left to do on this controller's shards. */
-  readonly isLast: boolean;
+  /** Whether no task of the job remains on this controller's shards after the write. */
+  readonly isLastLocalWrite: boolean;
 }
 
-/** Collects finished tasks of the shards led here, and writes them job by job. */
+/** Collects the finished tasks of the shards led here, and writes them to the job records. */
 export class ProgressWriter {
   private readonly writesInProgress = new Set<JobId>();
-  /** By job, when its progress was written last. */
+  /** Time of the last write of each job's progress. */
   private readonly writeTimes = new Map<JobId, SteadyMs>();
 
   constructor(
     private readonly context: ProgressContext,
-    /** A job has ended: the store has confirmed it. */
+    /** Called after the store has confirmed that a job has ended. */
     private readonly onJobEnded: (id: JobId) => void,
   ) {}
 
-  /** Starts the writes that are due, jobs with their last tasks first. */
+  /** Starts the writes that are due; jobs without remaining local tasks come first. */
   tick(): void {
     const now = this.context.clock.now();
     const pendingWrites = [...this.collectPendingWrites(now).values()].sort(
-      (a, b) => Number(b.isLast) - Number(a.isLast),
+      (a, b) => Number(b.isLastLocalWrite) - Number(a.isLastLocalWrite),
     );
     for (const pending of pendingWrites) {
       if (this.writesInProgress.size >= MAX_OPEN_WRITES) return;
       this.writesInProgress.add(pending.id);
-      // Nobody waits for the write: what it leaves unwritten is collected again by a later tick.
+      // Not awaited: tasks that the write does not record are collected again by a later tick.
       void this.write(pending).finally(() => this.writesInProgress.delete(pending.id));
     }
   }
@@ -83,9 +83,9 @@
         if (this.context.activeJobs.isOutdated(job.id)) continue;
         const finished = pendingWrites.get(job.id)?.finished ?? RangeSet.empty();
         finished.addAll(job.finished);
-        const isLast = this.isLast(job, finished, record);
-        if (!isLast && this.wasJustWritten(job.id, now)) continue;
-        pendingWrites.set(job.id, { id: job.id, record, finished, isLast });
+        const isLastLocalWrite = this.isLastLocalWrite(job, finished, record);
+        if (!isLastLocalWrite && this.wasJustWritten(job.id, now)) continue;
+        pendingWrites.set(job.id, { id: job.id, record, finished, isLastLocalWrite });
       }
     }
     return pendingWrites;
@@ -96,7 +96,7 @@
     return writtenAt !== undefined && now - writtenAt < this.writeIntervalMs();
   }
 
-  /** Between two writes of one job, in milliseconds: all jobs share the changes a second meant for progress. */
+  /** Returns the minimum interval between two writes of one job: all jobs share the write rate for progress. */
   private writeIntervalMs(): number {
     let jobs = 0;
     for (const shard of this.context.shards.values()) jobs += shard.jobsWithUnrecordedEnds.size;
@@ -106,8 +106,8 @@
     );
   }
 
-  /** Nothing of the job is left to do here: the job may end with this write, or another shard's may end it. */
-  private isLast(job: ShardJob, finished: RangeSet, record: JobRecord): boolean {
+  /** Returns whether no task of the job remains here: this write, or one for another shard, may end the job. */
+  private isLastLocalWrite(job: ShardJob, finished: RangeSet, record: JobRecord): boolean {
     const pending = [job.waiting, job.unaccounted, job.unconfirmed, job.handingOver];
     if (pending.some((tasks) => !tasks.isEmpty)) return false;
     const unfinished = RangeSet.of(
@@ -120,21 +120,22 @@
     return unfinished.isEmpty;
   }
 
-  /** The job's end is the same transaction that writes its last task. */
-  private async write({ id, record: current, finished, isLast }: PendingWrite): Promise<void> {
+  /** Writes progress. The transaction that records a job's last task also ends the job. */
+  private async write({ id, record: current, finished, isLastLocalWrite }: PendingWrite): Promise<void> {
     const { store, storeCache, settings, clock, log } = this.context;
     const key = activeJobKey(id);
     const version = storeCache.version(key);
     const record = withFinishedTasks(current, finished, settings.maxValueBytes);
     const complete = isComplete(record);
     const value = encodeRecord(record);
-    // Stored under a larger limit: the record stays as it is until the ranges of its finished tasks have joined.
+    // The record was stored under a larger size limit: it is not written until its ranges of finished tasks have
+    // merged.
     if (!complete && storedSizeBytes(record) > settings.maxValueBytes) {
       this.writeTimes.set(id, clock.now());
       return;
     }
     const changes: Change[] = complete ? endJobChanges(id, 'done') : [{ op: 'put', key, value }];
-    const priority = isLast ? RequestPriority.finalState : RequestPriority.progress;
+    const priority = isLastLocalWrite ? RequestPriority.finalState : RequestPriority.progress;
     const result = await store.compareAndSwap([{ key, version }], changes, priority);
     this.rememberWrite(id, clock.now());
     if (result.kind !== 'done') return;
--- a/src/jobs/record.ts
+++ b/src/jobs/record.ts
@@ -1,9 +1,11 @@
-/** What is known of an active job, and how its tasks are divided among the shards. Pure; `codec.ts` maps the record. */
+/** The record of an active job, with the assignment of its tasks to shards. `codec.ts` encodes the record. */
 import type { ShardId, Revision, ClusterMs, ZoneId } from '../model/units.js';
 import { RangeSet } from '../model/ranges.js';
 import type { JobSpec } from './spec.js';
 
-/** Tasks [from, to) are assigned to one shard; `zone` is where a constrained job's tasks must be, null: anywhere. */
+/**
+ * Assigns the tasks [from, to) to a shard. `zone` is the zone in which a constrained job's tasks must run; null: any.
+ */
 export interface Assignment {
   readonly from: number;
   readonly to: number;
@@ -11,32 +13,32 @@
   readonly zone: ZoneId | null;
 }
 
-/** A zone without machines: tasks of a spread job that no zone may take wait in it. */
+/** A zone without machines, in which tasks of a spread job wait while no real zone may take them. */
 export const NO_ZONE = '' as ZoneId;
 
-/** What the store holds of an active job. */
+/** The stored state of an active job. */
 export interface JobRecord {
   readonly spec: JobSpec;
-  /** The shard whose leader accepted the job and hands its tasks to other shards. */
+  /** The shard whose leader accepted the job and transfers its tasks to other shards. */
   readonly homeShard: ShardId;
-  /** The store's revision known when it was accepted: the order in which jobs came, near enough. */
+  /** The store revision known at acceptance; orders jobs approximately by arrival. */
   readonly acceptedRevision: Revision;
-  /** When it was accepted. null: by an earlier version, which did not record it. */
+  /** Time of acceptance; null if the job was accepted by an earlier version, which did not record it. */
   readonly acceptedAt: ClusterMs | null;
-  /** Which shard each task is assigned to. */
+  /** Assignment of each task to a shard. */
   readonly assignments: readonly Assignment[];
-  /** Finished tasks. */
+  /** Indices of the finished tasks. */
   readonly done: RangeSet;
 }
 
-/** How a job may end; it never changes again. */
+/** How a job ended; never changes once it is stored. */
 export type FinalState = 'done' | 'cancelled';
 
-/** All tasks are finished; a service never is. */
+/** Returns whether all tasks are finished; never true for a service. */
 export const isComplete = (record: JobRecord): boolean =>
   record.spec.kind !== 'service' && record.done.size === record.spec.tasks;
 
-/** Assigns the tasks in `moved` to another shard (and zone); neighbouring ranges that agree are joined. */
+/** Assigns the tasks in `moved` to another shard and zone; adjacent ranges with the same assignment are merged. */
 export function reassign(
   record: JobRecord,
   moved: RangeSet,
@@ -65,12 +67,12 @@
   return { ...record, assignments: reassigned };
 }
 
-/** The tasks assigned to a shard. */
+/** Returns the tasks assigned to a shard. */
 export function assignedTo(record: JobRecord, shard: ShardId): RangeSet {
   return RangeSet.of(record.assignments.filter((a) => a.shard === shard).map((a) => [a.from, a.to] as const));
 }
 
-/** The zone that a constrained job's task must be in; null: any. */
+/** Returns the zone in which a constrained job's task must run; null: any. */
 export function requiredZoneOf(record: JobRecord, index: number): ZoneId | null {
   return record.assignments.find((a) => a.from <= index && index < a.to)?.zone ?? null;
 }
--- a/src/jobs/responses.ts
+++ b/src/jobs/responses.ts
@@ -1,30 +1,30 @@
 /**
- * What a request about a job came to, and the one place that turns it into the protocol's answer. The ways of a request
- * (submission, status, cancellation) return outcomes and know no status code.
+ * Outcomes of requests about jobs, and their mapping to HTTP responses. Submission, status and cancellation return
+ * outcomes; only this module uses status codes.
  */
 import type { HttpResponse } from '../http/server.js';
 import { millis, type JobId, type Millis } from '../model/units.js';
 import { encodeAccepted, encodeStatus, type JobStatus } from './wire.js';
 
-/** A submission that is refused for what it asks: it will be refused again. */
+/** A submission that is refused for its contents; repeating it gives the same result. */
 export type SubmissionRefusal =
-  /** The body cannot be read, or is too large to be stored. */
+  /** The body cannot be decoded, or is too large to be stored. */
   | { readonly kind: 'malformed'; readonly reason: string }
   /** The job can never run in this deployment. */
   | { readonly kind: 'inadmissible'; readonly reason: string };
 
-/** Nothing certain can be said now; the user may try again. */
+/** The request cannot be answered reliably now; the user may retry. */
 export interface Unavailable {
   readonly kind: 'unavailable';
-  /** How long a request would wait for its turn now. */
+  /** How long a request would currently be delayed by the rate limits. */
   readonly expectedWait: Millis;
 }
 
-/** What a request came to. */
+/** The outcome of a request. */
 export type RequestOutcome =
   | SubmissionRefusal
   | Unavailable
-  /** The job has been created by this request. */
+  /** This request has created the job. */
   | { readonly kind: 'created'; readonly id: JobId }
   /** The job exists or has ended: the answer to a repeated submission, and to a cancellation. */
   | { readonly kind: 'existing'; readonly id: JobId; readonly state: JobStatus['state'] }
@@ -32,10 +32,10 @@
   /** There is no such job. */
   | { readonly kind: 'notFound' };
 
-/** The store did not answer: nothing is known about the length of the wait. */
+/** The store did not answer, so the length of the wait is unknown. */
 export const UNAVAILABLE: Unavailable = { kind: 'unavailable', expectedWait: millis(0) };
 
-/** There is no such job. */
+/** Outcome for a job that does not exist. */
 export const NOT_FOUND = { kind: 'notFound' } as const satisfies RequestOutcome;
 
 const HttpStatus = {
@@ -50,13 +50,13 @@
 const MIN_RETRY_AFTER_S = 1;
 const MAX_RETRY_AFTER_S = 30;
 
-/** In whole seconds, as the header takes them. */
+/** Converts to whole seconds, as the `Retry-After` header requires. */
 function retryAfterS(expectedWait: Millis): number {
   const waitS = Math.ceil(expectedWait / 1000);
   return Math.min(MAX_RETRY_AFTER_S, Math.max(MIN_RETRY_AFTER_S, waitS));
 }
 
-/** The protocol's answer to a request. */
+/** Returns the HTTP response for an outcome. */
 export function responseTo(outcome: RequestOutcome): HttpResponse {
   switch (outcome.kind) {
     case 'created':
--- a/src/jobs/service.ts
+++ b/src/jobs/service.ts
@@ -1,6 +1,6 @@
 /**
- * Users' requests about jobs: submit, status, cancel. No answer rests on a copy of the store that may be older than the
- * request: a user who was told of a job, or of its end, never hears otherwise from another controller.
+ * Handles users' requests about jobs: submission, status and cancellation. No answer is based on cached state that may
+ * be older than the request, so that an answer never contradicts an earlier answer of another controller.
  */
 import type { HttpResponse } from '../http/server.js';
 import type { JobId, Revision } from '../model/units.js';
@@ -16,10 +16,10 @@
 import { JobSubmission, type SubmissionContext } from './submission.js';
 import { isJobId } from './wire.js';
 
-/** What the service uses of the controller. */
+/** The parts of the controller that the service uses. */
 export interface JobServiceContext extends SubmissionContext, Timers {
   readonly activeJobs: ActiveJobs;
-  /** Specs of recently ended jobs. */
+  /** Specifications of recently ended jobs. */
   readonly recentlyEndedJobs: Pick<ReadonlyMap<JobId, JobSpec>, 'get'>;
 }
 
@@ -31,8 +31,8 @@
   private readonly cancellation: JobCancellation;
 
   /**
-   * `assign` says where a new job's tasks go first; `refresh` brings the store cache up to date, or resolves false when
-   * the store did not answer; `announceCancelled` tells the peers of a committed cancellation.
+   * `assign` returns the initial assignments of a new job's tasks; `refresh` brings the store cache up to date, or
+   * resolves to false if the store did not answer; `announceCancelled` notifies the peers of a committed cancellation.
    */
   constructor(
     private readonly context: JobServiceContext,
@@ -61,7 +61,7 @@
     );
   }
 
-  /** Takes a submission, given as the request's body. */
+  /** Handles a submission; `body` is the body of the request. */
   submit(body: Buffer): Promise<HttpResponse> {
     return this.submission.submit(body);
   }
@@ -82,7 +82,7 @@
       case 'active':
         return { kind: 'status', status: activeStatus(id, lookup.record, this.context) };
       case 'ended': {
-        // A final state keeps no count: of an ended job it is known only while its spec is remembered.
+        // A final state has no task count: the count is known only while the specification of the ended job is cached.
         const done = lookup.state === 'done' ? (this.context.recentlyEndedJobs.get(id)?.tasks ?? 0) : 0;
         return { kind: 'status', status: { id, state: lookup.state, done, running: 0 } };
       }
@@ -94,7 +94,7 @@
     return isJobId(id) ? this.cancellation.cancel(id) : responseTo(NOT_FOUND);
   }
 
-  /** A job has ended, as the store has confirmed. */
+  /** Caches the final state of a job whose end the store has confirmed. */
   rememberFinal(id: JobId, state: FinalState): void {
     this.finalStates.remember(id, state);
   }
--- a/src/jobs/spec.ts
+++ b/src/jobs/spec.ts
@@ -1,51 +1,51 @@
-/** What a user submitted, checked and in the terms of the code. `wire.ts` maps it from the protocol's words. */
+/** The specification of a job, as submitted by a user and validated. `wire.ts` decodes it from the protocol. */
 import type { ImageId, JobId, Seconds, TeamId, InstanceTypeId, ZoneId } from '../model/units.js';
 
-/** How urgent a job is: lower numbers go first. */
+/** Priorities of jobs; lower numbers are scheduled first. */
 export const Priority = { critical: 0, urgent: 1, standard: 2, bestEffort: 3 } as const;
 /** One of the values of `Priority`. */
 export type Priority = (typeof Priority)[keyof typeof Priority];
 
 /**
- * An array's tasks complete, each by itself; a gang's complete only when all run together; a service's replicas run until
- * the job is cancelled.
+ * `array`: its tasks run and complete independently. `gang`: its tasks run at the same time and complete together.
+ * `service`: its tasks are replicas that run until the job is cancelled.
  */
 export type JobKind = 'array' | 'gang' | 'service';
 
-/** A valid submission. */
+/** A validated submission. */
 export interface JobSpec {
   readonly id: JobId;
-  /** Jobs of one class are alike: their run times are learned together. */
+  /** Jobs of one class are assumed to be similar: their run times are estimated together. */
   readonly jobClass: string;
   readonly team: TeamId;
   readonly kind: JobKind;
   readonly priority: Priority;
   /** Number of tasks. */
   readonly tasks: number;
-  /** Of one task, like the other amounts. */
+  /** CPUs of one task; the other resources are per task, too. */
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** Instance types that its tasks may run on; null: any. */
+  /** Instance types on which its tasks may run; null: any. */
   readonly types: readonly InstanceTypeId[] | null;
-  /** Where every task must be; null: any zone. */
+  /** The zone in which all tasks must run; null: any. */
   readonly zone: ZoneId | null;
-  /** All tasks in one zone, whichever. */
+  /** All tasks must run in the same zone, which may be any zone. */
   readonly oneZone: boolean;
-  /** At most half of the tasks, rounded up, in one zone. */
+  /** At most half of the tasks, rounded up, may run in one zone. */
   readonly spread: boolean;
   /** Spot instances are allowed. */
   readonly spot: boolean;
   readonly image: ImageId;
   readonly imageGb: number;
-  /** Run time of a task as its owner expects it, without fetching the image; often wrong. */
+  /** The user's estimate of a task's run time, without fetching the image; often wrong. */
   readonly estimateS: Seconds;
-  /** A running task writes a checkpoint after this much progress; 0: it never does. */
+  /** A running task writes a checkpoint after each interval of this length; 0: never. */
   readonly checkpointIntervalS: Seconds;
-  /** How long a task needs to write a checkpoint when it is told to stop. */
+  /** Time that a task needs to write a checkpoint when it is stopped. */
   readonly checkpointDurationS: Seconds;
-  /** When the job should be done, counted from its submission; null: no deadline. */
+  /** Time from submission by which the job should be done; null: no deadline. */
   readonly deadlineS: Seconds | null;
-  /** What a later version stored beside these fields: kept when the record is written again. */
+  /** Fields stored by a later version, which are kept when the record is written again. */
   readonly unknownFields?: Readonly<Record<string, unknown>>;
 }
--- a/src/jobs/status.ts
+++ b/src/jobs/status.ts
@@ -1,29 +1,29 @@
-/** How far an active job is, counted from its record, the shards led here, and what peers announced last. */
+/** Computes the status of an active job from its record, the shards led here, and the peers' last announcements. */
 import type { JobId } from '../model/units.js';
 import type { JobRecord } from './record.js';
 import type { JobStatus } from './wire.js';
 
-/** The tasks that one shard of this controller knows of. */
+/** Task state of a shard led by this controller. */
 interface ShardTasks {
-  /** By job: tasks that are done and not yet in the job's record. */
+  /** Per job, the finished tasks that are not in the job's record yet. */
   readonly jobs: { get(id: JobId): { readonly finished: { readonly size: number } } | undefined };
-  /** By job: its tasks that are allocated to machines. */
+  /** Per job, its tasks that are allocated to machines. */
   readonly allocationsByJob: { get(id: JobId): Iterable<{ readonly phase: string }> | undefined };
 }
 
-/** What one peer announced last. */
+/** The last announcement of a peer. */
 interface PeerTasks {
-  /** Running tasks by job. */
+  /** Number of running tasks per job. */
   readonly runningTasks: { get(id: JobId): number | undefined };
 }
 
-/** Where the tasks of active jobs are counted. */
+/** The sources from which the tasks of active jobs are counted. */
 export interface TaskSources {
   readonly shards: { values(): Iterable<ShardTasks> };
   readonly peers: { values(): Iterable<PeerTasks> };
 }
 
-/** The status of an active job. Numbers from peers are hints: the sum never exceeds the job's tasks. */
+/** Returns the status of an active job. Peers' counts may be outdated, so the sum is limited to the job's tasks. */
 export function activeStatus(id: JobId, record: JobRecord, sources: TaskSources): JobStatus {
   let running = 0;
   let done = record.done.size;
--- a/src/jobs/stored-size.ts
+++ b/src/jobs/stored-size.ts
@@ -1,29 +1,29 @@
-/** Keeps job records within the size that the store allows for a value. */
+/** Keeps job records within the store's size limit for a value. */
 import type { RangeSet } from '../model/ranges.js';
 import { encodeRecord } from './codec.js';
 import type { JobRecord } from './record.js';
 
-/** Size of a record's value in bytes, as the store counts it. */
+/** Returns the size of a record's value in bytes, as the store computes it. */
 export const storedSizeBytes = (record: JobRecord): number =>
   Buffer.byteLength(JSON.stringify(encodeRecord(record)));
 
 /**
- * The record with more tasks done, within `maxBytes`. Of scattered ranges that do not fit, the largest are taken in; the
- * others are left for later, and their results stay with the workers.
+ * Returns the record with more tasks marked as done, within `maxBytes`. If the ranges are too scattered to fit, the
+ * largest are added first; the others are written later, and until then their results stay on the workers.
  */
 export function withFinishedTasks(record: JobRecord, finished: RangeSet, maxBytes: number): JobRecord {
-  const all = record.done.clone();
-  all.addAll(finished);
-  const withAll = { ...record, done: all };
-  if (storedSizeBytes(withAll) <= maxBytes) return withAll;
+  const allDone = record.done.clone();
+  allDone.addAll(finished);
+  const fullRecord = { ...record, done: allDone };
+  if (storedSizeBytes(fullRecord) <= maxBytes) return fullRecord;
   const done = record.done.clone();
   const largestFirst = [...finished.ranges()].sort(
-    ([fromA, toA], [fromB, toB]) => toB - fromB - (toA - fromA),
+    ([startA, endA], [startB, endB]) => endB - startB - (endA - startA),
   );
-  for (const [from, to] of largestFirst) {
+  for (const [start, end] of largestFirst) {
     const candidate = done.clone();
-    candidate.addRange(from, to);
-    if (storedSizeBytes({ ...record, done: candidate }) <= maxBytes) done.addRange(from, to);
+    candidate.addRange(start, end);
+    if (storedSizeBytes({ ...record, done: candidate }) <= maxBytes) done.addRange(start, end);
   }
   return { ...record, done };
 }
--- a/src/jobs/submission.ts
+++ b/src/jobs/submission.ts
@@ -1,7 +1,7 @@
 /**
- * Takes submissions: validates, looks for an existing job of that id, decides admission, and creates the job. Relies on
- * the store to refuse a second job of an id: a job is created on condition that neither its record nor its final state
- * exists.
+ * Handles submissions: validates the body, looks for an existing job with the same id, decides admission, and creates
+ * the job. The store prevents duplicates: a job is created on the condition that neither a record nor a final state
+ * exists for its id.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import type { HttpResponse } from '../http/server.js';
@@ -23,13 +23,13 @@
 import { activeStatus, type TaskSources } from './status.js';
 import { decodeSubmission } from './wire.js';
 
-/** What a submission is decided by, besides the store. */
+/** The parts of the controller that decide about a submission. */
 export interface SubmissionContext extends JobCreationContext, TaskSources {
   readonly settings: Settings;
-  /** The cloud's instance types; empty while they are not known yet. */
+  /** The cloud's instance types; empty until they are known. */
   readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
   readonly clock: Clock;
-  /** The time that the controllers count together. */
+  /** The clock that all controllers share. */
   readonly clusterClock: { now(now: SteadyMs): ClusterMs };
   readonly log: Log;
   readonly shards: ReadonlyMap<ShardId, Shard>;
@@ -42,11 +42,11 @@
     private readonly activeJobs: ActiveJobs,
     private readonly finalStates: FinalStateCache,
     private readonly lookups: LookupBatcher,
-    /** Where a new job's tasks go first. */
+    /** Returns the initial assignments of a new job's tasks to shards. */
     private readonly assign: (spec: JobSpec) => Assignment[],
   ) {}
 
-  /** 201 once the job is committed, 200 for a job that exists, and otherwise why it was not taken. */
+  /** Answers 201 once the job is committed, 200 if the job exists, and otherwise an error with the reason. */
   async submit(body: Buffer): Promise<HttpResponse> {
     const submission = decodeSubmission(body);
     if (submission.kind === 'malformed')
@@ -61,13 +61,15 @@
     return this.create(spec);
   }
 
-  /** Before the active jobs and the instance types are known, an admissible job could be refused. */
+  /** Returns false until active jobs and instance types are known: an admissible job could be refused before. */
   private canDecide(): boolean {
     const { storeCache, types } = this.context;
     return storeCache.loaded && types.size > 0 && this.context.storeHealthy();
   }
 
-  /** A repeated submission of an existing job is never refused, whatever its body says now. */
+  /**
+   * Refuses a submission, unless the job exists: a repeated submission is never refused, whatever its body contains.
+   */
   private async refuse(id: JobId | null, refusal: SubmissionRefusal): Promise<HttpResponse> {
     if (id === null) return responseTo(refusal);
     const lookup = await this.lookups.lookUp(id);
@@ -79,7 +81,7 @@
     return responseTo(this.existingOutcome(id, lookup));
   }
 
-  /** `absent` contradicts what was seen of the job just before: only a new request can tell. */
+  /** `absent` contradicts the earlier evidence that the job exists, so the user has to send a new request. */
   private existingOutcome(id: JobId, lookup: JobLookup): RequestOutcome {
     if (lookup.kind === 'unknown' || lookup.kind === 'absent') return UNAVAILABLE;
     if (lookup.kind === 'ended') return { kind: 'existing', id, state: lookup.state };
@@ -98,7 +100,7 @@
     };
   }
 
-  /** One write, on condition that no job of that id is active or has ended. */
+  /** Creates the job with one write, on the condition that no job with this id is active or has ended. */
   private async create(spec: JobSpec): Promise<HttpResponse> {
     const { store, settings, log } = this.context;
     const record = this.newRecord(spec);
@@ -107,8 +109,8 @@
     const result = await createJobRecord(this.context, record);
     if (result.kind === 'conflict') return this.existingJob(spec.id);
     if (result.kind !== 'done') return responseTo({ kind: 'unavailable', expectedWait: store.submitWait });
-    // The answer took so long that another controller has confirmed the job's end meanwhile: 'pending' would contradict
-    // it.
+    // The store's answer took so long that another controller has already confirmed the job's end to a user; answering
+    // 'pending' would contradict it.
     if (!this.activeJobs.has(spec.id)) return this.existingJob(spec.id);
     log.info({ job: spec.id, team: spec.team, tasks: spec.tasks, kind: spec.kind }, 'job accepted');
     return responseTo({ kind: 'created', id: spec.id });
--- a/src/jobs/wire.ts
+++ b/src/jobs/wire.ts
@@ -1,18 +1,18 @@
-/** Maps users' messages between the protocol's words and the code's terms, and checks what comes in. */
+/** Encodes and decodes the messages of the user protocol, and validates submissions. */
 import * as v from 'valibot';
 import type { ImageId, JobId, Seconds, TeamId, InstanceTypeId, ZoneId } from '../model/units.js';
 import { Priority, type JobKind, type JobSpec } from './spec.js';
 
-/** Tasks of one job. */
+/** Maximum number of tasks of a job. */
 const MAX_TASKS = 100_000;
 const JOB_ID_PATTERN = /^req-[0-9A-Za-z_-]{1,64}$/;
 
-/** Instance types that one submission may name. */
+/** Maximum number of instance types in a submission. */
 const MAX_TYPES = 64;
-/** In characters. */
+/** In UTF-16 code units. */
 const MAX_NAME_LENGTH = 200;
 
-/** Of any resource, size or time. */
+/** Upper bound for every resource amount, size and duration. */
 const MAX_AMOUNT = 1e9;
 
 const EXPECTED_AMOUNT = `expected a number from 0 to ${MAX_AMOUNT}`;
@@ -22,7 +22,7 @@
 const amount = amountSchema(EXPECTED_AMOUNT);
 const wholeAmount = v.pipe(amountSchema(EXPECTED_WHOLE_AMOUNT), v.integer(EXPECTED_WHOLE_AMOUNT));
 const name = v.pipe(v.string(), v.minLength(1), v.maxLength(MAX_NAME_LENGTH));
-/** Absent and null mean the same. */
+/** An optional field, for which null is equivalent to being absent. */
 const optional = <S extends v.GenericSchema>(schema: S) => v.optional(v.nullable(schema), null);
 
 const submissionSchema = v.object({
@@ -50,7 +50,7 @@
 
 type SentSubmission = v.InferOutput<typeof submissionSchema>;
 
-/** What users call the fields of a job that a refusal is about. */
+/** The protocol's names of the fields that the reason of a refusal may mention. */
 export const FIELDS = {
   cpus: 'vcpus',
   gpus: 'cards',
@@ -72,22 +72,22 @@
   best_effort: Priority.bestEffort,
 } as const satisfies Record<SentSubmission['rank'], Priority>;
 
-/** A submission, as far as it could be read. */
+/** The result of decoding a submission. */
 export type Submission =
   | { readonly kind: 'spec'; readonly spec: JobSpec }
-  /** Malformed; the id is given when at least that could be read. */
+  /** The body is malformed; `id` is set if it could be read nevertheless. */
   | { readonly kind: 'malformed'; readonly error: string; readonly id: JobId | null };
 
-/** Whether the text has the form of a job's id. */
+/** Returns whether the text is a valid job id. */
 export const isJobId = (text: string): text is JobId => JOB_ID_PATTERN.test(text);
 
-/** The id in a body that may be malformed otherwise; null: it has none. */
+/** Reads the job id of a body that may be malformed. Returns null if the id is missing or invalid. */
 function readJobId(data: unknown): JobId | null {
   const id = typeof data === 'object' && data !== null ? (data as Record<string, unknown>)['uid'] : null;
   return typeof id === 'string' && isJobId(id) ? id : null;
 }
 
-/** Reads and checks the body of a submission. */
+/** Decodes and validates the body of a submission. */
 export function decodeSubmission(body: Buffer): Submission {
   let data: unknown;
   try {
@@ -137,10 +137,10 @@
   readonly running: number;
 }
 
-/** Body of the answers to submissions and cancellations. */
+/** Encodes the body of the answers to submissions and cancellations. */
 export const encodeAccepted = (id: JobId, state: JobStatus['state']): unknown => ({ uid: id, status: state });
 
-/** Body of the answer to a status request. */
+/** Encodes the body of the answer to a status request. */
 export const encodeStatus = (status: JobStatus): unknown => ({
   uid: status.id,
   status: status.state,
--- a/src/workers/release-rules.ts
+++ b/src/workers/release-rules.ts
@@ -21,7 +21,8 @@
 export type StatusChannel = 'heartbeat' | 'direct';
 
 /**
- * Returns whether a status is older than the last one applied to the machine, by agent epoch and then sequence number.
+ * Returns whether a status is older than the last one applied to the machine, by agent epoch and then sequence number,
+ * or of an agent epoch whose lease has expired.
  *
  * Prevents: a network fault delays a heartbeat for minutes; a task starts meanwhile; the delayed heartbeat, written
  * before that start, does not list the task; the task is released and started a second time elsewhere. Also prevents: a
