--- a/src/jobs/cluster-clock.ts
+++ b/src/jobs/cluster-clock.ts
@@ -52,8 +52,8 @@
 }
 
 /**
- * Writes the count to the store if this controller is the first live controller of the settings, on the condition that no
- * other controller has written it meanwhile.
+ * Writes the count to the store if this controller is the first live controller of the settings, on the condition that
+ * no other controller has written it meanwhile.
  */
 export class ClusterClockWriter {
   /** Time of this process's last write; null: none yet. */
--- a/src/jobs/lookup-batcher.ts
+++ b/src/jobs/lookup-batcher.ts
@@ -35,8 +35,8 @@
 }
 
 /**
- * Adds a query to the queue, or merges it into the queued query for the same job. The merged query gets the later arrival
- * time, so that its answer is fresh enough for both.
+ * Adds a query to the queue, or merges it into the queued query for the same job. The merged query gets the later
+ * arrival time, so that its answer is fresh enough for both.
  */
 function enqueue(queue: Map<JobId, Query>, query: Query): void {
   const queued = queue.get(query.id);
