--- a/test/workers/direct-commands.test.ts
+++ b/test/workers/direct-commands.test.ts
@@ -1,4 +1,4 @@
-/** What the outcome of a direct request to a worker leaves behind. */
+/** Tests how the outcome of a direct request to a worker changes the state of its machine and allocations. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -40,7 +40,7 @@
     super();
   }
 
-  /** Sends what is due, and waits for its outcome to be applied. */
+  /** Sends the commands that are due, and waits until their outcome has been applied. */
   async dispatch(): Promise<void> {
     this.directCommands.dispatch(this.shard);
     await new Promise((resolve) => setImmediate(resolve));
@@ -49,7 +49,7 @@
 
 const NO_REPLY: CallOutcome = { kind: 'unknown' };
 
-test('a launch that may have arrived without a reply is unacknowledged, and its machine unreachable', async () => {
+test('a launch without a reply is unacknowledged, and its machine is marked as unreachable', async () => {
   const fixture = new DirectCommandsFixture(NO_REPLY);
   const allocation = fixture.addAllocation({ launchPending: true });
   await fixture.dispatch();
@@ -64,11 +64,11 @@
   assert.equal(
     fixture.receiveHeartbeat('heartbeat', ''),
     'applied; allocated 0@5 waiting 1',
-    'it may still be executed',
+    'the launch may still be executed',
   );
 });
 
-test('a launch that was certainly not executed is released by the next heartbeat that does not show it', async () => {
+test('a launch that was certainly not executed is released by the next heartbeat that does not list it', async () => {
   const outcomes: CallOutcome[] = [{ kind: 'unsent' }, { kind: 'answer', status: 400, body: null }];
   for (const outcome of outcomes) {
     const fixture = new DirectCommandsFixture(outcome);
@@ -87,7 +87,7 @@
   assert.deepEqual(allocation.stop, { grace: 0, direct: 'due' });
 });
 
-test('nothing is sent beyond the command deadline, which is checked again when a request is written', async () => {
+test('nothing is sent after the command deadline, which is checked again when a request is written', async () => {
   const fixture = new DirectCommandsFixture(NO_REPLY);
   fixture.addAllocation({ launchPending: true });
   fixture.mayCommand = false;
--- a/test/workers/gang-heartbeats.test.ts
+++ b/test/workers/gang-heartbeats.test.ts
@@ -1,4 +1,4 @@
-/** Heartbeats about gangs that make no sense: nothing that may still run is released, and nothing ends. */
+/** Tests heartbeats with invalid reports about gangs: no task that may still run is released or marked as finished. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { silentLog } from '../../src/logging/log.js';
@@ -22,7 +22,7 @@
   heartbeatTimeout: millis(5000),
 };
 
-/** One task of a heartbeat, by its names on the wire; state and cause may be any text. */
+/** Builds one task of a heartbeat in wire format; `status` and `cause` may be arbitrary text. */
 const wireTask = (task: string, attempt: number, status: string, cause?: string) => ({
   leg: task,
   sailing: attempt,
@@ -32,7 +32,7 @@
 
 let sequence = 0;
 
-/** The heartbeats below belong to the agent epoch in which the tasks were started. */
+/** Sets the agent epoch of all machines to the one that the heartbeats below carry. */
 function withAgentEpoch(shard: Shard): Shard {
   for (const machine of shard.machines.values()) machine.agentEpoch = AGENT_EPOCH;
   return shard;
@@ -58,7 +58,7 @@
   return machine;
 }
 
-/** A gang of two on two machines of two CPUs each, and the allocation of its first task. */
+/** Builds a shard with a gang of two tasks on two machines of two CPUs each; returns its first task's allocation. */
 function shardWithGang(): { shard: Shard; first: Allocation; attempt: number } {
   const runner = new CycleRunner(2, { capacity: { cpus: 2, gpus: 0, memoryGb: 8 } });
   runner.addJob(GANG, { kind: 'gang', tasks: 2, cpus: 2 });
@@ -72,7 +72,7 @@
 const waiting = (shard: Shard): number => shard.jobs.get(GANG)?.waiting.size ?? -1;
 const finished = (shard: Shard): number => shard.jobs.get(GANG)?.finished.size ?? -1;
 
-test('a task that belongs to no gang and is said to wait for its gang stays where it is', () => {
+test('a task without a gang that is reported as gathering keeps its allocation', () => {
   const runner = new CycleRunner(1);
   runner.addJob(ARRAY, { tasks: 1, cpus: 2 });
   runner.runCycle();
@@ -83,7 +83,7 @@
   assert.equal(shard.jobs.get(ARRAY)?.waiting.size, 0);
 });
 
-test('an unknown state keeps its allocation; an unknown cause ends the task, and does not complete it', () => {
+test('a task in an unknown state keeps its allocation; an unknown exit cause ends the task without completing it', () => {
   const { shard, first, attempt } = shardWithGang();
   const machine = receiveHeartbeat(shard, first.machine, wireTask('req-g/0', attempt, 'dancing'));
   assert.equal(machine.used.cpus, 2);
@@ -93,18 +93,18 @@
   assert.equal(waiting(shard), 1);
 });
 
-test('an attempt that disagrees, or is larger than any that was issued, keeps its allocation and is stopped', () => {
+test('an attempt other than the allocated one, larger than any issued, is allocated and stopped', () => {
   const { shard, first, attempt } = shardWithGang();
   const machine = receiveHeartbeat(shard, first.machine, wireTask('req-g/0', attempt + 1_000_000, 'running'));
   assert.equal(machine.used.cpus, 2);
-  assert.equal(waiting(shard), 0, 'the task is not started elsewhere');
+  assert.equal(waiting(shard), 0, 'the task must not be started elsewhere');
   assert.ok([...machine.allocations.values()].every((allocation) => allocation.stop !== null));
 });
 
-test('one task that is done completes the gang; the others are neither waiting nor lost', () => {
+test('one finished task completes the gang; the other tasks do not wait, and keep their allocations', () => {
   const { shard, first, attempt } = shardWithGang();
   receiveHeartbeat(shard, first.machine, wireTask('req-g/0', attempt, 'exited', 'done'));
   assert.equal(finished(shard), 2);
   assert.equal(waiting(shard), 0);
-  assert.equal(shard.allocations.size, 1, 'the other is still on its machine');
+  assert.equal(shard.allocations.size, 1, 'the other task is still on its machine');
 });
--- a/test/workers/heartbeat-answers.test.ts
+++ b/test/workers/heartbeat-answers.test.ts
@@ -1,4 +1,4 @@
-/** Which answer a worker gets to its heartbeat, and that only the entitled leader renews its lease. */
+/** Tests the answers to heartbeats, and that only a leader before its command deadline renews leases. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -15,8 +15,8 @@
 class HandlerFixture extends ShardFixture {
   mayCommand = true;
   leader: ControllerId | null = null;
-  leaderIsHeard = true;
-  /** How long the registration of an unknown machine takes. */
+  leaderSendsAnnouncements = true;
+  /** Duration of the registration of an unknown machine. */
   registrationMs = 0;
   tokenRaises = 0;
   readonly redirected: string[] = [];
@@ -34,7 +34,7 @@
     isResultRecorded: () => true,
     exclusive: <T>(work: () => T): Promise<T> => Promise.resolve(work()),
     shardRecord: (): ShardRecord | null => this.leader && ({ leader: this.leader } as ShardRecord),
-    heardWithin: () => this.leaderIsHeard,
+    heardWithin: () => this.leaderSendsAnnouncements,
   };
   private readonly handler = new HeartbeatHandler(
     this.controller,
@@ -71,7 +71,7 @@
   }
 }
 
-test('the leader answers with its fencing token, and the lease begins anew', async () => {
+test('the leader answers with its fencing token and renews the lease', async () => {
   const fixture = new HandlerFixture();
   fixture.now = steady(2000);
   assert.deepEqual(await fixture.answerTo(), {
@@ -81,7 +81,7 @@
   assert.equal(fixture.machine.lastHeartbeatAt, 2000);
 });
 
-test('beyond the command deadline a heartbeat is refused and changes nothing', async () => {
+test('after the command deadline a heartbeat is refused and changes nothing', async () => {
   const fixture = new HandlerFixture();
   fixture.now = steady(2000);
   fixture.mayCommand = false;
@@ -89,7 +89,7 @@
   assert.equal(fixture.machine.lastHeartbeatAt, 1000);
 });
 
-test('a machine whose registration took longer than its worker waits is refused', async () => {
+test('a heartbeat is refused if registering the machine took longer than its worker waits', async () => {
   const fixture = new HandlerFixture();
   fixture.registrationMs = 2501;
   assert.equal((await fixture.answerTo('m-9')).status, 503);
@@ -98,7 +98,7 @@
   assert.equal((await fixture.answerTo('m-9')).status, 421);
 });
 
-test('a worker that has seen a higher fencing token is sent on, and the token is raised once in 3 s', async () => {
+test('a worker that has seen a higher fencing token is redirected, and the token is raised once in 3 s', async () => {
   const fixture = new HandlerFixture();
   for (const [now, raises] of [
     [2000, 1],
@@ -112,20 +112,20 @@
   assert.equal(fixture.machine.lastHeartbeatAt, 1000);
 });
 
-test('a worker of another shard is sent to its leader only while that one is heard', async () => {
+test('a worker of another shard is redirected to its leader only while the leader sends announcements', async () => {
   const fixture = new HandlerFixture();
   fixture.leader = PEER;
   assert.deepEqual(await fixture.answerTo('m-9'), { status: 421, body: { harbormaster: PEER } });
-  fixture.leaderIsHeard = false;
+  fixture.leaderSendsAnnouncements = false;
   assert.deepEqual(await fixture.answerTo('m-9'), { status: 421, body: {} });
   assert.deepEqual(fixture.redirected, ['m-9', 'm-9']);
 });
 
-test('after a failover a worker that never shows the answers to its heartbeats is refused after a while', async () => {
+test('after a failover a worker that never shows the new fencing token is refused after a timeout', async () => {
   const fixture = new HandlerFixture(true);
   fixture.now = steady(1000);
   assert.equal((await fixture.answerTo('m-0', SHARD_FENCING_TOKEN - 1)).status, 200);
-  // Three heartbeat intervals and 4 s on top.
+  // Three heartbeat intervals plus a margin of 4 s.
   fixture.now = steady(1000 + 7000);
   assert.equal((await fixture.answerTo('m-0', SHARD_FENCING_TOKEN - 1)).status, 200);
   fixture.now = steady(1000 + 7001);
--- a/test/workers/heartbeat-reconciliation.test.ts
+++ b/test/workers/heartbeat-reconciliation.test.ts
@@ -1,4 +1,4 @@
-/** What a worker's status ends, and what it must not end: small traces of one shard and one machine. */
+/** Tests which allocations a worker's status releases and which it must not, mostly on one shard with one machine. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -9,7 +9,7 @@
 import { requeueAccountedTasks } from '../../src/shards/unaccounted-tasks.js';
 import { ShardFixture, SHARD_FENCING_TOKEN, TWO_TASK_SPEC as spec } from '../support/shard-fixture.js';
 
-test('a delayed heartbeat is older than the known state, and changes nothing', () => {
+test('a delayed heartbeat that is older than the known state changes nothing', () => {
   const fixture = new ShardFixture();
   fixture.addAllocation();
   assert.equal(
@@ -51,7 +51,11 @@
     fixture.receiveHeartbeat('heartbeat', '0:5:exited:stopped'),
     'applied; allocated - waiting 0,1',
   );
-  assert.equal(fixture.pendingCommands(), '', 'forgotten now, the late launch would start it anew');
+  assert.equal(
+    fixture.pendingCommands(),
+    '',
+    'if the exit were forgotten now, the late launch would start the task again',
+  );
   assert.equal(
     fixture.receiveHeartbeat('heartbeat', '0:5:exited:stopped', { fencingToken: 8 }),
     'applied; allocated - waiting 0,1',
@@ -59,7 +63,7 @@
   assert.equal(fixture.pendingCommands(), 'forget 0@5');
 });
 
-test('another attempt than the launched one keeps its allocation until the launch can no longer arrive', () => {
+test('a reported attempt other than the launched one stays allocated until the launch can no longer arrive', () => {
   const fixture = new ShardFixture();
   fixture.addAllocation();
   assert.equal(fixture.pendingCommands(), 'start 0@5');
@@ -75,13 +79,13 @@
   );
 });
 
-test('after a failover a task is unaccounted until every machine has sent a heartbeat under the new fencing token', () => {
+test('after a failover a task is unaccounted until every machine has sent a status with the new fencing token', () => {
   const fixture = new ShardFixture(true);
   assert.equal(fixture.describeState(), 'allocated - waiting -');
   assert.equal(
     usageOf(fixture.shard).unattributed.cpus,
     16,
-    'a machine not heard from may be full of any team',
+    'a machine without a status may be full of tasks of any team',
   );
   assert.equal(
     fixture.receiveHeartbeat('heartbeat', '', { fencingToken: 6 }),
@@ -98,23 +102,23 @@
   const fixture = new ShardFixture(true);
   fixture.addMachine('m-1', '10.0.0.8:1', { reconciled: false, spot: true });
   assert.equal(requeueAccountedTasks(fixture.shard), false);
-  assert.equal(fixture.describeState(), 'allocated - waiting -', 'it may be on the ordinary machine');
+  assert.equal(fixture.describeState(), 'allocated - waiting -', 'the tasks may be on the on-demand machine');
   assert.equal(
     fixture.receiveHeartbeat('heartbeat', '1:4:running', { fencingToken: 7 }),
     'applied; allocated 1@4 waiting -',
   );
-  assert.equal(requeueAccountedTasks(fixture.shard), false, 'the spot machine has not been heard');
+  assert.equal(requeueAccountedTasks(fixture.shard), false, 'the spot machine has not sent a status');
   assert.equal(fixture.describeState(), 'allocated 1@4 waiting 0', 'its job does not allow spot machines');
   assert.equal(
     fixture.receiveHeartbeat('heartbeat', '', { fencingToken: 7 }),
     'applied; allocated - waiting 0',
-    'not there any more: unaccounted again',
+    'no longer on its machine: unaccounted again',
   );
   requeueAccountedTasks(fixture.shard);
   assert.equal(fixture.describeState(), 'allocated - waiting 0,1');
 });
 
-test('a late heartbeat copy lists a task that runs elsewhere: it waits until it has ended there too', () => {
+test('a task that a delayed heartbeat shows on a second machine waits until it has left both machines', () => {
   const fixture = new ShardFixture(true);
   const other = fixture.addMachine('m-1', '10.0.0.8:1', { reconciled: false });
   assert.equal(
@@ -125,19 +129,19 @@
     fixture.receiveHeartbeat('heartbeat', '0:4:running 1:4:running', { fencingToken: 7 }, other),
     'applied; allocated 0@3,1@4 waiting -',
   );
-  // What the machine of the copy says itself: the task is not there, and has not been for long.
+  // The next current heartbeat of the first machine: the task left it long ago.
   fixture.receiveHeartbeat('heartbeat', '', { fencingToken: 7 });
   requeueAccountedTasks(fixture.shard);
   assert.equal(
     fixture.describeState(),
     'allocated 1@4,0@4 waiting -',
-    'it is on the other machine, told to stop',
+    'the task is on the other machine, where it is being stopped',
   );
   fixture.receiveHeartbeat('heartbeat', '1:4:running', { fencingToken: 7 }, other);
   assert.equal(fixture.describeState(), 'allocated 1@4 waiting 0');
 });
 
-test('a task that is not assigned to the shard is stopped, and counts until it has gone', () => {
+test('a task that is not assigned to the shard is stopped, and stays allocated until it has exited', () => {
   const fixture = new ShardFixture();
   fixture.addAllocation();
   assert.equal(
@@ -155,7 +159,7 @@
   assert.equal(otherFixture.pendingCommands(), 'forget 0@3');
 });
 
-test('where a task may start: instance type, zone, spot and required zone each decide', () => {
+test('instance type, zone, spot and required zone each restrict where a task may start', () => {
   const may = (
     changes: Partial<JobSpec>,
     type: string,
@@ -180,20 +184,24 @@
 });
 
 /*
- * A task ran again after it was done. After a failover a late copy of a heartbeat showed it on a machine that it had left,
- * so the new leader allocated it there. The machine where it had ended listed it as done; since the task was allocated
- * elsewhere the end was not recorded, and since it was not recorded as ended here the worker was told to forget it: the
- * answer to the heartbeat with `0:4:exited:done` carried `forget 0@4`. With the next heartbeat of the first machine,
- * which does not list the task, it waited again.
+ * Guards against a task that runs again after it was done. After a failover a delayed heartbeat showed the task on a
+ * machine that it had left, so the new leader allocated it there. Another machine then listed it as done; the result
+ * was not recorded because the task was allocated elsewhere, and the answer to the heartbeat with `0:4:exited:done`
+ * still contained `forget 0@4`. After the next heartbeat of the first machine, which did not list the task, it was
+ * queued again.
  */
-test('a result is kept while a late heartbeat copy shows its task on another machine, and the task does not run again', () => {
+test('a result is kept while a delayed heartbeat shows its task on another machine, and the task does not run again', () => {
   const fixture = new ShardFixture(true);
   const other = fixture.addMachine('m-1', '10.0.0.8:1', { reconciled: false });
-  // A copy from before the failover: the task has left this machine since, and ended on the other one.
+  // A delayed heartbeat from before the failover: the task has left this machine since, and ended on the other one.
   fixture.receiveHeartbeat('heartbeat', '0:3:running', { fencingToken: 6 });
   fixture.receiveHeartbeat('heartbeat', '0:4:exited:done 1:4:running', { fencingToken: 7 }, other);
-  assert.equal(fixture.pendingCommands(other), '', 'forgotten, nothing would show that the task is done');
+  assert.equal(
+    fixture.pendingCommands(other),
+    '',
+    'if it were forgotten, nothing would show that the task is done',
+  );
   fixture.receiveHeartbeat('heartbeat', '', { fencingToken: 7 });
   requeueAccountedTasks(fixture.shard);
-  assert.equal(fixture.describeState(), 'allocated 1@4 waiting -', 'it is done');
+  assert.equal(fixture.describeState(), 'allocated 1@4 waiting -', 'the task is done and does not wait');
 });
--- a/test/workers/lease-expiry.test.ts
+++ b/test/workers/lease-expiry.test.ts
@@ -1,4 +1,4 @@
-/** When a machine's lease has certainly expired, and when a launch without a reply asks for a higher fencing token. */
+/** Tests when a machine's lease has certainly expired, and when an unacknowledged launch raises the fencing token. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -9,7 +9,7 @@
 
 const LEASE_MS = 5000;
 const CANCEL_S = 10;
-/** With the allowance for clock drift. */
+/** `CANCEL_S` with the allowance for clock drift. */
 const PREVIOUS_LEADER_TIMEOUT_MS = 10_010;
 
 class LeaseExpiryFixture extends ShardFixture {
@@ -33,7 +33,9 @@
     { onShardChanged: () => undefined },
   );
 
-  /** The state after a review at this time, with the leadership confirmed up to then or up to `confirmedMs`. */
+  /**
+   * Checks the shard at `nowMs`, with the leadership confirmed up to `confirmedMs`, and returns the resulting state.
+   */
   reviewAt(nowMs: number, confirmedMs = nowMs): string {
     this.now = steady(nowMs);
     this.storeCache.confirmedAt = steady(confirmedMs);
@@ -57,7 +59,7 @@
   assert.equal(fixture.reviewAt(leaseEnd + 60_000, leaseEnd), 'allocated - waiting 0,1');
 });
 
-test('after a failover an unheard machine is not reconciled before the previous leader has stopped', () => {
+test('after a failover a silent machine is not reconciled before the previous leader has stopped', () => {
   const fixture = new LeaseExpiryFixture(true);
   fixture.reviewAt(PREVIOUS_LEADER_TIMEOUT_MS - 1);
   assert.equal(fixture.machine.reconciled, false);
@@ -94,7 +96,7 @@
   );
 });
 
-test('an unacknowledged launch has the fencing token raised after 3 s, if its machine is heard', () => {
+test('an unacknowledged launch raises the fencing token after 3 s, unless its machine is silent', () => {
   const unacknowledged = {
     fencingToken: SHARD_FENCING_TOKEN,
     agentEpoch: 1 as AgentEpoch,
@@ -111,5 +113,5 @@
   const silent = new LeaseExpiryFixture();
   silent.addAllocation({ unacknowledged });
   silent.reviewAt(4001);
-  assert.equal(silent.tokenRaises, 0, 'it would not see the higher token');
+  assert.equal(silent.tokenRaises, 0, 'a silent machine would not receive the higher token');
 });
--- a/test/workers/registration.test.ts
+++ b/test/workers/registration.test.ts
@@ -1,10 +1,10 @@
-/** Many machines at once, and few changes a second: all are registered, and none is returned because it has to wait. */
+/** Tests that many machines are registered despite a low write limit, and that no waiting machine is returned. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SMALL_CLUSTER, SimulatedCluster, type ClusterConfig } from '../support/simulated-cluster.js';
 
 const MACHINES = 240;
-/** Registration takes longer than a machine may take to boot before it is returned. */
+/** Registering all machines takes longer than the boot time after which an unregistered machine is returned. */
 const SLOW_STORE_CLUSTER: ClusterConfig = {
   ...SMALL_CLUSTER,
   storeLimits: { ...SMALL_CLUSTER.storeLimits, writeRps: 5, enforced: true },
@@ -12,7 +12,7 @@
   recordHeartbeats: false,
 };
 
-test('machines that wait for their turn to be registered are not taken for unused ones', async () => {
+test('machines that wait to be registered are not returned as unused', async () => {
   const cluster = new SimulatedCluster(SLOW_STORE_CLUSTER);
   for (let i = 0; i < MACHINES; i += 1) cluster.addWorker('small', i % 3 === 2 ? 'west' : 'east');
   await cluster.start();
