--- a/test/jobs/assignment-check.test.ts
+++ b/test/jobs/assignment-check.test.ts
@@ -1,4 +1,4 @@
-/** Records whose assignments make no sense: said once, and nothing is moved by them. */
+/** Tests that records with invalid assignments are detected and logged once per job. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { assignmentProblem } from '../../src/jobs/assignment-check.js';
@@ -15,7 +15,7 @@
 
 type AssignmentRow = readonly [from: number, to: number, shard: number, zone: string | null];
 
-/** The record of a job of four tasks. */
+/** Builds the record of a job with four tasks. */
 const recordOf = (constraints: { oneZone?: boolean; spread?: boolean }, rows: AssignmentRow[]): JobRecord =>
   ({
     spec: buildJobSpec({ tasks: 4, ...constraints }),
@@ -29,7 +29,7 @@
 const problemOf = (...args: Parameters<typeof recordOf>): string | null =>
   assignmentProblem(recordOf(...args), PLACES);
 
-test('assignments that this version makes are sound', () => {
+test('assignments that this version creates are valid', () => {
   assert.equal(problemOf({}, [[0, 4, 0, null]]), null);
   assert.equal(
     problemOf({}, [
@@ -53,7 +53,7 @@
   assert.equal(problemOf({ oneZone: true, spread: true }, half), null);
 });
 
-test('each way in which assignments can make no sense is named', () => {
+test('each kind of invalid assignment is reported', () => {
   const overlap: AssignmentRow[] = [
     [0, 3, 0, null],
     [2, 4, 1, null],
@@ -75,7 +75,7 @@
   assert.equal(problemOf({ spread: true }, [[0, 4, 0, 'east']]), 'too many tasks are in one zone');
 });
 
-test('it is said once for a job, also when its record changes, and ends with it', () => {
+test('invalid assignments are logged once per job, until its record is valid or the job has ended', () => {
   const errors: unknown[] = [];
   const misassigned = new MisassignedJobs(PLACES, {
     error: (fields: unknown) => errors.push(fields),
--- a/test/jobs/cancellation-notice.test.ts
+++ b/test/jobs/cancellation-notice.test.ts
@@ -1,14 +1,17 @@
-/** A committed cancellation is announced to the peers: one that the store refuses stops the job's tasks all the same. */
+/**
+ * Tests that committed cancellations are announced to peers, so that a peer whose store requests are refused stops the
+ * job's tasks too.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { SimulatedCluster } from '../support/simulated-cluster.js';
 
-test('a leader refused by the state service alone stops what is cancelled through a peer, and starts none of it', async () => {
+test('a leader that only the state service refuses stops tasks cancelled through a peer, and starts none of them', async () => {
   for (const refusedFor of [50, 700, 1500]) {
     const cluster = new SimulatedCluster();
     cluster.addWorker('large', 'east');
     await cluster.start();
-    // One task of 4 CPUs a job: two run, the others of the same shard wait.
+    // Each job has one task of 4 CPUs: two of them run, the others wait in the same shard.
     for (const job of [1, 2, 3, 4])
       await cluster.submit(0, `req-${job}`, { cpus: 4, runMs: 60_000, zone: 'east' });
     await cluster.step(1500);
@@ -27,14 +30,14 @@
       assert.equal(answer.body['status'], 'cancelled');
     }
     await cluster.step(1500);
-    assert.ok(!runs(running), 'it is stopped without the store');
+    assert.ok(!runs(running), 'the task is stopped without access to the store');
     await cluster.step(6000);
     assert.deepEqual(cluster.invariantChecker.startsAfterCancellation, []);
     assert.deepEqual(cluster.violations, []);
   }
 });
 
-test('a notice that comes late or twice, or says what is known, changes nothing', async () => {
+test('a cancellation notice that is late, repeated or already known changes nothing', async () => {
   const cluster = new SimulatedCluster();
   cluster.addWorker('large', 'east');
   await cluster.start();
@@ -44,7 +47,7 @@
   for (const node of cluster.nodes) node.receiveFromPeer?.(notice);
   await cluster.step(1000);
   const poll = await cluster.sendUserRequest(0, 'GET', '/v2/runs/req-1');
-  assert.equal(poll.body['status'], 'running', 'older than what the store cache shows');
+  assert.equal(poll.body['status'], 'running', 'the notice is older than the store cache');
   await cluster.sendUserRequest(1, 'POST', '/v2/runs/req-1/abort');
   for (const node of cluster.nodes) node.receiveFromPeer?.(notice);
   await cluster.step(3000);
--- a/test/jobs/cluster-clock.test.ts
+++ b/test/jobs/cluster-clock.test.ts
@@ -1,4 +1,4 @@
-/** The clock that all controllers count together. */
+/** Tests the clock that all controllers share. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeClusterTime, ClusterClock } from '../../src/jobs/cluster-clock.js';
@@ -7,7 +7,7 @@
 import type { ShardId, ClusterMs, SteadyMs } from '../../src/model/units.js';
 import { buildJobSpec } from '../support/job-specs.js';
 
-test('the cluster clock continues from what was stored, never backwards, and keeps the age of jobs across a restart', () => {
+test('the cluster clock continues from the stored count, never goes back, and keeps the age of jobs across a restart', () => {
   const time = new ClusterClock();
   assert.equal(time.age(null, 5000 as SteadyMs), 0, 'a record of an earlier version');
   time.reached(90_000, 1000 as SteadyMs);
@@ -20,9 +20,9 @@
   const assignments = [{ from: 0, to: 3, shard: shard.id, zone: null }];
   const record = { spec: buildJobSpec({ tasks: 3 }), assignments, done: RangeSet.empty() } as never;
   syncJob(shard, record, 1 as never, 4000 as SteadyMs, true, time.age(32_000 as ClusterMs, 4000 as SteadyMs));
-  // What is overdue stays overdue, and what has waited goes first, whoever owns the part now.
+  // Overdue jobs stay overdue, and jobs that have waited stay ahead in the queue, whichever controller leads the shard.
   assert.deepEqual(
-    [...shard.jobs.values()].map((j) => j.acceptedAt),
+    [...shard.jobs.values()].map((job) => job.acceptedAt),
     [-57_000],
   );
 });
--- a/test/jobs/codecs.test.ts
+++ b/test/jobs/codecs.test.ts
@@ -1,6 +1,7 @@
 /**
- * Stored records and messages between controllers, held to the letter: two versions read each other's during an
- * upgrade, so neither names nor forms may follow a renaming of the code. The version in production agrees on each.
+ * Tests the exact form of stored records and of messages between controllers. During an upgrade two versions read each
+ * other's, so field names and formats must not change when the code is renamed. Each is compared with the production
+ * version.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -95,7 +96,7 @@
     assert.equal(JSON.stringify(production.encodeRecord(decodedByProduction)), text);
   });
 
-test('a stored job record: what each part of it means', () => {
+test('fields of a stored job record decode to the expected values', () => {
   const record = decodeRecord(JSON.parse(ARRAY));
   assert.ok(record);
   assert.equal(record.spec.id, 'req-a');
@@ -111,7 +112,7 @@
   ]);
 });
 
-/** The array's record with some of its fields replaced; `undefined` leaves one out. */
+/** Returns the stored record `ARRAY` with some fields replaced; `undefined` removes a field. */
 const changed = (changes: Record<string, unknown>): Record<string, unknown> =>
   JSON.parse(JSON.stringify({ ...(JSON.parse(ARRAY) as object), ...changes })) as Record<string, unknown>;
 
@@ -137,7 +138,7 @@
   assert.deepEqual(encodeRecord(decoded), stored);
 });
 
-test('unknown fields beside the specification are ignored, as in production', () => {
+test('unknown fields outside the specification are ignored, as in production', () => {
   const stored = changed({ later: 1 });
   const decoded = decodeRecord(stored);
   const decodedByProduction = production.decodeRecord(stored);
@@ -209,7 +210,7 @@
   assert.equal(JSON.stringify(encodeCatalog(types)), catalog);
 });
 
-test('such records with a field that is missing or of the wrong type cannot be read; unknown fields are ignored', () => {
+test('these records cannot be decoded if a field is missing or of the wrong type; unknown fields are ignored', () => {
   const shard = { owner: 'n1', incarnation: 'x7', token: 9 };
   assert.deepEqual(decodeShardRecord({ ...shard, later: 1 }), {
     leader: 'n1',
@@ -229,7 +230,7 @@
   for (const value of [undefined, null, {}, { ms: 'soon' }])
     assert.ok(Number.isNaN(decodeClusterTime(value)));
   const type = { name: 'c4', cpus: 4, gpus: 0, memoryGb: 16 };
-  assert.equal(decodeCatalog({ types: [type] })?.length, 1, 'written by a version that kept less');
+  assert.equal(decodeCatalog({ types: [type] })?.length, 1, 'written by a version that stored fewer fields');
   for (const value of [null, {}, { types: 'none' }, { types: [{ ...type, gpus: undefined }] }])
     assert.equal(decodeCatalog(value), null);
 });
@@ -265,7 +266,7 @@
     assert.deepEqual(JSON.parse(JSON.stringify(encodePeerMessage(decoded))), JSON.parse(text));
   });
 
-/** What a controller of the version in production keeps of its peers, as far as announcements write it. */
+/** Builds the peer state of a controller of the production version, as far as announcements update it. */
 function productionCore() {
   return {
     clock: { now: () => 0 },
@@ -281,8 +282,8 @@
   };
 }
 
-/** The text decoded here and sent on: what the version in production receives. */
-function sentOn(text: string): unknown {
+/** Decodes and re-encodes a message, giving what the production version receives. */
+function reencode(text: string): unknown {
   const decoded = decodePeerMessage(JSON.parse(text));
   assert.ok(decoded);
   return JSON.parse(JSON.stringify(encodePeerMessage(decoded)));
@@ -290,7 +291,7 @@
 
 test('an announcement encoded here is understood by the version in production', () => {
   const core = productionCore();
-  assert.equal(productionNews.receive(core, sentOn(MESSAGES['news'] as string)), null);
+  assert.equal(productionNews.receive(core, reencode(MESSAGES['news'] as string)), null);
   assert.equal(core.peers.get('n1')?.running.get('req-a'), 7);
   assert.equal(core.peers.get('n1')?.strays.get(2), 4);
   assert.equal(core.rentedFor.get('m-9'), 0);
@@ -306,10 +307,10 @@
 
 test('requests for quota encoded here are understood by the version in production', () => {
   for (const [name, text] of Object.entries(MESSAGES).filter(([key]) => key.startsWith('ask')))
-    assert.deepEqual(productionNews.receive(productionCore(), sentOn(text)), JSON.parse(text), name);
+    assert.deepEqual(productionNews.receive(productionCore(), reencode(text)), JSON.parse(text), name);
 });
 
-test('messages of earlier versions: optional fields that are absent have a safe meaning', () => {
+test('messages of earlier versions: absent optional fields get safe defaults', () => {
   const { memoryGb, purpose, ...ask } = JSON.parse(MESSAGES['ask, waiting'] as string) as Record<
     string,
     unknown
@@ -328,7 +329,7 @@
   assert.deepEqual(decoded.shards[0]?.used.get('red' as never), { cpus: 10, gpus: 0, memoryGb: 0 });
 });
 
-test('unknown fields of a message are ignored; an unknown kind and a field of the wrong type are no message', () => {
+test('unknown fields of a message are ignored; an unknown kind or a field of the wrong type makes it invalid', () => {
   for (const text of Object.values(MESSAGES)) {
     const sent = JSON.parse(text) as Record<string, unknown>;
     assert.deepEqual(decodePeerMessage({ ...sent, later: 1 }), decodePeerMessage(sent));
@@ -339,14 +340,14 @@
   for (const value of [undefined, null, 7, 'text', [], {}]) assert.equal(decodePeerMessage(value), null);
 });
 
-test('what controllers of the version in production say to each other is decoded and encoded without loss', async () => {
+test('messages between controllers of the production version are decoded and encoded without loss', async () => {
   const build = await loadProductionBuild();
-  const world = new SimulatedCluster(SMALL_CLUSTER);
-  world.buildOf = () => build;
-  for (let i = 0; i < 4; i += 1) world.addWorker('large', i % 2 ? 'east' : 'west');
-  await world.start();
+  const cluster = new SimulatedCluster(SMALL_CLUSTER);
+  cluster.buildOf = () => build;
+  for (let i = 0; i < 4; i += 1) cluster.addWorker('large', i % 2 ? 'east' : 'west');
+  await cluster.start();
   const kinds = new Set<string>();
-  for (const node of world.nodes) {
+  for (const node of cluster.nodes) {
     const receive = node.receiveFromPeer;
     node.receiveFromPeer = (message) => {
       const decoded = decodePeerMessage(message);
@@ -358,15 +359,15 @@
     };
   }
   for (let job = 0; job < 12; job += 1)
-    await world.submit(job % 3, `req-${job}`, {
+    await cluster.submit(job % 3, `req-${job}`, {
       tasks: 4,
       cpus: 2,
       runMs: 8000,
       team: job % 2 ? 'red' : 'blue',
     });
-  await world.step(1500);
-  await world.sendUserRequest(1, 'POST', '/v2/runs/req-1/abort');
-  await world.step(12_000);
+  await cluster.step(1500);
+  await cluster.sendUserRequest(1, 'POST', '/v2/runs/req-1/abort');
+  await cluster.step(12_000);
   assert.ok(kinds.has('news') && kinds.has('cancelled'), [...kinds].join(', '));
-  assert.deepEqual(world.violations, []);
+  assert.deepEqual(cluster.violations, []);
 });
--- a/test/jobs/gang-submission.test.ts
+++ b/test/jobs/gang-submission.test.ts
@@ -1,4 +1,4 @@
-/** Odd submissions of gangs, and odd limits to come: answered in the protocol's words, or refused with the field's name. */
+/** Tests unusual gang submissions and unusual upcoming store limits: accepted, or refused with the field's name. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseSettings } from '../../src/settings/settings.js';
@@ -18,7 +18,7 @@
   return cluster;
 }
 
-/** Status of a submission with some fields changed. */
+/** Submits a gang with some fields changed and returns the HTTP status. */
 async function statusOf(
   cluster: SimulatedCluster,
   id: string,
@@ -33,7 +33,7 @@
   return (await cluster.sendUserRequest(1, 'GET', `/v2/runs/${id}`)).body['status'];
 }
 
-test('a gang with no task, too many, or half a task is malformed; the job then is not known', async () => {
+test('a gang without tasks, with too many or with a fraction of a task is malformed, and no job is created', async () => {
   const cluster = await startCluster();
   for (const legs of [0, -1, 1.5, 100_001, '2', null]) {
     assert.equal(await statusOf(cluster, 'req-bad', { legs }), 400, `legs ${legs}`);
@@ -42,14 +42,14 @@
   assert.equal(await statusOf(cluster, 'req-bad', { shape: 'gangs' }), 400);
 });
 
-test('a gang that can never run whole is refused, though each of its tasks could run', async () => {
+test('a gang that can never run as a whole is refused, even if each of its tasks could run', async () => {
   const cluster = await startCluster();
   assert.equal(await statusOf(cluster, 'req-limit', { legs: 25 }), 422, 'the limit is 24 CPUs');
   assert.equal(await statusOf(cluster, 'req-many', { legs: 100_000 }), 422);
   assert.equal(await statusOf(cluster, 'req-large', { vcpus: 1000 }), 422);
 });
 
-test('a gang of one task runs like any other', async () => {
+test('a gang of one task runs like any other gang', async () => {
   const cluster = await startCluster();
   const one = cluster.submissionBody('req-one', { ...GANG, tasks: 1 });
   assert.equal((await cluster.sendUserRequest(0, 'POST', '/v2/runs', one)).status, 201);
@@ -57,7 +57,7 @@
   assert.deepEqual(cluster.violations, []);
 });
 
-test('a gang with the fields of a service or of a deadline runs, and ends', async () => {
+test('a gang with an estimate of 0 or with a deadline runs and completes', async () => {
   const cluster = await startCluster();
   assert.equal(await statusOf(cluster, 'req-zero', { passageS: 0 }), 201);
   assert.equal(await statusOf(cluster, 'req-due', { tideS: 30 }), 201);
@@ -66,7 +66,7 @@
   assert.deepEqual(cluster.violations, []);
 });
 
-test('a gang that is to be spread, or spread and in one zone, is accepted, stays known and breaks no rule', async () => {
+test('a gang that must be spread, or spread and in one zone, is accepted, keeps its status and violates no invariant', async () => {
   const cluster = await startCluster();
   const spread = cluster.submissionBody('req-spread', { ...GANG, spread: true });
   assert.equal((await cluster.sendUserRequest(0, 'POST', '/v2/runs', spread)).status, 201);
@@ -85,7 +85,7 @@
 const settingsWith = (next: string): ReturnType<typeof parseSettings> =>
   parseSettings(`${settingsText(0)}\n[facts.state.next]\n${next}\n`, 'a.toml');
 
-test('limits to come may be given in part; what is above today’s changes nothing', () => {
+test('upcoming limits may be given in part; values above the current limits change nothing', () => {
   const today = parseSettings(settingsText(0), 'a.toml');
   const partial = settingsWith('value_kb = 1');
   assert.equal(partial.maxValueBytes, 1024);
@@ -98,7 +98,7 @@
   assert.equal(above.nextStoreWriteRps, today.storeWriteRps);
 });
 
-test('limits to come that are zero or no numbers are refused with the field’s name', () => {
+test('upcoming limits that are not positive numbers are refused with the field’s name', () => {
   for (const [next, field] of [
     ['value_kb = 0', 'value_kb'],
     ['txn_ops = 0', 'txn_ops'],
--- a/test/jobs/job-record-cache.test.ts
+++ b/test/jobs/job-record-cache.test.ts
@@ -30,7 +30,7 @@
   );
 });
 
-test('a deleted record ends the job, whose specification is kept', () => {
+test('deleting the record ends the job, and its specification is kept', () => {
   const records = new JobRecordCache();
   records.update(job(1), storedRecord(job(1)));
   assert.deepEqual(records.update(job(1), undefined), { kind: 'ended' });
@@ -38,7 +38,7 @@
   assert.equal(records.recentlyEnded.get(job(1))?.id, 'req-1');
 });
 
-test('a record that cannot be read leaves the job as it was', () => {
+test('a record that cannot be read leaves the job unchanged', () => {
   const records = new JobRecordCache();
   records.update(job(1), storedRecord(job(1)));
   assert.deepEqual(records.update(job(1), { parts: 'none' }), { kind: 'unreadable' });
@@ -46,7 +46,7 @@
   assert.equal(records.recentlyEnded.size, 0);
 });
 
-test('of ended jobs the oldest are forgotten, but as many are kept as are active', () => {
+test('the oldest ended jobs are evicted, but as many are kept as there are active jobs', () => {
   const records = new JobRecordCache();
   const keptCount = (): number => records.recentlyEnded.size;
   for (let index = 0; index < 1300; index += 1) records.update(job(index), storedRecord(job(index)));
--- a/test/jobs/job-records.test.ts
+++ b/test/jobs/job-records.test.ts
@@ -1,4 +1,4 @@
-/** Job records: earlier and unknown forms, division of the tasks among shards, and the size limit of a value. */
+/** Tests job records: earlier and unknown formats, reassignment of tasks to shards, and the size limit of a value. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeRecord, encodeRecord } from '../../src/jobs/codec.js';
@@ -28,7 +28,7 @@
   assert.equal(decodeRecord({ ...old, parts: 'none' }), null);
 });
 
-test('a record that cannot be read stops nobody: it may come from a newer version', async () => {
+test('a record that cannot be read stops no task: it may come from a newer version', async () => {
   const cluster = new SimulatedCluster();
   cluster.addWorker('large', 'east');
   cluster.addWorker('large', 'west');
@@ -46,7 +46,7 @@
   assertTraceMatches(cluster, 'unreadable-record');
 });
 
-test('transferring tasks splits an assignment and joins neighbours again', () => {
+test('reassigning tasks splits an assignment, and merges adjacent ranges again', () => {
   const moved = reassign(record, RangeSet.of([[10, 20]]), shardId(1), (zone) => zone);
   assert.deepEqual(
     moved.assignments.map((assignment) => [assignment.from, assignment.to, assignment.shard]),
@@ -60,9 +60,9 @@
   assert.deepEqual(back.assignments, record.assignments);
 });
 
-test('scattered finished tasks that do not fit a value wait; the record never exceeds the limit of the store', () => {
-  const even = RangeSet.of(Array.from({ length: 50 }, (_, i) => [2 * i, 2 * i + 1] as const));
-  const some = withFinishedTasks(record, even, 300);
-  assert.ok(some.done.size > 0 && some.done.size < 50);
-  assert.equal(withFinishedTasks(record, even, 4096).done.size, 50);
+test('scattered finished tasks that do not fit into a value are written later; the record stays within the size limit', () => {
+  const evenTasks = RangeSet.of(Array.from({ length: 50 }, (_, i) => [2 * i, 2 * i + 1] as const));
+  const partial = withFinishedTasks(record, evenTasks, 300);
+  assert.ok(partial.done.size > 0 && partial.done.size < 50);
+  assert.equal(withFinishedTasks(record, evenTasks, 4096).done.size, 50);
 });
--- a/test/jobs/unreadable-records.test.ts
+++ b/test/jobs/unreadable-records.test.ts
@@ -1,10 +1,11 @@
 /**
- * What rests on a record that this version cannot read is left as it is: the record may be a later version's.
+ * Tests that nothing is overwritten, stopped or acquired based on a record that this version cannot read, because a
+ * later version may have written it.
  *
- * Known from docs/incidents/2026-12-ran-twice-at-size.md ("Found beside it, not mended"), each shown here at the decision.
- * Progress was computed from the last readable record and written on condition of the newer one's version, over it. A
- * process that started and could not read a job's record took its tasks for those of a job that has ended, and stopped
- * them. A token record that could not be read counted as 0, so that the next leader's token was 1.
+ * Guards against three faults described in docs/incidents/2026-12-ran-twice-at-size.md ("Found beside it, not mended").
+ * (1) Progress was computed from the last readable record, and overwrote the newer one, whose version was the
+ * condition. (2) A controller that started and could not read a job's record assumed that the job had ended, and
+ * stopped its tasks. (3) An unreadable token record was treated as 0, so that the next leader's fencing token was 1.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -35,7 +36,7 @@
 const JOB = RECORD.spec.id;
 const WRITTEN_BY_A_LATER_VERSION = { form: 2, spec: 'elsewhere' };
 
-/** How many writes of progress are sent while the store holds this value of the job's record. */
+/** Returns the number of progress writes that are sent while the store contains this value of the job's record. */
 function progressWrites(storedValue: unknown): number {
   const shard = buildShard();
   syncConfirmedJob(shard, RECORD, revision(20), steady(0), false);
@@ -73,7 +74,7 @@
   assert.equal(progressWrites(WRITTEN_BY_A_LATER_VERSION), 0);
 });
 
-test('the tasks of a job whose record cannot be read go on, and are taken over when it can', () => {
+test('tasks of a job whose record cannot be read keep running, and are adopted once it can be read', () => {
   const fixture = new ShardFixture();
   const { shard, machine } = fixture;
   const job = shard.jobs.get(TWO_TASK_SPEC.id);
@@ -82,13 +83,13 @@
   fixture.unreadableJobs.add(TWO_TASK_SPEC.id);
   fixture.receiveHeartbeat('heartbeat', '0:5:running');
   assert.equal(fixture.pendingCommands(), '', 'nothing is stopped');
-  assert.equal(machine.unknownSizeCount, 1, 'nothing else starts beside a task of unknown size');
+  assert.equal(machine.unknownSizeCount, 1, 'a task of unknown size blocks other starts on its machine');
   fixture.unreadableJobs.clear();
   syncConfirmedJob(shard, job.record, revision(9), steady(2000), false);
   assert.deepEqual(
     [...(shard.jobs.get(TWO_TASK_SPEC.id)?.waiting ?? [])],
     [1],
-    'the task that runs does not wait',
+    'the running task does not wait',
   );
   fixture.receiveHeartbeat('heartbeat', '0:5:running');
   assert.equal(fixture.pendingCommands(), '');
@@ -96,14 +97,14 @@
   assert.equal(shard.allocations.get(taskId(TWO_TASK_SPEC.id, taskIndex(0)))?.spec, job.spec);
 });
 
-test('tasks of a job that has ended, and of none, are still stopped', () => {
+test('tasks of an ended job or without a job are still stopped', () => {
   const fixture = new ShardFixture();
   fixture.shard.jobs.delete(TWO_TASK_SPEC.id);
   fixture.receiveHeartbeat('heartbeat', '0:5:running');
   assert.equal(fixture.pendingCommands(), 'stop 0@5');
 });
 
-test('no shard is acquired while the record of the fencing token cannot be read', async () => {
+test('no shard is acquired while the fencing token record cannot be read', async () => {
   const tokens: unknown[] = [];
   const acquireWith = async (value: unknown): Promise<boolean> => {
     const storeCache = new StoreCache(() => undefined);
