--- a/src/model/allocation-phase.ts
+++ b/src/model/allocation-phase.ts
@@ -1,6 +1,6 @@
 /**
- * How far a task on a machine has come. `ordered`: its launch has been decided and the worker has not shown the task yet.
- * `fetching`: the image is on its way. `gathering`: it waits on its machine for the other tasks of its gang. `saving`: it
- * has been told to stop and writes a checkpoint. All but `ordered` are states that the worker reports.
+ * Phase of a task that is allocated to a machine. `ordered`: its launch has been decided, and no report of the worker has
+ * listed it yet. `fetching`: the worker fetches the image. `gathering`: the task waits on its machine for the other tasks
+ * of its gang. `saving`: the task was told to stop and writes a checkpoint. Workers report all phases except `ordered`.
  */
 export type AllocationPhase = 'ordered' | 'fetching' | 'gathering' | 'running' | 'saving';
--- a/src/model/constraints.ts
+++ b/src/model/constraints.ts
@@ -1,10 +1,11 @@
-/** Where the constraints of a job let its tasks run. */
+/** Placement constraints of jobs. */
 import type { JobSpec } from '../jobs/spec.js';
 import type { InstanceTypeId, ZoneId } from './units.js';
 
 /**
- * May a task of this job run on a machine of this type, in this zone, a spot instance or not? `requiredZone` is that of
- * the task in the job's record, beside the one that the job itself may name; null: any zone.
+ * Returns whether a task of the job may run on a machine of this type and zone, which may be a spot instance.
+ * `requiredZone` is the zone that the job's record sets for the task, in addition to a zone that the job itself may
+ * specify; null: any zone.
  */
 export function mayRunOn(
   spec: JobSpec,
--- a/src/model/ranges.ts
+++ b/src/model/ranges.ts
@@ -1,9 +1,9 @@
-/** Sets of task indices kept as ranges: the 100,000 tasks of an array cost a few numbers, in memory and as stored. */
+/** Sets of task indices, kept as ranges: the 100,000 tasks of an array take a few numbers in memory and in the store. */
 
-/** The indices from the first number up to, and without, the second. */
-export type Range = readonly [from: number, to: number];
+/** The indices from `start` (inclusive) to `end` (exclusive). */
+export type Range = readonly [start: number, end: number];
 
-/** A set of indices, kept as sorted, disjoint ranges between which there are gaps. It is iterated in ascending order. */
+/** A set of indices, kept as sorted, disjoint, non-adjacent ranges. Iteration is in ascending order. */
 export class RangeSet {
   private constructor(private sortedRanges: [number, number][]) {}
 
@@ -11,10 +11,10 @@
     return new RangeSet([]);
   }
 
-  /** The union of the ranges; they may be unsorted, overlap or be empty. */
+  /** Returns the union of the ranges, which may be unsorted, overlap or be empty. */
   static of(ranges: Iterable<Range>): RangeSet {
     const set = RangeSet.empty();
-    for (const [from, to] of ranges) set.addRange(from, to);
+    for (const [start, end] of ranges) set.addRange(start, end);
     return set;
   }
 
@@ -22,7 +22,7 @@
     return new RangeSet(this.sortedRanges.map(([start, end]) => [start, end]));
   }
 
-  /** How many indices are in the set. */
+  /** The number of indices in the set. */
   get size(): number {
     let total = 0;
     for (const [start, end] of this.sortedRanges) total += end - start;
@@ -33,13 +33,13 @@
     return this.sortedRanges.length === 0;
   }
 
-  /** The ranges in ascending order; the caller owns them. */
+  /** Returns a copy of the ranges in ascending order. */
   ranges(): Range[] {
     return this.sortedRanges.map(([start, end]) => [start, end]);
   }
 
-  /** Position of the first range that ends after `index`. */
-  private locate(index: number): number {
+  /** Returns the position in `sortedRanges` of the first range that ends after `index`. */
+  private findPosition(index: number): number {
     let low = 0;
     let high = this.sortedRanges.length;
     while (low < high) {
@@ -51,7 +51,7 @@
   }
 
   has(index: number): boolean {
-    const range = this.sortedRanges[this.locate(index)];
+    const range = this.sortedRanges[this.findPosition(index)];
     return range !== undefined && range[0] <= index;
   }
 
@@ -59,39 +59,39 @@
     this.addRange(index, index + 1);
   }
 
-  addRange(from: number, to: number): void {
-    if (to <= from) return;
-    let firstIndex = this.locate(from);
-    const before = this.sortedRanges[firstIndex - 1];
-    if (before && before[1] === from) firstIndex -= 1;
-    let endIndex = firstIndex;
-    let low = from;
-    let high = to;
-    for (; endIndex < this.sortedRanges.length; endIndex += 1) {
-      const range = this.sortedRanges[endIndex] as [number, number];
-      if (range[0] > high) break;
-      low = Math.min(low, range[0]);
-      high = Math.max(high, range[1]);
+  addRange(start: number, end: number): void {
+    if (end <= start) return;
+    let firstPosition = this.findPosition(start);
+    const previousRange = this.sortedRanges[firstPosition - 1];
+    if (previousRange && previousRange[1] === start) firstPosition -= 1;
+    let endPosition = firstPosition;
+    let mergedStart = start;
+    let mergedEnd = end;
+    for (; endPosition < this.sortedRanges.length; endPosition += 1) {
+      const range = this.sortedRanges[endPosition] as [number, number];
+      if (range[0] > mergedEnd) break;
+      mergedStart = Math.min(mergedStart, range[0]);
+      mergedEnd = Math.max(mergedEnd, range[1]);
     }
-    this.sortedRanges.splice(firstIndex, endIndex - firstIndex, [low, high]);
+    this.sortedRanges.splice(firstPosition, endPosition - firstPosition, [mergedStart, mergedEnd]);
   }
 
   remove(index: number): void {
     this.removeRange(index, index + 1);
   }
 
-  removeRange(from: number, to: number): void {
-    if (to <= from) return;
-    const firstIndex = this.locate(from);
-    let endIndex = firstIndex;
-    const kept: [number, number][] = [];
-    for (; endIndex < this.sortedRanges.length; endIndex += 1) {
-      const [start, end] = this.sortedRanges[endIndex] as [number, number];
-      if (start >= to) break;
-      if (start < from) kept.push([start, from]);
-      if (end > to) kept.push([to, end]);
+  removeRange(start: number, end: number): void {
+    if (end <= start) return;
+    const firstPosition = this.findPosition(start);
+    let endPosition = firstPosition;
+    const remainders: [number, number][] = [];
+    for (; endPosition < this.sortedRanges.length; endPosition += 1) {
+      const [rangeStart, rangeEnd] = this.sortedRanges[endPosition] as [number, number];
+      if (rangeStart >= end) break;
+      if (rangeStart < start) remainders.push([rangeStart, start]);
+      if (rangeEnd > end) remainders.push([end, rangeEnd]);
     }
-    this.sortedRanges.splice(firstIndex, endIndex - firstIndex, ...kept);
+    this.sortedRanges.splice(firstPosition, endPosition - firstPosition, ...remainders);
   }
 
   addAll(other: RangeSet): void {
@@ -102,16 +102,16 @@
     for (const [start, end] of other.sortedRanges) this.removeRange(start, end);
   }
 
-  /** A new set of what is in both. */
+  /** Returns the intersection of both sets as a new set. */
   intersect(other: RangeSet): RangeSet {
-    const rest = this.clone();
-    rest.removeAll(other);
-    const both = this.clone();
-    both.removeAll(rest);
-    return both;
+    const difference = this.clone();
+    difference.removeAll(other);
+    const intersection = this.clone();
+    intersection.removeAll(difference);
+    return intersection;
   }
 
-  /** A new set of the `count` smallest indices, or of all if there are fewer. */
+  /** Returns a new set with the `count` smallest indices, or with all indices if there are fewer. */
   first(count: number): RangeSet {
     const result = RangeSet.empty();
     let remaining = count;
@@ -124,7 +124,7 @@
     return result;
   }
 
-  /** The indices as they are when the iteration begins: the set may be changed meanwhile. */
+  /** Yields the indices that are in the set when the iteration begins; the set may be changed during the iteration. */
   *[Symbol.iterator](): Generator<number> {
     for (const [start, end] of this.ranges()) {
       for (let index = start; index < end; index += 1) yield index;
--- a/src/model/resources.ts
+++ b/src/model/resources.ts
@@ -1,9 +1,9 @@
 /**
- * What a machine has and a task takes: CPUs, GPUs and memory in one vector, with its arithmetic. Decisions that need a
- * single number go by the dominant resource: the one of which the largest share of a machine is taken.
+ * Resource vectors of machines and tasks (CPUs, GPUs and memory) and their arithmetic. Decisions that need a single
+ * number use the dominant resource: the resource of which a task takes the largest share of a machine.
  */
 
-/** An amount of each resource: a capacity, a need or what is free. CPUs may be fractions. */
+/** An amount of each resource: a capacity, a request or a free amount. CPUs may be fractional. */
 export interface Resources {
   readonly cpus: number;
   readonly gpus: number;
@@ -11,91 +11,91 @@
   readonly memoryGb: number;
 }
 
-/** A running sum of amounts. */
+/** A sum of amounts that is updated in place. */
 export type MutableResources = { -readonly [K in keyof Resources]: Resources[K] };
 
-/** The resources, in the order in which ties between them are decided. */
+/** The kinds of resources; of two kinds with equal shares the earlier one is dominant. */
 export const RESOURCE_KINDS = ['cpus', 'gpus', 'memoryGb'] as const satisfies readonly (keyof Resources)[];
-/** One of the resources. */
+/** A kind of resource. */
 export type ResourceKind = (typeof RESOURCE_KINDS)[number];
 
-/** Nothing of any resource. */
+/** The zero amount. */
 export const ZERO: Resources = Object.freeze({ cpus: 0, gpus: 0, memoryGb: 0 });
-/** More of every resource than anything takes. */
+/** An infinite amount of every resource. */
 export const UNLIMITED: Resources = Object.freeze({ cpus: Infinity, gpus: Infinity, memoryGb: Infinity });
 
-/** Sums of fractions differ from their exact values by less than this. */
+/** Upper bound of the rounding errors in sums of fractional amounts. */
 export const TOLERANCE = 1e-6;
 
-/** A task that takes nothing of any resource fits this many times: a bound instead of infinity. */
+/** Number of slots that `taskSlots` returns, instead of infinity, for a task that requests nothing. */
 const MAX_SLOTS = 1000;
 
-/** An amount made resource by resource. */
+/** Builds an amount by calling `amountOf` for each kind of resource. */
 export const mapResources = (amountOf: (kind: ResourceKind) => number): MutableResources => ({
   cpus: amountOf('cpus'),
   gpus: amountOf('gpus'),
   memoryGb: amountOf('memoryGb'),
 });
 
-/** The sum, as a new amount. */
+/** Returns the sum as a new amount. */
 export const add = (amount: Resources, other: Resources): MutableResources => ({
   cpus: amount.cpus + other.cpus,
   gpus: amount.gpus + other.gpus,
   memoryGb: amount.memoryGb + other.memoryGb,
 });
 
-/** The difference, as a new amount; it may be negative. */
+/** Returns the difference as a new amount, which may be negative. */
 export const subtract = (amount: Resources, other: Resources): MutableResources => ({
   cpus: amount.cpus - other.cpus,
   gpus: amount.gpus - other.gpus,
   memoryGb: amount.memoryGb - other.memoryGb,
 });
 
-/** A multiple, as a new amount. */
+/** Returns the amount multiplied by the factor as a new amount. */
 export const scale = (amount: Resources, factor: number): MutableResources => ({
   cpus: amount.cpus * factor,
   gpus: amount.gpus * factor,
   memoryGb: amount.memoryGb * factor,
 });
 
-/** Adds `count` times an amount to a running sum; a negative count takes it off. */
+/** Adds `count` times an amount to a sum in place; a negative count subtracts. */
 export function addTo(sum: MutableResources, amount: Resources, count = 1): void {
   sum.cpus += count * amount.cpus;
   sum.gpus += count * amount.gpus;
   sum.memoryGb += count * amount.memoryGb;
 }
 
-/** Sets a sum to exactly 0. To be called whenever nothing is left in it: the rounding of fractions must not add up. */
+/** Sets a sum to exactly 0. Call it when the last amount has been subtracted, so that rounding errors do not add up. */
 export function clear(sum: MutableResources): void {
   sum.cpus = 0;
   sum.gpus = 0;
   sum.memoryGb = 0;
 }
 
-/** Is the need met by what is free, up to the rounding of sums? */
+/** Returns whether the need fits into the free amount, within the rounding tolerance. */
 export const fits = (need: Resources, free: Resources): boolean =>
   free.cpus + TOLERANCE >= need.cpus &&
   free.gpus + TOLERANCE >= need.gpus &&
   free.memoryGb + TOLERANCE >= need.memoryGb;
 
-/** Is the amount at least as much as the other of every resource, exactly? */
+/** Returns whether the amount is at least as large as the other in every resource, without tolerance. */
 export const covers = (amount: Resources, other: Resources): boolean =>
   amount.cpus >= other.cpus && amount.gpus >= other.gpus && amount.memoryGb >= other.memoryGb;
 
-/** Is nothing of any resource left beyond what rounding may leave? */
+/** Returns whether the amount is 0 in every resource, within the rounding tolerance. */
 export const isZero = (amount: Resources): boolean =>
   amount.cpus <= TOLERANCE && amount.gpus <= TOLERANCE && amount.memoryGb <= TOLERANCE;
 
-/** How often the need goes into what is free, with its fraction: the scarcest resource decides. */
+/** Returns how many times the need fits into the free amount, as a fraction: the scarcest needed resource decides. */
 export function fittingRatio(free: Resources, need: Resources): number {
-  let least = Infinity;
+  let lowestRatio = Infinity;
   for (const kind of RESOURCE_KINDS) {
-    if (need[kind] > 0) least = Math.min(least, free[kind] / need[kind]);
+    if (need[kind] > 0) lowestRatio = Math.min(lowestRatio, free[kind] / need[kind]);
   }
-  return least;
+  return lowestRatio;
 }
 
-/** How many tasks with this need fit into what is free. */
+/** Returns how many tasks with this need fit into the free amount. */
 export function taskSlots(free: Resources, need: Resources): number {
   const slots = (available: number, needed: number): number =>
     needed > 0 ? Math.floor(available / needed + TOLERANCE) : MAX_SLOTS;
@@ -106,7 +106,7 @@
   );
 }
 
-/** The largest share of any resource of the capacity; what the capacity has nothing of is not counted. */
+/** Returns the largest share that the amount takes of any resource; resources of which the capacity is 0 are ignored. */
 export function dominantShare(amount: Resources, capacity: Resources): number {
   let share = capacity.cpus > 0 ? amount.cpus / capacity.cpus : 0;
   if (capacity.gpus > 0) share = Math.max(share, amount.gpus / capacity.gpus);
@@ -114,7 +114,7 @@
   return share;
 }
 
-/** The resource of which the amount takes the largest share; CPUs among equals. */
+/** Returns the resource of which the amount takes the largest share; CPUs win ties. */
 export function dominantKind(amount: Resources, capacity: Resources): ResourceKind {
   const share = (kind: ResourceKind): number => (capacity[kind] > 0 ? amount[kind] / capacity[kind] : 0);
   let dominant: ResourceKind = 'cpus';
@@ -122,7 +122,7 @@
   return dominant;
 }
 
-/** The amount as CPUs of such a machine: its dominant share of the machine's CPUs; where CPUs dominate, just these. */
+/** Converts the amount to CPUs of a machine with this capacity: its dominant share times the CPUs of the machine. */
 export function asCpus(amount: Resources, capacity: Resources): number {
   let cpus = amount.cpus;
   if (capacity.gpus > 0) cpus = Math.max(cpus, (amount.gpus * capacity.cpus) / capacity.gpus);
@@ -130,7 +130,7 @@
   return cpus;
 }
 
-/** What is free as CPUs of such a machine, limited by whichever needed resource runs out first. */
+/** Converts a free amount to CPUs of a machine with this capacity, limited by the needed resource that runs out first. */
 export function freeAsCpus(free: Resources, capacity: Resources, need: Resources): number {
   let cpus = free.cpus;
   for (const kind of RESOURCE_KINDS) {
@@ -140,18 +140,18 @@
   return cpus;
 }
 
-/** The size of a task as CPUs of the instance type that suits it best; its CPUs alone where it fits no type. */
+/** Returns the size of a task in CPUs of the instance type that fits it best, or its own CPUs if it fits no type. */
 export function sizeOf(need: Resources, types: Iterable<Resources>): number {
   let size = Infinity;
   for (const type of types) if (fits(need, type)) size = Math.min(size, asCpus(need, type));
   return size === Infinity ? need.cpus : size;
 }
 
-/** The most that any one of them has, resource by resource. */
+/** Returns, for each resource separately, the largest amount that any of the types has. */
 export function largestOf(types: Iterable<Resources>): Resources {
-  const most: MutableResources = { ...ZERO };
+  const largest: MutableResources = { ...ZERO };
   for (const type of types) {
-    for (const kind of RESOURCE_KINDS) most[kind] = Math.max(most[kind], type[kind]);
+    for (const kind of RESOURCE_KINDS) largest[kind] = Math.max(largest[kind], type[kind]);
   }
-  return most;
+  return largest;
 }
--- a/src/model/units.ts
+++ b/src/model/units.ts
@@ -1,31 +1,31 @@
 /**
- * Ids, versions and times as types of their own: mixing them up is a compile error. At run time they are plain strings
- * and numbers; where one enters the process it is checked by the codec that reads it.
+ * Branded types for ids, versions and times, so that mixing them up is a compile error. At run time they are plain
+ * strings and numbers; the codec that reads a value into the process checks it.
  */
 declare const brand: unique symbol;
 type Branded<T, B extends string> = T & { readonly [brand]: B };
 
-/** A point on this process's steady clock, in milliseconds. Never compared between processes. */
+/** A time on this process's monotonic clock, in milliseconds. Times of different processes must not be compared. */
 export type SteadyMs = Branded<number, 'SteadyMs'>;
-/** Time that the controllers have counted together, in milliseconds. */
+/** A time on the cluster clock, which the controllers advance together in the store, in milliseconds. */
 export type ClusterMs = Branded<number, 'ClusterMs'>;
-/** A length of time in milliseconds. */
+/** A duration in milliseconds. */
 export type Millis = Branded<number, 'Millis'>;
-/** A length of time in seconds, as the wire gives it. */
+/** A duration in seconds, as in messages and settings. */
 export type Seconds = Branded<number, 'Seconds'>;
-/** Name of a job, as its user chose it. */
+/** Name of a job, chosen by its user. */
 export type JobId = Branded<string, 'JobId'>;
-/** Number of a task within its job, from 0. */
+/** Index of a task within its job, from 0. */
 export type TaskIndex = Branded<number, 'TaskIndex'>;
-/** `job/index`, the name of one task. */
+/** Name of a task: `job/index`. */
 export type TaskId = Branded<string, 'TaskId'>;
-/** Name of a machine, as the cloud gave it. */
+/** Name of a machine, assigned by the cloud. */
 export type MachineId = Branded<string, 'MachineId'>;
 /** Name of a controller. */
 export type ControllerId = Branded<string, 'ControllerId'>;
-/** One start of a controller process. */
+/** Identifies one start of a controller process. */
 export type Incarnation = Branded<string, 'Incarnation'>;
-/** Number of a shard: it is the home shard of the controller at that place in the order of names, from 0. */
+/** Number of a shard, from 0: shard `n` is the home shard of the `n`th controller in the order of their names. */
 export type ShardId = Branded<number, 'ShardId'>;
 /** Name of a team, as in the settings. */
 export type TeamId = Branded<string, 'TeamId'>;
@@ -35,77 +35,77 @@
 export type InstanceTypeId = Branded<string, 'InstanceTypeId'>;
 /** Name of an image that tasks run. */
 export type ImageId = Branded<string, 'ImageId'>;
-/** `host:port`. */
+/** A network address, `host:port`. */
 export type Address = Branded<string, 'Address'>;
-/** Grows with every change of a shard's leadership: a worker obeys only the highest one that it has seen. */
+/** Increases with every change of a shard's leadership: a worker obeys only the highest token that it has seen. */
 export type FencingToken = Branded<number, 'FencingToken'>;
-/** Numbers one start of one task. No controller ever gives a number twice; a later start has a larger one. */
+/** Identifies one start of a task. No controller assigns a number twice; a later start has a larger number. */
 export type Attempt = Branded<number, 'Attempt'>;
-/** Of a worker; it grows each time the worker's lease expires, which ends all of its tasks. */
+/** Epoch of a worker; it increases each time the worker's lease expires, which ends all of its tasks. */
 export type AgentEpoch = Branded<number, 'AgentEpoch'>;
-/** Number of a worker's message within its epoch: of two messages the one with the larger (epoch, number) is newer. */
+/** Sequence number of a worker's message within its epoch: the message with the larger (epoch, number) is newer. */
 export type Sequence = Branded<number, 'Sequence'>;
-/** A revision of the store; that of a key is the one that last changed it. */
+/** A revision of the store. The revision of a key is the one at which it was last changed. */
 export type Revision = Branded<number, 'Revision'>;
-/** A lease in the store, with which its keys go. */
+/** A lease in the store; its keys are deleted when it expires. */
 export type LeaseId = Branded<number, 'LeaseId'>;
 /** A key in the store. */
 export type StoreKey = Branded<string, 'StoreKey'>;
 /** Idempotency key of a request for machines. */
 export type RentalId = Branded<string, 'RentalId'>;
 
-/** A reading of the steady clock. */
+/** Brands a number as a time on the monotonic clock, in milliseconds. */
 export const steady = (n: number): SteadyMs => n as SteadyMs;
-/** A length in milliseconds. */
+/** Brands a number as a duration in milliseconds. */
 export const millis = (n: number): Millis => n as Millis;
-/** A length in seconds. */
+/** Brands a number as a duration in seconds. */
 export const seconds = (n: number): Seconds => n as Seconds;
-/** The same length in milliseconds. */
-export const toMillis = (length: Seconds): Millis => (length * 1000) as Millis;
-/** The time so much later. */
+/** Converts a duration from seconds to milliseconds. */
+export const toMillis = (duration: Seconds): Millis => (duration * 1000) as Millis;
+/** Returns the time that is `delay` after `time`. */
 export const plus = (time: SteadyMs, delay: Millis): SteadyMs => (time + delay) as SteadyMs;
-/** The time between the two, negative if `now` is earlier. */
+/** Returns the time from `then` to `now`, negative if `now` is earlier. */
 export const elapsed = (now: SteadyMs, then: SteadyMs): Millis => (now - then) as Millis;
-/** The number as a shard. */
+/** Brands a number as the number of a shard. */
 export const shardId = (n: number): ShardId => n as ShardId;
-/** The number as a task index. */
+/** Brands a number as a task index. */
 export const taskIndex = (n: number): TaskIndex => n as TaskIndex;
-/** The number as a revision. */
+/** Brands a number as a revision. */
 export const revision = (n: number): Revision => n as Revision;
-/** The number as a fencing token. */
+/** Brands a number as a fencing token. */
 export const fencingToken = (n: number): FencingToken => n as FencingToken;
-/** The number as an attempt. */
+/** Brands a number as an attempt. */
 export const attempt = (n: number): Attempt => n as Attempt;
-/** The text as a key. */
+/** Brands a string as a key in the store. */
 export const storeKey = (s: string): StoreKey => s as StoreKey;
-/** Of a key that does not exist. */
+/** The revision of a key that does not exist. */
 export const NO_REVISION = 0 as Revision;
 
-/** The name of a task. */
+/** Returns the name of a task. */
 export function taskId(job: JobId, index: TaskIndex): TaskId {
   return `${job}/${index}` as TaskId;
 }
 
-/** Splits the name of a task, `job/index`, into its parts; null: the text has another form. */
+/** Splits the name of a task, `job/index`, into job and index. Returns null if the text does not have this form. */
 export function splitTaskId(text: string): { job: JobId; index: TaskIndex } | null {
-  const cut = text.lastIndexOf('/');
-  const digits = text.slice(cut + 1);
-  if (cut <= 0 || !/^(0|[1-9][0-9]{0,5})$/.test(digits)) return null;
-  return { job: text.slice(0, cut) as JobId, index: Number(digits) as TaskIndex };
+  const slash = text.lastIndexOf('/');
+  const digits = text.slice(slash + 1);
+  if (slash <= 0 || !/^(0|[1-9][0-9]{0,5})$/.test(digits)) return null;
+  return { job: text.slice(0, slash) as JobId, index: Number(digits) as TaskIndex };
 }
 
-/** The time of this process and its timers; tests and the simulation give their own. */
+/** Clock and timers of the process; tests and the simulation substitute their own. */
 export interface Clock {
-  /** Never goes back, whatever is done to the time of day. */
+  /** Returns a monotonic time, which changes of the time of day do not affect. */
   now(): SteadyMs;
-  /** Runs the function once, after the delay, unless it is cancelled before. */
+  /** Runs the function once after the delay, unless the timer is cancelled before. */
   after(delay: Millis, run: () => void): { cancel(): void };
 }
 
-/** The clock of the process itself. */
+/** The real clock of the process. */
 export const systemClock: Clock = {
   now: () => performance.now() as SteadyMs,
-  /** Runs the function once, after the delay, unless it is cancelled before. */
+  /** Runs the function once after the delay, unless the timer is cancelled before. */
   after(delay, run) {
     const timer = setTimeout(run, Math.max(0, delay));
     return { cancel: () => clearTimeout(timer) };
