--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -1,7 +1,7 @@
 /**
  * Scales the shards that this controller leads: requests machines for tasks that find no capacity, and deletes machines
- * that are idle, interrupted, failed or silent. What to request and to delete is decided in `scale-out-plan.ts` and
- * `scale-in.ts`.
+ * that are idle, interrupted, failed or silent. `scale-out-plan.ts` decides which machines to request, and
+ * `scale-in.ts` which to delete.
  */
 import type { ScaleOutRequest } from '../cloud/wire.js';
 import type { Core } from '../core.js';
@@ -24,22 +24,22 @@
 } from './scale-out-plan.js';
 import { assessLiveness, scaleInReason, type ScaleInContext, type ShardLiveness } from './scale-in.js';
 
-/** How long a kind of machine that the cloud had none of is not requested again. */
+/** Backoff before a kind of machine for which the cloud had no capacity is requested again. */
 const NO_CAPACITY_BACKOFF_MS = 12_000;
 const NO_CAPACITY_BACKOFF_JITTER = 0.25;
-/** How long a request without an answer waits before it is repeated under the same key. */
+/** Delay before a request without an answer is repeated with the same idempotency key. */
 const REQUEST_RETRY_DELAY_MS = 3000;
 const REQUEST_RETRY_JITTER = 0.3;
 const MAX_REQUEST_ATTEMPTS = 4;
-/** Requests for a shard are at least this far apart. */
+/** Minimum time between two requests for the same shard. */
 const SCALE_OUT_INTERVAL_MS = 400;
 
-/** Requests and deletes machines. */
+/** Requests and deletes machines for the shards that this controller leads. */
 export class Autoscaler {
   private readonly pendingMachines: PendingMachines;
   private readonly deletions: MachineDeletionService;
   private readonly listingReview: ListingReview;
-  /** By kind of machine. */
+  /** Time until which a kind of machine is not requested, by `machineKindKey`. */
   private readonly backedOffUntil = new Map<string, number>();
   private readonly demands = new Map<ShardId, CapacityDemand[]>();
   private readonly shardsScalingOut = new Set<ShardId>();
@@ -50,7 +50,7 @@
     private readonly core: Core,
     private readonly runtimeEstimator: RuntimeEstimator,
     onMachineDeleted: (shard: Shard, machine: Machine) => void,
-    /** The machine sends heartbeats and its registration is queued: it is not unused. */
+    /** Returns whether a machine sends heartbeats and waits for its registration; it is then not unused. */
     awaitsRegistration: (id: MachineId) => boolean,
   ) {
     this.pendingMachines = new PendingMachines(core);
@@ -58,20 +58,20 @@
     this.listingReview = new ListingReview(core, this.pendingMachines, this.deletions, awaitsRegistration);
   }
 
-  /** Replaces the demand of a shard by what its last scheduling cycle could not place. */
+  /** Replaces the demand of a shard by the tasks that its last scheduling cycle could not place for lack of capacity. */
   updateDemand(shard: Shard, unplaced: readonly UnplacedTasks[], now: SteadyMs): void {
     const demands: CapacityDemand[] = [];
-    for (const entry of unplaced) {
-      if (entry.reason !== 'capacity') continue;
-      const { spec, waitingSince } = entry.job;
+    for (const unplacedTasks of unplaced) {
+      if (unplacedTasks.reason !== 'capacity') continue;
+      const { spec, waitingSince } = unplacedTasks.job;
       const waitedMs = now - (waitingSince ?? now);
-      for (const [zone, count] of unplacedByZone(entry))
+      for (const [zone, count] of unplacedByZone(unplacedTasks))
         demands.push({ spec, requiredZone: zone, count, waitedMs });
     }
     this.demands.set(shard.id, demands);
   }
 
-  /** Requests machines where they are needed; to be called a few times a second. */
+  /** Requests machines for shards with demand; to be called a few times a second. */
   scaleOutShards(): void {
     const now = this.core.clock.now();
     for (const shard of this.core.shards.values()) {
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Looks at every machine and deletes those that are due; to be called once a second. */
+  /** Checks every machine and starts to delete those with a reason to; to be called once a second. */
   scaleInShards(): void {
     const now = this.core.clock.now();
     for (const shard of this.core.shards.values()) {
@@ -91,12 +91,12 @@
     }
   }
 
-  /** The machine is registered in the store, or will not come. */
+  /** Removes a pending machine that is registered in the store, or is no longer expected. */
   forgetPending(id: MachineId): void {
     this.pendingMachines.forget(id);
   }
 
-  /** Deletes unused machines from the cloud's list, for the lifetime of the process. */
+  /** Runs the listing review, which deletes failed and unused machines, for the lifetime of the process. */
   runListing(): Promise<never> {
     return this.listingReview.run();
   }
@@ -110,7 +110,7 @@
     if (!decision) return;
     this.lastScaleOutAt.set(shard.id, now);
     this.shardsScalingOut.add(shard.id);
-    // Never rejects: a failed request is an outcome. The shard may scale out again once it has ended.
+    // Never rejects: failures are returned as results. The shard may scale out again once the request has ended.
     void this.requestMachines(shard.id, { ...decision, idempotencyKey: this.nextRequestKey(shard) }).finally(
       () => this.shardsScalingOut.delete(shard.id),
     );
@@ -128,7 +128,7 @@
     });
   }
 
-  /** Never repeated: no other leader has the fencing token, and this one counts its requests. */
+  /** Returns a unique key: no other leader has this fencing token, and this leader counts its requests. */
   private nextRequestKey(shard: Shard): RentalId {
     this.requestCount += 1;
     return `c${shard.id}-${shard.fencingToken}-${this.requestCount}` as RentalId;
@@ -188,7 +188,7 @@
   }
 }
 
-/** How many of the unplaced tasks require each zone; null: any zone. */
+/** Counts the unplaced tasks by the zone that they require; null: any zone. */
 function unplacedByZone(unplaced: UnplacedTasks): Map<ZoneId | null, number> {
   if (unplaced.indices === 'all') return new Map([[null, unplacedCount(unplaced)]]);
   const countByZone = new Map<ZoneId | null, number>();
--- a/src/autoscaling/codec.ts
+++ b/src/autoscaling/codec.ts
@@ -1,11 +1,11 @@
 /**
- * Maps the catalog of instance types to what the store keeps of it, for a start while the cloud is away. Versions of
- * the software read each other's records: the field names stay as they are here.
+ * Encodes the catalog of instance types for the store, from which a controller reads it if it starts while the cloud is
+ * down. Different versions of the software read each other's records, so the field names must not change.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import { RESOURCE_KINDS } from '../model/resources.js';
 
-/** An instance type as the store keeps it. */
+/** An instance type as it is stored. */
 interface StoredType {
   readonly name: InstanceType['name'];
   readonly cpus: number;
@@ -19,7 +19,7 @@
   readonly zones: InstanceType['zones'];
 }
 
-/** The value of `CATALOG_KEY`. */
+/** Returns the value of `CATALOG_KEY`. */
 export function encodeCatalog(types: readonly InstanceType[]): { readonly types: readonly StoredType[] } {
   return { types: types.map(encodeType) };
 }
@@ -39,7 +39,7 @@
   };
 }
 
-/** null: the value cannot be read, or one of its types has no name or an amount is missing. */
+/** Returns null if the value cannot be read, or if a type lacks its name or an amount of a resource. */
 export function decodeCatalog(value: unknown): InstanceType[] | null {
   const types = (value as { types?: StoredType[] } | null)?.types;
   return Array.isArray(types) && types.every(isComplete) ? types.map(decodeType) : null;
--- a/src/autoscaling/instance-types.ts
+++ b/src/autoscaling/instance-types.ts
@@ -1,4 +1,4 @@
-/** Keeps the catalog of instance types: read from the cloud, and stored for a start while the cloud is down. */
+/** Keeps the catalog of instance types: reads it from the cloud, and stores it for starts while the cloud is down. */
 import type { InstanceType } from '../cloud/wire.js';
 import type { Core } from '../core.js';
 import { decodeCatalog, encodeCatalog } from './codec.js';
@@ -7,17 +7,18 @@
 import { millis, type InstanceTypeId, type SteadyMs } from '../model/units.js';
 
 const REFRESH_INTERVAL_MS = 60_000;
-/** Between two looks at whether a refresh is due, with a catalog and before there is one. */
+/** Interval between checks whether a refresh is due. */
 const CHECK_INTERVAL = millis(5000);
+/** The same interval as long as the catalog is empty. */
 const FIRST_CHECK_INTERVAL = millis(500);
 
-/** Fills `Core.types`. */
+/** Reads the catalog periodically and fills `Core.types`. */
 export class InstanceTypeCatalog {
   private refreshedAt: SteadyMs | null = null;
 
   constructor(
     private readonly core: Core,
-    /** The map behind `core.types`, which this class alone writes. */
+    /** The map behind `core.types`; no other class writes to it. */
     private readonly types: Map<InstanceTypeId, InstanceType>,
   ) {}
 
@@ -43,7 +44,7 @@
     await this.storeTypes(types);
   }
 
-  /** A restart while the cloud is down needs the stored catalog to schedule at all. */
+  /** After a restart while the cloud is down, nothing can be scheduled without the stored catalog. */
   private loadStoredTypes(): void {
     const entry = this.core.storeCache.get(CATALOG_KEY);
     const types = entry ? decodeCatalog(entry.value) : null;
@@ -56,7 +57,7 @@
     this.core.requestCycle();
   }
 
-  /** Writes the catalog where it differs from the stored one and fits into a value. */
+  /** Stores the catalog if it differs from the stored one and fits into a value. */
   private async storeTypes(types: readonly InstanceType[]): Promise<void> {
     const { core } = this;
     const stored = core.storeCache.get(CATALOG_KEY);
@@ -76,6 +77,6 @@
   }
 }
 
-/** What must change for the catalog to be stored again. */
+/** The fields of the catalog whose change causes it to be stored again, as a string. */
 const fingerprint = (types: readonly InstanceType[] | null): string =>
   JSON.stringify(types?.map(({ name, cpus, gpus, memoryGb, zones }) => [name, cpus, gpus, memoryGb, zones]));
--- a/src/autoscaling/listing-review.ts
+++ b/src/autoscaling/listing-review.ts
@@ -1,6 +1,7 @@
 /**
- * Reviews the cloud's list of machines: deletes those that have failed, and those that no shard uses, because they never
- * booted or were granted by a request whose answer came late. Relies on the watch cache to tell which are in use.
+ * Reviews the cloud's list of machines: deletes machines that have failed, and machines that no shard uses because they
+ * never booted or were granted by a request whose answer was lost or late. Relies on the watch cache to tell which
+ * machines are in use.
  */
 import type { ListedMachine } from '../cloud/wire.js';
 import type { Core } from '../core.js';
@@ -10,30 +11,30 @@
 import { withJitter } from './jitter.js';
 import type { MachineDeletionService } from './machine-deletion.js';
 import { bootTimeMs, type PendingMachines } from './pending-machines.js';
-import { unlistedCheck } from './scale-in.js';
+import { createUnlistedCheck } from './scale-in.js';
 
 const LIST_INTERVAL_MS = 5000;
 const LIST_INTERVAL_JITTER = 0.2;
-/** A machine must have been seen unused for this long: its registration may be on the way to the watch cache. */
+/** A machine must have been unused for this long: its registration may not have reached the watch cache yet. */
 const MIN_UNUSED_MS = 3000;
-/** An unregistered machine counts as unused after so many times its boot time, if this controller requested it. */
+/** A machine that this controller requested counts as unused if it is unregistered after this many boot times. */
 const PENDING_BOOT_TIMES = 4;
-/** The same for any other machine, and some time more: another controller may have requested it. */
+/** Number of boot times for other machines, plus an extra time: another controller may have requested the machine. */
 const FOREIGN_BOOT_TIMES = 5;
 const FOREIGN_EXTRA_MS = 15_000;
 
-/** Lists the machines periodically and deletes what nobody uses. */
+/** Lists the machines of the cloud periodically and deletes the failed and unused ones. */
 export class ListingReview {
-  /** Machines that no shard used when they were listed, and since when. */
+  /** Listed machines that no shard uses, with the time since when. */
   private readonly unusedSince = new Map<MachineId, SteadyMs>();
-  /** Does the last list prove that the cloud has the machine no more? */
+  /** Returns whether the last list proves that the machine no longer exists. */
   isUnlisted: (id: MachineId) => boolean = () => false;
 
   constructor(
     private readonly core: Core,
     private readonly pendingMachines: PendingMachines,
     private readonly deletions: MachineDeletionService,
-    /** The machine sends heartbeats and its registration is queued: it is not unused. */
+    /** Returns whether a machine sends heartbeats and waits for its registration; it is then not unused. */
     private readonly awaitsRegistration: (id: MachineId) => boolean,
   ) {}
 
@@ -47,8 +48,8 @@
   }
 
   /**
-   * Needs a current watch cache, since without one every machine looks unused: a process that starts while the store
-   * is down must not delete the whole fleet.
+   * Requires an up-to-date watch cache, since with an empty one every machine looks unused: a process that starts while
+   * the store is down must not delete the whole fleet.
    */
   private async review(listed: readonly ListedMachine[]): Promise<void> {
     const { core } = this;
@@ -57,11 +58,11 @@
       this.unusedSince.clear();
       return;
     }
-    this.isUnlisted = unlistedCheck(listed, core.settings.listLagS);
+    this.isUnlisted = createUnlistedCheck(listed, core.settings.listLagS);
     const unusedIds: MachineId[] = [];
     for (const machine of listed) {
       const entry = core.storeCache.get(machineKey(machine.id));
-      if (entry && this.isOnOwnShard(machine, entry.value)) continue;
+      if (entry && this.handleOwnMachine(machine, entry.value)) continue;
       if (!entry && this.isUnused(machine, now)) unusedIds.push(machine.id);
     }
     this.forgetUnlisted(listed);
@@ -71,8 +72,8 @@
     if (await core.cloud.scaleIn(unusedIds)) for (const id of unusedIds) this.pendingMachines.forget(id);
   }
 
-  /** Is the machine on a shard that this controller leads? Then it is deleted if it has failed. */
-  private isOnOwnShard(listed: ListedMachine, record: unknown): boolean {
+  /** Returns whether this controller leads the shard of the machine; starts to delete the machine if it has failed. */
+  private handleOwnMachine(listed: ListedMachine, record: unknown): boolean {
     const shard = this.core.shards.get(decodeMachineRecord(record)?.shard as ShardId);
     const machine = shard?.machines.get(listed.id);
     if (!shard || !machine) return false;
@@ -80,18 +81,18 @@
     return true;
   }
 
-  /** Is the machine, which no record names, one that nobody will use? */
+  /** Returns whether a machine without a record in the store can be deleted because no shard will use it. */
   private isUnused(listed: ListedMachine, now: SteadyMs): boolean {
     const { core } = this;
     return (
       !this.awaitsRegistration(listed.id) &&
       !core.retiredMachines.has(listed.id) &&
       listed.ageS * 1000 > this.maxUnregisteredMs(listed) &&
-      this.unusedForMs(listed.id, now) > MIN_UNUSED_MS
+      this.unusedDurationMs(listed.id, now) > MIN_UNUSED_MS
     );
   }
 
-  /** How old the machine may be without being registered. */
+  /** Returns the age up to which the machine may be unregistered, in milliseconds. */
   private maxUnregisteredMs({ id, type, state }: ListedMachine): number {
     if (state === 'failed') return 0;
     const bootMs = bootTimeMs(this.core, type);
@@ -100,10 +101,10 @@
       : FOREIGN_BOOT_TIMES * bootMs + FOREIGN_EXTRA_MS;
   }
 
-  private unusedForMs(id: MachineId, now: SteadyMs): number {
-    const firstSeen = this.unusedSince.get(id) ?? now;
-    this.unusedSince.set(id, firstSeen);
-    return now - firstSeen;
+  private unusedDurationMs(id: MachineId, now: SteadyMs): number {
+    const firstSeenAt = this.unusedSince.get(id) ?? now;
+    this.unusedSince.set(id, firstSeenAt);
+    return now - firstSeenAt;
   }
 
   private forgetUnlisted(listed: readonly ListedMachine[]): void {
--- a/src/autoscaling/machine-deletion.ts
+++ b/src/autoscaling/machine-deletion.ts
@@ -1,6 +1,7 @@
 /**
- * Deletes machines: asks the cloud until it confirms, releases what the shard held on the machine, and drops its record
- * in the store. Only the cloud's confirmation proves that the tasks are gone, so nothing is released before it.
+ * Deletes machines: repeats the request until the cloud confirms the deletion, releases the allocations of the machine,
+ * and deletes its record in the store. Only the confirmation of the cloud proves that the tasks are gone, so nothing is
+ * released before.
  */
 import type { Core } from '../core.js';
 import type { Machine, Shard } from '../shards/model.js';
@@ -10,20 +11,20 @@
 import { millis } from '../model/units.js';
 import { withJitter } from './jitter.js';
 
-/** Deletions within this time share a request. */
+/** Deletions within this time share one request. */
 const DELETION_BATCH_WINDOW = millis(50);
-/** The cloud takes no more machines in one request. */
+/** The most machines that the cloud accepts in one request. */
 const MAX_DELETION_BATCH = 100;
 const MIN_RETRY_DELAY_MS = 500;
 const MAX_RETRY_DELAY_MS = 5000;
 const RETRY_JITTER = 0.3;
-/** Attempts to drop the record: what is left of it afterwards a later leader finds and deletes. */
-const MAX_DROP_ATTEMPTS = 20;
-const DROP_RETRY_DELAY = millis(500);
+/** Attempts to delete the record; a later leader of the shard deletes a record that is left over. */
+const MAX_RECORD_DELETION_ATTEMPTS = 20;
+const RECORD_DELETION_RETRY_DELAY = millis(500);
 
 interface DeletionBatch {
   readonly ids: MachineId[];
-  /** Has the cloud confirmed? */
+  /** Resolves to whether the cloud has confirmed the deletion. */
   readonly confirmed: Promise<boolean>;
 }
 
@@ -38,13 +39,14 @@
   ) {}
 
   /**
-   * Starts to delete the machine, unless that has begun. A deletion that was asked for may be carried out at any later
-   * time, so the machine takes no more tasks from here on, whatever the cloud answers.
+   * Starts to delete the machine, unless its deletion has already started. A requested deletion may be carried out at
+   * any later time, so from now on the machine takes no more tasks, whatever the cloud answers.
    */
   start(shard: Shard, machine: Machine): void {
     if (machine.scalingIn) return;
     machine.scalingIn = true;
-    // Never rejects: failures of cloud and store are outcomes, and each loop ends with the leadership of the shard.
+    // Never rejects: failures of the cloud and the store are returned as results, and each loop ends when this
+    // controller loses the shard.
     void this.deleteMachine(shard, machine);
   }
 
@@ -60,7 +62,7 @@
       if (shard.machines.get(machine.id) === machine) this.onMachineDeleted(shard, machine);
     });
     const key = machineKey(machine.id);
-    for (let attempt = 0; attempt < MAX_DROP_ATTEMPTS; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_RECORD_DELETION_ATTEMPTS; attempt += 1) {
       const version = core.storeCache.version(key);
       if (version === 0 || core.shards.get(shard.id) !== shard) return;
       const result = await core.store.compareAndSwap(
@@ -70,11 +72,13 @@
       );
       if (result.kind === 'done')
         return core.exclusive(() => core.storeCache.apply(key, undefined, result.revision));
-      await core.sleep(DROP_RETRY_DELAY);
+      await core.sleep(RECORD_DELETION_RETRY_DELAY);
     }
   }
 
-  /** Joins the open batch, or opens one: many machines are deleted at once, and calls to the cloud are limited. */
+  /**
+   * Adds the machine to the open batch: many machines are deleted at once, and requests to the cloud are rate-limited.
+   */
   private requestDeletion(id: MachineId): Promise<boolean> {
     if (!this.openBatch || this.openBatch.ids.length >= MAX_DELETION_BATCH) this.openBatch = this.newBatch();
     this.openBatch.ids.push(id);
--- a/src/autoscaling/scale-in.ts
+++ b/src/autoscaling/scale-in.ts
@@ -1,36 +1,38 @@
 /**
- * Decides which machines are deleted, and why. Pure but for what it remembers on a machine (idle since when, missed
- * requests). Machines behind a network partition are not lost: hundreds may be cut off in the same second, and must be
- * neither deleted together nor replaced.
+ * Decides which machines are deleted, and why. Pure except that it updates `idleSince` and `missedDirectRequests` of a
+ * machine. Machines behind a network partition are not lost: hundreds may become unreachable in the same second, and
+ * must be neither deleted together nor replaced.
  */
 import type { ListedMachine } from '../cloud/wire.js';
 import type { Machine, Shard } from '../shards/model.js';
 import type { MachineId, Millis, Seconds, SteadyMs, ZoneId } from '../model/units.js';
 
-/** After a failover a machine that misses so many direct requests is taken for lost. */
+/** After a failover, a machine that leaves this many direct requests unanswered is considered lost. */
 const MAX_MISSED_REQUESTS = 3;
-/** More than this share of a shard's machines silent at once: a partition, and this controller may be on its far side. */
+/**
+ * If more than this share of a shard's machines is silent, there is a partition, or this controller itself is cut off.
+ */
 const MAX_SILENT_FRACTION = 0.03;
-/** Longer than most partitions that heal by themselves. */
+/** Minimum time that a machine is unreachable before it is deleted; most partitions end sooner. */
 const UNREACHABLE_TIMEOUT_MS = 30_000;
-/** An unreachable machine is deleted after so many times that, even if no machine can be reached. */
+/** After this many times the timeout, an unreachable machine is deleted even if no machine is reachable. */
 const UNREACHABLE_TIMEOUT_FACTOR = 4;
-/** A machine on which so many tasks have failed lately is taken for faulty. */
+/** A machine on which this many tasks have failed recently is considered faulty. */
 const MAX_TASK_FAULTS = 4;
-/** Silent: no heartbeat for so many intervals, and for at least so long. */
+/** A machine is silent if no message has arrived for this many heartbeat intervals and for at least `MIN_SILENT_MS`. */
 const SILENT_AFTER_INTERVALS = 3.2;
 const MIN_SILENT_MS = 5000;
-/** Heard: the last heartbeat is at most so many intervals old. */
-const HEARD_WITHIN_INTERVALS = 1.5;
-/** Without a heartbeat for so many intervals past its announced end, a spot machine was interrupted. */
+/** A machine is live if its last message is less than this many heartbeat intervals old. */
+const LIVE_WITHIN_INTERVALS = 1.5;
+/** A spot machine past its announced end was interrupted if it has sent nothing for this many heartbeat intervals. */
 const INTERRUPTED_AFTER_INTERVALS = 2;
-/** In a partition silent machines are kept this many times as long. */
+/** During a partition, the timeout for silent machines is multiplied by this. */
 const PARTITION_TIMEOUT_FACTOR = 2;
-/** A machine shows in the cloud's list this many times the list's lag after its creation, and some seconds more. */
+/** A machine appears in the cloud's list within this many times the lag of the list, plus an extra time. */
 const LISTED_AFTER_LAGS = 2;
 const LISTED_AFTER_EXTRA_S = 5;
 
-/** Why a machine is deleted, as the log tells it. */
+/** Why a machine is deleted, as it is logged. */
 export type ScaleInReason =
   | 'interrupted'
   | 'not listed any more'
@@ -41,34 +43,34 @@
   | 'tasks fail on it'
   | 'idle';
 
-/** What the decision reads beside the shard. */
+/** Input of the scale-in decision, in addition to the shard. */
 export interface ScaleInContext {
   readonly now: SteadyMs;
   /** The interval between two heartbeats, in milliseconds. */
   readonly heartbeatIntervalMs: number;
-  /** How long a machine may be idle. */
+  /** How long a machine may be idle before it is deleted. */
   readonly idleTimeout: Millis;
-  /** How long a machine may send no heartbeat. */
+  /** How long a machine may be silent before it is deleted. */
   readonly silenceTimeout: Millis;
-  /** Tasks of the shard wait for capacity. */
+  /** Whether tasks of the shard wait for capacity. */
   readonly hasPendingDemand: boolean;
-  /** Without the store nobody knows which tasks wait, and the machine's record cannot be dropped. */
+  /** Whether the store answers: without it the waiting tasks are unknown, and a machine's record cannot be deleted. */
   readonly storeHealthy: boolean;
-  /** The cloud's list shows machines that were created later, and not this one. */
+  /** Returns whether the cloud's list shows machines that were created later, but not this machine. */
   readonly isUnlisted: (id: MachineId) => boolean;
 }
 
-/** Counted once over all machines of a shard, so that the decision on one of them does not walk over the others. */
+/** Liveness of a shard's machines, counted once so that the decision on each machine need not iterate over the others. */
 export interface ShardLiveness {
-  readonly heardByZone: ReadonlyMap<ZoneId, number>;
-  readonly heardMachineIds: ReadonlySet<MachineId>;
+  readonly liveCountByZone: ReadonlyMap<ZoneId, number>;
+  readonly liveMachineIds: ReadonlySet<MachineId>;
   readonly reachableMachines: number;
-  /** On-demand machines that are not being deleted; lowered by each decision. */
+  /** On-demand machines that are not being deleted; each decision to delete one of them decrements it. */
   remainingOnDemand: number;
-  /** At most so many on-demand machines are silent at a time without a partition. */
+  /** If more on-demand machines than this are silent at once, there is a partition. */
   readonly maxSilentOnDemand: number;
   readonly silentOnDemand: number;
-  /** Not heard since this controller became the leader. */
+  /** On-demand machines that have sent nothing since this controller became the leader of the shard. */
   readonly missingOnDemand: number;
 }
 
@@ -76,18 +78,18 @@
   context.now - (machine.lastHeardAt ?? machine.addedAt) >
   Math.max(SILENT_AFTER_INTERVALS * context.heartbeatIntervalMs, MIN_SILENT_MS);
 
-/** Counts the machines of a shard that are heard, reachable, silent and missing. */
+/** Counts the live, reachable, silent and missing machines of a shard. */
 export function assessLiveness(shard: Shard, context: ScaleInContext): ShardLiveness {
-  const heardByZone = new Map<ZoneId, number>();
-  const heardMachineIds = new Set<MachineId>();
+  const liveCountByZone = new Map<ZoneId, number>();
+  const liveMachineIds = new Set<MachineId>();
   const counts = { reachableMachines: 0, remainingOnDemand: 0, silentOnDemand: 0, missingOnDemand: 0 };
   for (const machine of shard.machines.values()) {
     if (
       machine.lastHeardAt !== null &&
-      context.now - machine.lastHeardAt < HEARD_WITHIN_INTERVALS * context.heartbeatIntervalMs
+      context.now - machine.lastHeardAt < LIVE_WITHIN_INTERVALS * context.heartbeatIntervalMs
     ) {
-      heardByZone.set(machine.zone, (heardByZone.get(machine.zone) ?? 0) + 1);
-      heardMachineIds.add(machine.id);
+      liveCountByZone.set(machine.zone, (liveCountByZone.get(machine.zone) ?? 0) + 1);
+      liveMachineIds.add(machine.id);
     }
     if (machine.unreachableSince === null && machine.lastHeardAt !== null) counts.reachableMachines += 1;
     if (machine.spot) continue;
@@ -97,18 +99,18 @@
   }
   const maxSilentOnDemand = Math.max(1, Math.floor(shard.machines.size * MAX_SILENT_FRACTION));
   return {
-    heardByZone,
-    heardMachineIds,
+    liveCountByZone,
+    liveMachineIds,
     maxSilentOnDemand,
     ...counts,
   };
 }
 
-/** When a whole zone is silent, the network is at fault: its machines and their tasks are probably well. */
-const othersHeardInZone = (machine: Machine, liveness: ShardLiveness): boolean =>
-  (liveness.heardByZone.get(machine.zone) ?? 0) - (liveness.heardMachineIds.has(machine.id) ? 1 : 0) > 0;
+/** If a whole zone is silent, the cause is the network: its machines and their tasks are probably still running. */
+const hasOtherLiveMachineInZone = (machine: Machine, liveness: ShardLiveness): boolean =>
+  (liveness.liveCountByZone.get(machine.zone) ?? 0) - (liveness.liveMachineIds.has(machine.id) ? 1 : 0) > 0;
 
-/** Why the machine is to be deleted, or null; counts it off `remainingOnDemand`. */
+/** Returns why the machine is to be deleted, or null; decrements `remainingOnDemand` for an on-demand machine. */
 export function scaleInReason(
   shard: Shard,
   machine: Machine,
@@ -127,25 +129,25 @@
   context: ScaleInContext,
 ): ScaleInReason | null {
   const silentMs = context.now - (machine.lastHeardAt ?? machine.addedAt);
-  // An interrupted machine never comes back: the cloud's confirmation proves that its tasks are gone.
+  // An interrupted machine does not return: once the cloud confirms the deletion, its tasks are certainly gone.
   if (
     machine.interruptedAt !== null &&
     context.now > machine.interruptedAt &&
     silentMs > INTERRUPTED_AFTER_INTERVALS * context.heartbeatIntervalMs
   )
     return 'interrupted';
-  const neverHeard = machine.lastHeardAt === null && machine.missedDirectRequests > 0;
+  const neverResponded = machine.lastHeardAt === null && machine.missedDirectRequests > 0;
   if (
-    (neverHeard || silentMs > HEARD_WITHIN_INTERVALS * context.heartbeatIntervalMs) &&
+    (neverResponded || silentMs > LIVE_WITHIN_INTERVALS * context.heartbeatIntervalMs) &&
     context.isUnlisted(machine.id)
   )
     return 'not listed any more';
-  // Spot machines may all be interrupted at once, on-demand ones are not: silent together with many of those, spot
-  // machines are behind a partition.
+  // All spot machines may be interrupted at once, but on-demand machines are not interrupted: spot machines that are
+  // silent at the same time as many on-demand machines are behind a partition.
   if (
     machine.spot &&
     isSilent(machine, context) &&
-    othersHeardInZone(machine, liveness) &&
+    hasOtherLiveMachineInZone(machine, liveness) &&
     liveness.silentOnDemand <= liveness.maxSilentOnDemand
   )
     return 'spot machine silent';
@@ -173,7 +175,7 @@
   if (machine.taskFailures.length >= MAX_TASK_FAULTS) return 'tasks fail on it';
   machine.idleSince ??= context.now;
   if (machine.interruptedAt !== null || context.hasPendingDemand || !context.storeHealthy) return null;
-  // One on-demand machine stays, so that a new job does not wait for a boot.
+  // Keeps one on-demand machine, so that a new job does not wait for a machine to boot.
   if (
     context.now - machine.idleSince < context.idleTimeout ||
     (!machine.spot && liveness.remainingOnDemand <= 1)
@@ -183,27 +185,30 @@
 }
 
 /**
- * After a failover, tasks that no heartbeat has shown stay unaccounted until every machine has sent one, and a lost
- * machine never will: its deletion reconciles them. Not when many are missing, as then they, or this controller, are
- * behind a partition.
+ * Returns whether a machine has been missing since a failover and is considered lost. After a failover, tasks that no
+ * heartbeat has listed stay unaccounted until every machine has sent a heartbeat. A lost machine never sends one; its
+ * deletion reconciles its tasks. If many machines are missing, they or this controller are behind a partition, and none
+ * is considered lost.
  */
 function isMissingAfterFailover(shard: Shard, machine: Machine, liveness: ShardLiveness): boolean {
   if (machine.reconciled || shard.reconciled || machine.lastHeardAt !== null) return false;
-  // Requests missed in a partition do not count when it ends and only few machines are still missing.
-  if (liveness.missingOnDemand > liveness.maxSilentOnDemand || !othersHeardInZone(machine, liveness))
+  // Direct requests that stay unanswered during a partition must not count once it has ended and only a few machines
+  // are still missing.
+  if (liveness.missingOnDemand > liveness.maxSilentOnDemand || !hasOtherLiveMachineInZone(machine, liveness))
     machine.missedDirectRequests = 0;
   return machine.missedDirectRequests >= MAX_MISSED_REQUESTS;
 }
 
 /**
- * Its heartbeats arrive and no command reaches it, while other machines are reachable: its deletion proves that its
- * tasks are gone.
+ * Returns whether the machine sends heartbeats but no command reaches it, while other machines are reachable. Only its
+ * deletion can prove that its tasks are gone.
  */
 function isUnreachable(machine: Machine, liveness: ShardLiveness, { now }: ScaleInContext): boolean {
   if (machine.unreachableSince === null || machine.continuouslyHeardSince === null) return false;
-  // After a partition it is heard first, and has been unreachable for as long as the partition lasted.
+  // When a partition ends, heartbeats arrive before the first command gets through, and `unreachableSince` still dates
+  // from the beginning of the partition.
   const unreachableMs = now - Math.max(machine.unreachableSince, machine.continuouslyHeardSince);
-  // Behind a partition it would not be heard either.
+  // A machine that sends nothing either may be behind a partition.
   if (unreachableMs < UNREACHABLE_TIMEOUT_MS || now - (machine.lastHeardAt ?? 0) > UNREACHABLE_TIMEOUT_MS / 2)
     return false;
   return (
@@ -211,27 +216,28 @@
   );
 }
 
-/** The cloud counts its ids up: of equal length they compare as text, and a longer one is later. */
+/** The cloud assigns increasing ids: ids of equal length compare as text, and a longer id is newer. */
 const compareCreationOrder = (first: MachineId, second: MachineId): number =>
   first.length - second.length || (first < second ? -1 : first > second ? 1 : 0);
 
 /**
- * Whether the list proves that the cloud has a machine no more: it shows one that was created later, and longer ago than
- * any page of the list can lag behind.
+ * Returns a function that tells whether the list proves that a machine no longer exists: the machine is absent, and the
+ * list shows a machine that was created later, but longer ago than any page of the list can lag.
  */
-export function unlistedCheck(
+export function createUnlistedCheck(
   listed: readonly ListedMachine[],
   listLagS: Seconds,
 ): (id: MachineId) => boolean {
   const listedIds = new Set<MachineId>();
-  let newestCertain: MachineId | null = null;
+  let newestReliableId: MachineId | null = null;
   for (const machine of listed) {
     listedIds.add(machine.id);
     if (
       machine.ageS > LISTED_AFTER_LAGS * listLagS + LISTED_AFTER_EXTRA_S &&
-      (newestCertain === null || compareCreationOrder(machine.id, newestCertain) > 0)
+      (newestReliableId === null || compareCreationOrder(machine.id, newestReliableId) > 0)
     )
-      newestCertain = machine.id;
+      newestReliableId = machine.id;
   }
-  return (id) => newestCertain !== null && !listedIds.has(id) && compareCreationOrder(id, newestCertain) < 0;
+  return (id) =>
+    newestReliableId !== null && !listedIds.has(id) && compareCreationOrder(id, newestReliableId) < 0;
 }
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,7 +1,7 @@
 /**
- * Client of the cloud: rents, deletes and lists machines within this controller's share of the cloud's rate limit. It says
- * of each request what its caller may conclude and repeats only reads; no method rejects. It relies on the cloud's word
- * that a request to rent with a known idempotency key rents nothing more.
+ * Client of the cloud: rents, deletes and lists machines within this controller's share of the cloud's rate limit. Each
+ * result states what the caller may conclude. Only reads are retried, and no method rejects. The client relies on the
+ * guarantee of the cloud that a repeated request with the same idempotency key rents no further machines.
  */
 import type { Call, CallOutcome } from '../http/client.js';
 import type { Settings } from '../settings/settings.js';
@@ -34,27 +34,27 @@
 export type ScaleOutResult =
   /** Carried out: these machines are rented, which may be fewer than were asked for. */
   | { readonly kind: 'rented'; readonly machines: readonly MachineId[] }
-  /** Certainly not carried out: the cloud has no machine of this type, zone and kind. */
+  /** Certainly not carried out: the cloud has no machine of this type in this zone, as spot or on-demand as requested. */
   | { readonly kind: 'no-capacity' }
   /**
-   * Maybe carried out: never sent, refused for now, or no readable answer. The same request with the same idempotency key
-   * may be sent again and then tells which machines were rented, if any.
+   * Maybe carried out: never sent, refused for now, or no readable answer. The request may be repeated with the same
+   * idempotency key; its answer then names the machines that were rented, if any.
    */
   | { readonly kind: 'failed' };
 
-/** How long the answer to a request may take. */
+/** Timeout for the answer to a request. */
 const REQUEST_TIMEOUT = millis(4000);
-/** How long a request may be queued for the rate limit. */
+/** How long a request may wait for the rate limiter. */
 const QUEUE_TIMEOUT = millis(3000);
-/** The cloud counts its limit by another clock than this one: not all of it is used. */
+/** Share of the rate limit that is used: the cloud counts its limit by a different clock. */
 const USABLE_LIMIT_SHARE = 0.9;
-/** The cloud allows bursts of so many seconds' worth. */
+/** The cloud allows bursts of as many requests as its limit allows in this many seconds. */
 const BURST_S = 2;
-/** How often a page of the list is asked for, and how far apart. */
+/** Attempts to read a page of the list, and the delay between them. */
 const MAX_PAGE_ATTEMPTS = 4;
 const PAGE_RETRY_DELAY = millis(1000);
 
-/** The requests to the cloud and their outcomes. */
+/** Sends requests to the cloud and returns their results. */
 export class CloudClient {
   private readonly rateLimiter: RateLimiter;
 
@@ -67,14 +67,14 @@
     this.rateLimiter = new RateLimiter(clock, requestsPerS, Math.max(1, requestsPerS * BURST_S));
   }
 
-  /** The instance types with their present prices; null when nothing is known: never sent, refused or unreadable. */
+  /** Returns the instance types with their current prices, or null if the request was not sent, refused or unreadable. */
   async listInstanceTypes(): Promise<InstanceType[] | null> {
     const call: Call = { method: 'GET', path: INSTANCE_TYPES_PATH, timeout: REQUEST_TIMEOUT };
     const outcome = await this.send(call, RequestPriority.submission);
     return isOk(outcome) ? decodeInstanceTypes(outcome.body) : null;
   }
 
-  /** Rents machines, at most as many as asked for. */
+  /** Rents machines, at most as many as requested. */
   async scaleOut(request: ScaleOutRequest): Promise<ScaleOutResult> {
     const body = encodeScaleOut(request);
     const call: Call = { method: 'POST', path: SCALE_OUT_PATH, body, timeout: REQUEST_TIMEOUT };
@@ -88,9 +88,10 @@
   }
 
   /**
-   * Deletes machines, unknown ones included. True: carried out, the machines and all that ran on them are gone. False:
-   * maybe carried out for some or all of them, and may be repeated; so too for more than
-   * `MAX_MACHINES_PER_SCALE_IN`, of which only the first ones are sent.
+   * Deletes machines; ids that the cloud does not know are allowed. Returns true if the deletion was carried out: the
+   * machines and everything that ran on them are gone. Returns false if it may have been carried out for some or all of
+   * them; the request may be repeated. Of more than `MAX_MACHINES_PER_SCALE_IN` machines only the first ones are sent,
+   * and the result is false.
    */
   async scaleIn(ids: readonly MachineId[]): Promise<boolean> {
     const body = encodeScaleIn(ids.slice(0, MAX_MACHINES_PER_SCALE_IN));
@@ -100,36 +101,38 @@
   }
 
   /**
-   * Every machine that the cloud lists, read page by page; the list lags behind. Null when a page could not be read: what
-   * was read until then is no basis for concluding that a machine is missing.
+   * Returns every machine that the cloud lists, read page by page; the list lags behind. Returns null if a page could
+   * not be read, as a partial list must not be used to conclude that a machine is missing.
    */
   async listMachines(): Promise<ListedMachine[] | null> {
-    const all: ListedMachine[] = [];
+    const machines: ListedMachine[] = [];
     let after: MachineId | null = null;
     for (;;) {
       const page = await this.listPage(after);
       if (!page) return null;
-      all.push(...page.machines);
-      const last = page.machines.at(-1);
-      if (!page.more || !last) return all;
-      after = last.id;
+      machines.push(...page.machines);
+      const lastMachine = page.machines.at(-1);
+      if (!page.more || !lastMachine) return machines;
+      after = lastMachine.id;
     }
   }
 
-  /** A long list takes many pages, and other requests go first: one page that had no turn must not end it. */
+  /**
+   * Reads one page, with retries: a long list has many pages, and requests with higher priority may delay any of them.
+   */
   private async listPage(after: MachineId | null): Promise<MachinePage | null> {
     for (let attempt = 1; attempt <= MAX_PAGE_ATTEMPTS; attempt += 1) {
       const call: Call = { method: 'GET', path: listMachinesPath(after), timeout: REQUEST_TIMEOUT };
       const outcome = await this.send(call, RequestPriority.handOver);
       if (isOk(outcome)) return decodeMachineList(outcome.body);
-      // During an outage, which the cloud answers with an error, there is no point in asking for the rest of the list.
+      // During an outage the cloud answers with an error: retrying or reading the remaining pages is pointless.
       if (outcome.kind === 'answer' && !isRateLimited(outcome)) return null;
       await sleep(this.clock, PAGE_RETRY_DELAY);
     }
     return null;
   }
 
-  /** One attempt within the rate limit; `unsent`: it had no turn in time, or no connection came about. */
+  /** Sends a request once, within the rate limit. `unsent`: not granted in time, or no connection could be opened. */
   private async send(call: Call, priority: RequestPriority): Promise<CallOutcome> {
     if (!(await this.rateLimiter.acquire(1, priority, QUEUE_TIMEOUT))) return { kind: 'unsent' };
     const outcome = await this.transport.call(call);
@@ -138,7 +141,7 @@
   }
 }
 
-/** An answer that says that the request was carried out. */
+/** An answer with status 200: the request was carried out. */
 type OkAnswer = Extract<CallOutcome, { kind: 'answer' }> & { readonly status: typeof HttpStatus.ok };
 
 function isOk(outcome: CallOutcome): outcome is OkAnswer {
--- a/src/cloud/wire.ts
+++ b/src/cloud/wire.ts
@@ -1,48 +1,48 @@
 /**
- * Maps requests to the cloud and its answers to the types of the code: the only module that knows the cloud's paths and
- * field names. Decoders return null for whatever does not have the documented form; nothing here is sent.
+ * Encodes requests to the cloud and decodes its answers. This is the only module that knows the paths and field names
+ * of the cloud. Decoders return null for messages that do not have the documented form. Nothing is sent from here.
  */
 import * as v from 'valibot';
 import type { Address, MachineId, RentalId, Seconds, InstanceTypeId, ZoneId } from '../model/units.js';
 import { HttpStatus } from '../store/http-status.js';
 
-/** A kind of machine that the cloud rents out. */
+/** An instance type that the cloud offers. */
 export interface InstanceType {
   readonly name: InstanceTypeId;
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** Room for images on the machine, in GB. */
+  /** Size of the image cache on the machine, in GB. */
   readonly cacheGb: number;
-  /** Nominal speed at which images are fetched, in GB a second. */
+  /** Nominal bandwidth for fetching images, in GB per second. */
   readonly fetchGbPerS: number;
-  /** Price an hour of an ordinary machine. */
+  /** Price per hour of an on-demand machine. */
   readonly price: number;
-  /** Price an hour of a spot machine when the catalog was read; it moves. */
+  /** Price per hour of a spot machine when the catalog was read; it varies. */
   readonly spotPrice: number;
-  /** Nominal time from the request until the machine is up. */
+  /** Nominal time from the request until the machine is running. */
   readonly bootS: Seconds;
-  /** The zones that have machines of this type. */
+  /** Zones that offer this type. */
   readonly zones: readonly ZoneId[];
 }
 
-/** A machine as the cloud lists it, which lags behind. */
+/** A machine in the list of the cloud, which lags behind. */
 export interface ListedMachine {
   readonly id: MachineId;
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
-  /** Empty while the cloud names none. */
+  /** Empty as long as the cloud reports none. */
   readonly address: Address;
-  /** `failed`: stopped on its own, and listed until it is deleted. */
+  /** `failed`: the machine stopped by itself; it is listed until it is deleted. */
   readonly state: 'starting' | 'running' | 'failed';
-  /** Time since the request that rented it, when the list was made. */
+  /** Time from the request that rented the machine until the list was made. */
   readonly ageS: Seconds;
 }
 
 /** A request to rent machines of one type in one zone. */
 export interface ScaleOutRequest {
-  /** Names the request: repetitions rent nothing more. Never used again for another request, by any controller. */
+  /** Repeated requests with the same key rent no further machines. Unique among the requests of all controllers. */
   readonly idempotencyKey: RentalId;
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
@@ -50,10 +50,10 @@
   readonly count: number;
 }
 
-/** One page of the list of machines, in order of id. */
+/** One page of the list of machines, ordered by id. */
 export interface MachinePage {
   readonly machines: readonly ListedMachine[];
-  /** Whether further machines follow the last one here. */
+  /** Whether the list continues after this page. */
   readonly more: boolean;
 }
 
@@ -63,11 +63,11 @@
 export const SCALE_OUT_PATH = '/hosts';
 /** Path of requests to delete machines. */
 export const SCALE_IN_PATH = '/hosts/delete';
-/** The most machines that one request to delete may name. */
+/** The most machines in one request to delete. */
 export const MAX_MACHINES_PER_SCALE_IN = 100;
-/** Machines a page of the list, the most that the cloud allows. */
+/** Machines per page of the list; the maximum that the cloud allows. */
 const MACHINE_PAGE_SIZE = 500;
-/** The cloud's word for having no machine of the kind that was asked for. */
+/** Error text of the cloud when it has no machine as requested. */
 const NO_CAPACITY_ERROR = 'no capacity';
 
 const nonNegativeNumber = v.pipe(v.number(), v.finite(), v.minValue(0));
@@ -103,7 +103,7 @@
   hasNext: v.optional(v.nullable(v.boolean()), false),
 });
 
-/** The instance types of the catalog. */
+/** Decodes the catalog of instance types. */
 export function decodeInstanceTypes(body: unknown): InstanceType[] | null {
   const result = v.safeParse(catalogSchema, body);
   if (!result.success) return null;
@@ -121,7 +121,7 @@
   }));
 }
 
-/** The body of a request to rent machines. */
+/** Encodes the body of a request to rent machines. */
 export const encodeScaleOut = (request: ScaleOutRequest): unknown => ({
   charter: request.idempotencyKey,
   hull: request.type,
@@ -130,26 +130,26 @@
   number: request.count,
 });
 
-/** The machines that were rented. */
+/** Decodes the answer to a request to rent machines: the ids of the rented machines. */
 export function decodeScaleOut(body: unknown): MachineId[] | null {
   const result = v.safeParse(scaleOutSchema, body);
   return result.success ? (result.output.berths as MachineId[]) : null;
 }
 
-/** Whether an answer to a request to rent says that there is no machine of the kind; other refusals say nothing of it. */
+/** Returns whether the answer to a request to rent states that no such machine is available; other refusals do not. */
 export function isNoCapacity(status: number, body: unknown): boolean {
   const error = (body as { error?: unknown } | null)?.error;
   return status === HttpStatus.serviceUnavailable && error === NO_CAPACITY_ERROR;
 }
 
-/** The body of a request to delete machines. */
+/** Encodes the body of a request to delete machines. */
 export const encodeScaleIn = (ids: readonly MachineId[]): unknown => ({ berths: ids });
 
-/** Path of one page of the list: the machines behind `after`, or the first ones for null. */
+/** Returns the path of one page of the list: the machines after the id `after`, or the first page if it is null. */
 export const listMachinesPath = (after: MachineId | null): string =>
   `/hosts?${after === null ? '' : `from=${encodeURIComponent(after)}&`}most=${MACHINE_PAGE_SIZE}`;
 
-/** One page of the list of machines. */
+/** Decodes one page of the list of machines. */
 export function decodeMachineList(body: unknown): MachinePage | null {
   const result = v.safeParse(machineListSchema, body);
   if (!result.success) return null;
--- a/src/model/gang.ts
+++ b/src/model/gang.ts
@@ -13,8 +13,8 @@
   /** The latest attempt in which a task exited because the gang was not complete in time. */
   failed: Attempt | null;
   /**
-   * A task has been lost since the last report that another task still waits. The whole gang may have started in between,
-   * and the tasks of an attempt that has started do not wait for a replacement task.
+   * A task has been lost since the last report that another task still waits. The whole gang may have started in
+   * between, and the tasks of an attempt that has started do not wait for a replacement task.
    */
   mayHaveStarted: boolean;
   /** Machines on which a task of the current attempt has exited: no task of this attempt may be started there again. */
--- a/test/autoscaling/scale-in.test.ts
+++ b/test/autoscaling/scale-in.test.ts
@@ -1,9 +1,9 @@
-/** Scale-in of silent machines: interrupted spot machines, network partitions and lost machines are told apart. */
+/** Scale-in of silent machines must distinguish interrupted spot machines, network partitions and lost machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { NO_REVISION } from '../../src/model/units.js';
 import {
-  unlistedCheck,
+  createUnlistedCheck,
   assessLiveness,
   scaleInReason,
   type ScaleInContext,
@@ -16,7 +16,7 @@
 interface ShardSetup {
   readonly onDemand: number;
   readonly spot: number;
-  /** So many of each have been silent for `silentMs`. */
+  /** How many machines of each kind have been silent for `silentMs`. */
   readonly silentOnDemand: number;
   readonly silentSpot: number;
   readonly silentMs: number;
@@ -46,7 +46,7 @@
   return shard;
 }
 
-/** How many machines are to be deleted for each reason, as text. */
+/** Returns how many machines are to be deleted for each reason, as text. */
 function countScaleIns(shard: Shard, changes: Partial<ScaleInContext> = {}): string {
   const context: ScaleInContext = {
     now: NOW as never,
@@ -67,7 +67,7 @@
   return [...count].map(([reason, total]) => `${total} ${reason}`).join(', ') || 'none';
 }
 
-test('spot machines that fall silent alone were interrupted; together with on-demand ones they are partitioned', () => {
+test('silent spot machines are deleted, unless many on-demand machines are silent too: a partition', () => {
   const interrupted = { onDemand: 100, spot: 50, silentOnDemand: 0, silentSpot: 40, silentMs: 10_000 };
   assert.equal(countScaleIns(shardWith(interrupted)), '40 spot machine silent');
   const partitioned = { ...interrupted, silentOnDemand: 60 };
@@ -80,7 +80,7 @@
   assert.equal(
     countScaleIns(shardWith({ ...partitioned, silentMs: 80_000 })),
     'none',
-    'twice the timeout in a partition',
+    'the timeout is doubled in a partition',
   );
   assert.equal(
     countScaleIns(shardWith({ ...partitioned, silentOnDemand: 1, silentSpot: 0, silentMs: 80_000 })),
@@ -88,14 +88,15 @@
   );
 });
 
-test('after a failover missing machines are deleted when they are few, or only spot machines; many are a partition', () => {
+test('after a failover missing machines are deleted, unless many on-demand machines are missing: a partition', () => {
   const few = { onDemand: 100, spot: 50, silentOnDemand: 2, silentSpot: 1, silentMs: 0 };
   const missing = 'it does not answer after a failover';
   assert.equal(countScaleIns(shardWith(few, false)), `3 ${missing}`);
   assert.equal(countScaleIns(shardWith({ ...few, silentSpot: 40 }, false)), `42 ${missing}`);
   const partitioned = shardWith({ ...few, silentOnDemand: 60 }, false);
   assert.equal(countScaleIns(partitioned), 'none');
-  // The partition ends, and all but two have been heard: these have missed requests, but none since then.
+  // The partition ends, and all but two on-demand machines have sent a message. Those two left requests unanswered
+  // during the partition, but none since.
   for (const machine of [...partitioned.machines.values()].slice(2, 60)) {
     partitioned.markReconciled(machine);
     machine.lastHeardAt = NOW as never;
@@ -108,7 +109,7 @@
   assert.equal(
     countScaleIns(shardWith(all, false)),
     'none',
-    'no machine is heard: this controller is cut off',
+    'no machine is live: this controller is cut off',
   );
 });
 
@@ -116,17 +117,17 @@
   const shard = shardWith({ onDemand: 3, spot: 0, silentOnDemand: 0, silentSpot: 0, silentMs: 0 });
   for (const machine of shard.machines.values()) machine.idleSince = (NOW - 60_000) as never;
   assert.equal(countScaleIns(shard, { hasPendingDemand: false, storeHealthy: false }), 'none');
-  assert.equal(countScaleIns(shard, { hasPendingDemand: false }), '2 idle', 'one stays');
+  assert.equal(countScaleIns(shard, { hasPendingDemand: false }), '2 idle', 'one machine is kept');
 });
 
-test('a machine is unlisted when the list shows one that came after it, longer ago than a list can be old', () => {
+test('a machine is unlisted if the list shows a newer machine that is older than the lag of the list', () => {
   const listed = (id: string, ageS: number): never => ({ id, ageS }) as never;
   const absent = (list: never[]): string =>
     ['m-007', 'm-008', 'm-010', 'm-012']
-      .filter((id) => unlistedCheck(list, 8 as never)(id as never))
+      .filter((id) => createUnlistedCheck(list, 8 as never)(id as never))
       .join(' ');
   const list = [listed('m-007', 100), listed('m-009', 60), listed('m-011', 20)];
-  assert.equal(absent(list), 'm-008', 'm-010 may only be too new for the page it belongs on');
+  assert.equal(absent(list), 'm-008', 'm-010 may be too new for a page that lags');
   assert.equal(absent([listed('m-011', 30)]), 'm-007 m-008 m-010');
   assert.equal(absent([]), '', 'an empty list proves nothing');
 });
--- a/test/autoscaling/scale-out-plan.test.ts
+++ b/test/autoscaling/scale-out-plan.test.ts
@@ -1,4 +1,4 @@
-/** Which machines are rented for the demand that has no capacity. */
+/** Which machines are requested for tasks that find no capacity. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { InstanceType } from '../../src/cloud/wire.js';
@@ -10,7 +10,7 @@
 import type { JobSpec } from '../../src/jobs/spec.js';
 import { buildJobSpec } from '../support/job-specs.js';
 
-const spec = (o: Partial<JobSpec> = {}): JobSpec => buildJobSpec({ tasks: 4, ...o });
+const spec = (changes: Partial<JobSpec> = {}): JobSpec => buildJobSpec({ tasks: 4, ...changes });
 
 const instanceType = (name: string, cpus: number, price: number, spotPrice: number): InstanceType =>
   ({
@@ -33,27 +33,30 @@
   waitedMs,
 });
 
-test('scale-out: cheapest allowed instance type first, refused types skipped, booting machines counted', () => {
-  const blocked = new Set<string>();
-  const ctx: ScaleOutContext = {
+test('scale-out requests the cheapest allowed type, skips types in backoff and counts machines that boot', () => {
+  const backedOff = new Set<string>();
+  const baseContext: ScaleOutContext = {
     types: [instanceType('small', 4, 0.4, 0.1), instanceType('large', 8, 0.7, 0.3)],
     zones: [],
     homeZone: 'east' as never,
     pendingMachines: [],
     runningTasks: 0,
     runtimeCorrection: () => 1,
-    isBackedOff: (k) => blocked.has(`${k.type}${k.spot}`),
+    isBackedOff: (kind) => backedOff.has(`${kind.type}${kind.spot}`),
   };
-  const plan = (demanded: CapacityDemand, context: ScaleOutContext = ctx): string =>
+  const plan = (demanded: CapacityDemand, context: ScaleOutContext = baseContext): string =>
     planScaleOut([demanded], context)
-      .map((w) => `${w.count} ${w.type}${w.spot ? ' spot' : ''}`)
+      .map((decision) => `${decision.count} ${decision.type}${decision.spot ? ' spot' : ''}`)
       .join(', ');
   assert.equal(plan(demand({}, 8)), '2 large');
   assert.equal(plan(demand({ spot: true }, 8)), '4 small spot');
-  blocked.add('smalltrue');
+  backedOff.add('smalltrue');
   assert.equal(plan(demand({ spot: true }, 8)), '2 large spot');
-  assert.equal(plan(demand({}, 8, 100)), '', 'too young: a peer may have room');
-  const coming = { type: 'large' as never, zone: 'east' as never, spot: false };
-  assert.equal(plan(demand({}, 8), { ...ctx, pendingMachines: [coming] }), '1 large');
-  assert.equal(plan(demand({}, 8), { ...ctx, pendingMachines: [coming, coming] }), '');
+  assert.equal(plan(demand({}, 8, 100)), '', 'too young: the demand may overflow to a peer');
+  const pendingMachine = { type: 'large' as never, zone: 'east' as never, spot: false };
+  assert.equal(plan(demand({}, 8), { ...baseContext, pendingMachines: [pendingMachine] }), '1 large');
+  assert.equal(
+    plan(demand({}, 8), { ...baseContext, pendingMachines: [pendingMachine, pendingMachine] }),
+    '',
+  );
 });
