--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,24 +1,24 @@
-/** HTTP/1.1 client on `net`: a few kept connections a target, every exchange bounded in time and size. */
+/** HTTP/1.1 client on `net`: a few keep-alive connections per target; each exchange is bounded in time and size. */
 import { connect, type Socket } from 'node:net';
 import type { Address, Millis } from '../model/units.js';
 import { HttpParser } from './parser.js';
 import { parseAddress } from './server.js';
 
-/** What is known about a request afterwards; only `answer` comes from the other side. */
+/** Outcome of a request; only `answer` comes from the server. */
 export type CallOutcome =
   | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
-  /** Certainly not carried out: no connection came about. */
+  /** Certainly not carried out: the request was not written to a connection. */
   | { readonly kind: 'unsent' }
-  /** Sent, and no readable answer: carried out, not carried out, or to be carried out later. */
+  /** Sent, but no readable answer arrived: the request was carried out, was not, or may be carried out later. */
   | { readonly kind: 'unknown' };
 
-/** One request. `timeout` (ms) bounds the wait for a free connection and then, anew, the exchange itself. */
+/** One request. `timeout` bounds first the wait for a free connection, and then separately the exchange itself. */
 export interface Call {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
   readonly body?: unknown;
   readonly timeout: Millis;
-  /** Asked at the moment of writing, after every wait for a turn or a connection; false: it is not sent. */
+  /** Called right before the request is written, after all waiting; if it returns false, the request is not sent. */
   readonly mayStillSend?: () => boolean;
 }
 
@@ -26,7 +26,7 @@
   readonly socket: Socket;
   parser: HttpParser;
   connected: boolean;
-  /** Writes the request that waits for the connection. */
+  /** Called once the connection is open; writes the waiting request. */
   whenConnected: (() => void) | null;
   exchange: { resolve: (outcome: CallOutcome) => void; timer: NodeJS.Timeout; sent: boolean } | null;
 }
@@ -36,7 +36,7 @@
 /** 4 MiB. */
 const DEFAULT_MAX_BODY_BYTES = 4_194_304;
 
-/** Connections of many clients together: beyond this many none is kept open for a later request. */
+/** Limit on the open connections of several clients: above it, connections are closed after their exchange. */
 export class KeepAliveLimit {
   openConnections = 0;
 
@@ -47,7 +47,10 @@
   }
 }
 
-/** Requests to one address over at most `maxConnections` connections; failures of the network are outcomes, not exceptions. */
+/**
+ * Sends requests to one address over at most `maxConnections` connections. Network failures are returned as outcomes, not
+ * thrown.
+ */
 export class HttpClient {
   private readonly idleConnections: Connection[] = [];
   private openConnections = 0;
@@ -65,7 +68,7 @@
       const granted = await this.waitForConnection(call.timeout);
       if (!granted) return { kind: 'unsent' };
     }
-    const connection = this.idleConnections.pop() ?? this.dial();
+    const connection = this.idleConnections.pop() ?? this.createConnection();
     return new Promise((resolve) => this.send(connection, call, resolve));
   }
 
@@ -75,20 +78,20 @@
 
   private waitForConnection(timeout: Millis): Promise<boolean> {
     return new Promise((resolve) => {
-      const proceed = (): void => {
+      const grant = (): void => {
         clearTimeout(timer);
         resolve(true);
       };
       const timer = setTimeout(() => {
-        const index = this.waitingCalls.indexOf(proceed);
+        const index = this.waitingCalls.indexOf(grant);
         if (index >= 0) this.waitingCalls.splice(index, 1);
         resolve(false);
       }, timeout);
-      this.waitingCalls.push(proceed);
+      this.waitingCalls.push(grant);
     });
   }
 
-  private dial(): Connection {
+  private createConnection(): Connection {
     this.openConnections += 1;
     this.keepAliveLimit.openConnections += 1;
     const socket = connect({ ...parseAddress(this.address), noDelay: true });
@@ -144,7 +147,7 @@
       const messages = connection.parser.push(data);
       const [message] = messages;
       if (!message) return;
-      // More than one answer, or one that nobody asked for: the stream cannot be trusted any more.
+      // More than one answer, or an answer without a request: the stream cannot be trusted any more.
       if (messages.length > 1 || !connection.exchange) {
         this.closeConnection(connection);
         return;
@@ -190,7 +193,7 @@
     exchange.resolve({ kind: 'answer', status: Number(status), body });
   }
 
-  /** Ends a connection; its exchange gets the outcome that is certain from here. */
+  /** Closes a connection and ends its exchange: `unknown` if the request was sent, else `unsent`. */
   private closeConnection(connection: Connection): void {
     const index = this.idleConnections.indexOf(connection);
     if (index >= 0) this.idleConnections.splice(index, 1);
@@ -209,5 +212,5 @@
   }
 }
 
-/** Marks a connection that is already counted as closed. */
+/** Parser of closed connections; marks a connection that is no longer counted as open. */
 const CLOSED_PARSER = new HttpParser('response', { maxHeadBytes: 0, maxBodyBytes: 0 });
--- a/src/http/header-fields.ts
+++ b/src/http/header-fields.ts
@@ -1,15 +1,15 @@
-/** Header fields of one message: strict in names and values, bounded in number. */
+/** Parses the header fields of a message, with strict names and values and a limited number of fields. */
 import { HttpError, malformed } from './http-error.js';
 import { HTTP_STATUS } from './status.js';
 
 const MAX_HEADERS = 100;
 const NAME_PATTERN = /^[!#$%&'*+\-.^_`|~0-9A-Za-z]+$/;
-// Anything outside printable ASCII, tab and Latin-1 has no place in a header value.
+// Printable ASCII, tab and Latin-1.
 const VALUE_PATTERN = /^[\t\x20-\x7e\x80-\xff]*$/;
-/** A second one of these would make it ambiguous where the message ends or for whom it is. */
+/** Repeating one of these fields would make the end or the addressee of the message ambiguous. */
 const UNREPEATABLE_NAMES: ReadonlySet<string> = new Set(['content-length', 'transfer-encoding', 'host']);
 
-/** Fields by lower-case name, repeated ones joined by commas. Throws HttpError. */
+/** Returns the fields by lower-case name; values of repeated fields are joined by commas. Throws HttpError. */
 export function parseHeaderFields(lines: readonly string[]): ReadonlyMap<string, string> {
   if (lines.length > MAX_HEADERS) throw new HttpError(HTTP_STATUS.headerFieldsTooLarge, 'too many headers');
   const fields = new Map<string, string>();
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -1,7 +1,7 @@
 /**
- * Incremental HTTP/1.1 message parser: strict, bounded, one message at a time. It reads what our interfaces
- * use (Content-Length and chunked bodies) and refuses everything ambiguous: two lengths, a length beside
- * chunks, folded headers, control characters.
+ * Incremental HTTP/1.1 message parser: strict, bounded, one message at a time. It supports bodies with Content-Length and
+ * chunked bodies, and rejects everything ambiguous: two lengths, a length together with chunked encoding, folded headers,
+ * control characters.
  */
 import { parseHeaderFields } from './header-fields.js';
 import { HttpError, malformed } from './http-error.js';
@@ -9,7 +9,7 @@
 
 export { HttpError };
 
-/** Sizes above which a message is refused. */
+/** Sizes above which a message is rejected. */
 export interface ParserLimits {
   readonly maxHeadBytes: number;
   readonly maxBodyBytes: number;
@@ -17,7 +17,7 @@
 
 /** One complete request or response. */
 export interface HttpMessage {
-  /** Request: method, target, version. Response: version, status, reason. */
+  /** Of a request: method, target, version. Of a response: version, status, reason phrase. */
   readonly startLine: readonly [string, string, string];
   readonly headers: ReadonlyMap<string, string>;
   readonly body: Buffer;
@@ -33,15 +33,15 @@
 const HEAD_END = '\r\n\r\n';
 const CARRIAGE_RETURN = 0x0d;
 const LINE_FEED = 0x0a;
-/** Bytes with which the method of a request may begin. */
+/** Range of the first byte of a method: A to Z. */
 const FIRST_METHOD_BYTE = { low: 0x41, high: 0x5a };
 const HEXADECIMAL = 16;
 
-/** What one step came to: a complete message, progress within one, or too few bytes for the step. */
+/** Result of a parse step: a complete message, progress within a message, or `more` if more bytes are needed. */
 type ParseStep = HttpMessage | 'progress' | 'more';
 type ParserPhase = 'head' | 'length' | 'chunk-size' | 'chunk-data' | 'chunk-end' | 'trailer' | 'until-close';
 
-/** Reads the bytes of one connection; an instance that has thrown must not be used again. */
+/** Parses the bytes of one connection. An instance that has thrown must not be used again. */
 export class HttpParser {
   private buffer: Buffer = Buffer.alloc(0);
   private phase: ParserPhase = 'head';
@@ -56,12 +56,12 @@
     private readonly limits: ParserLimits,
   ) {}
 
-  /** True between messages: nothing of a next one has arrived. */
+  /** Whether the parser is between messages: no byte of the next message has arrived. */
   get idle(): boolean {
     return this.phase === 'head' && this.buffer.length === 0;
   }
 
-  /** Takes bytes; returns the messages they complete. Throws HttpError; the parser is then spent. */
+  /** Parses further bytes and returns the messages that they complete. Throws HttpError. */
   push(data: Buffer): HttpMessage[] {
     this.buffer = this.buffer.length === 0 ? data : Buffer.concat([this.buffer, data]);
     const messages: HttpMessage[] = [];
@@ -72,7 +72,9 @@
     }
   }
 
-  /** The other side closed. A body that runs until the close ends here; anything else is cut short. */
+  /**
+   * Handles the end of the stream: completes a body that is delimited by it. Throws HttpError within any other message.
+   */
   end(): HttpMessage | null {
     if (this.phase === 'until-close') return this.completeMessage();
     if (this.idle) return null;
@@ -84,7 +86,7 @@
       case 'head':
         return this.readHead();
       case 'length':
-        return this.readSized();
+        return this.readSizedBody();
       case 'chunk-size':
         return this.readChunkSize();
       case 'chunk-data':
@@ -116,7 +118,7 @@
     return this.beginBody();
   }
 
-  /** Refuses a peer that does not speak HTTP without waiting for a full head. */
+  /** Rejects a client that does not speak HTTP without waiting for a complete head. */
   private checkFirstBytes(): void {
     const first = this.buffer[0];
     if (first !== undefined && !(first >= FIRST_METHOD_BYTE.low && first <= FIRST_METHOD_BYTE.high))
@@ -167,13 +169,13 @@
     this.buffer = this.buffer.subarray(count);
   }
 
-  private readSized(): ParseStep {
+  private readSizedBody(): ParseStep {
     if (this.buffer.length < this.expectedBytes) return 'more';
     this.consumeBody(this.expectedBytes);
     return this.completeMessage();
   }
 
-  /** A line without its end; null: it is not complete yet. */
+  /** Returns the next line without its line end, or null if it is not complete yet. */
   private consumeLine(): string | null {
     const end = this.buffer.indexOf(LINE_END);
     if (end < 0 ? this.buffer.length > MAX_CHUNK_LINE_BYTES : end > MAX_CHUNK_LINE_BYTES)
@@ -220,8 +222,8 @@
     const body = this.chunks.length === 1 ? (this.chunks[0] as Buffer) : Buffer.concat(this.chunks);
     const connection = (this.headers.get('connection') ?? '').toLowerCase();
     const version = this.kind === 'request' ? this.startLine[2] : this.startLine[0];
-    const untilClose = this.phase === 'until-close';
-    const keepAlive = !untilClose && !/\bclose\b/.test(connection) && version === 'HTTP/1.1';
+    const bodyEndsAtClose = this.phase === 'until-close';
+    const keepAlive = !bodyEndsAtClose && !/\bclose\b/.test(connection) && version === 'HTTP/1.1';
     this.phase = 'head';
     this.chunks = [];
     return { startLine: this.startLine, headers: this.headers, body, keepAlive };
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,57 +1,57 @@
-/** HTTP/1.1 server on `net`: bounded connections, heads, bodies and waiting; never an uncaught exception. */
+/** HTTP/1.1 server on `net` with limits on connections, sizes and times; it never throws an uncaught exception. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { Log } from '../logging/log.js';
 import type { Address, Millis } from '../model/units.js';
 import { HttpError, HttpParser, type HttpMessage } from './parser.js';
 import { HTTP_STATUS } from './status.js';
 
-/** A request as its handler sees it, the body unread. */
+/** A request as its handler receives it, with an undecoded body. */
 export interface HttpRequest {
   readonly method: string;
   readonly path: string;
   readonly body: Buffer;
 }
 
-/** A handler's answer: `body` is sent as JSON, `retryAfterS` as the header Retry-After, in seconds. */
+/** A handler's response: `body` is sent as JSON, `retryAfterS` as the Retry-After header, in seconds. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
   readonly retryAfterS?: number;
 }
 
-/** Answers one request; what it throws is logged and answered with 500. */
+/** Handles one request. An exception is logged and answered with status 500. */
 export type Handler = (request: HttpRequest) => HttpResponse | Promise<HttpResponse>;
 
-/** How more clients than connections are served: with many open, some are closed as soon as they are answered. */
+/** Serves more clients than there are connections: above a threshold, connections are closed after their response. */
 export interface CrowdingPolicy {
-  /** More open connections than this are many. */
+  /** Number of open connections above which connections are closed after their response. */
   readonly crowdedAbove: number;
-  /** Whether the connection of a request for this path may be closed after its answer. */
+  /** Returns whether a connection may be closed after the response to a request for this path. */
   readonly mayCloseAfter: (path: string) => boolean;
 }
 
-/** Bounds of a server; times in milliseconds. */
+/** Limits of a server. */
 export interface ServerOptions {
   readonly maxConnections: number;
-  /** Absent: connections stay open until the client or `idle` ends them. */
+  /** If absent, connections stay open until the client closes them or `idleTimeout` expires. */
   readonly crowding?: CrowdingPolicy;
-  /** A head or body must be complete this long after its first byte. */
+  /** Time from the first byte of a head or body until it must be complete. */
   readonly receiveTimeout: Millis;
   readonly idleTimeout: Millis;
-  /** What is not answered by then gets 503. */
+  /** Time after which a request that the handler has not answered is answered with 503. */
   readonly responseTimeout: Millis;
 }
 
 const MAX_HEAD_BYTES = 16_384;
 const MAX_BODY_BYTES = 65_536;
 const PARSER_LIMITS = { maxHeadBytes: MAX_HEAD_BYTES, maxBodyBytes: MAX_BODY_BYTES };
-/** A client that leaves more than this unread is disconnected. */
+/** A client is disconnected if more response bytes than this are unsent because it does not read them. */
 const MAX_UNSENT_BYTES = 1_048_576;
-/** Requests that a client may send ahead of their answers. */
+/** Requests on one connection that may wait for their response. */
 const MAX_PENDING_REQUESTS = 8;
-/** When a client whose request has failed or timed out may send it again. */
+/** Delay after which a client may repeat a request that has failed or timed out. */
 const RETRY_AFTER_S = 1;
-/** Connections that the operating system accepts ahead of the server. */
+/** Connections that the operating system queues until the server accepts them. */
 const LISTEN_BACKLOG = 511;
 const REASON_PHRASES: Record<number, string> = {
   [HTTP_STATUS.ok]: 'OK',
@@ -71,7 +71,7 @@
   [HTTP_STATUS.gatewayTimeout]: 'Gateway Timeout',
 };
 
-/** The bytes of a response as text, head and body. */
+/** Encodes a response, head and body. */
 function encodeResponse(response: HttpResponse, keepAlive: boolean): string {
   const body = JSON.stringify(response.body);
   const retry = response.retryAfterS === undefined ? '' : `Retry-After: ${response.retryAfterS}\r\n`;
@@ -114,7 +114,7 @@
       this.reject(status, error instanceof HttpError ? error.message : 'bad request');
       return;
     }
-    // The protocol has no pipelining: a flood of requests without waiting is a misuse, not a load to queue.
+    // Clients are not expected to pipeline: a flood of requests on one connection is rejected instead of queued.
     if (this.pendingRequests.length > MAX_PENDING_REQUESTS) {
       this.reject(HTTP_STATUS.tooManyRequests, 'too many requests at once');
       return;
@@ -148,7 +148,7 @@
     this.handling = false;
   }
 
-  /** With many connections open, this one makes place for another client. */
+  /** Returns whether the connection must be closed to make room for other clients. */
   private mustFreeConnection(path: string): boolean {
     return this.isCrowded() && this.options.crowding?.mayCloseAfter(path) === true;
   }
@@ -179,13 +179,13 @@
   }
 }
 
-/** Splits `host:port`. */
+/** Splits `host:port` into host and port. */
 export function parseAddress(address: Address): { host: string; port: number } {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** Resolves once the server listens; rejects if it cannot. The caller closes it. */
+/** Starts a server. Resolves once it listens, rejects if it cannot. The caller closes it. */
 export function startHttpServer(
   address: Address,
   handler: Handler,
@@ -205,7 +205,7 @@
     server.once('error', reject);
     server.listen({ ...parseAddress(address), backlog: LISTEN_BACKLOG }, () => {
       server.off('error', reject);
-      server.on('error', (err) => log.error({ err }, 'server'));
+      server.on('error', (err) => log.error({ err }, 'HTTP server error'));
       resolve(server);
     });
   });
--- a/src/http/status.ts
+++ b/src/http/status.ts
@@ -1,6 +1,6 @@
-/** The status codes of HTTP (RFC 9110, RFC 6585) that the project sends or tells apart, by name. */
+/** The HTTP status codes (RFC 9110, RFC 6585) that the project sends or handles. */
 
-/** Status codes by the name of their standard. */
+/** Status codes by their standard names. */
 export const HTTP_STATUS = {
   ok: 200,
   created: 201,
--- a/test/http/http.test.ts
+++ b/test/http/http.test.ts
@@ -1,4 +1,4 @@
-/** The HTTP parser and server against bad, slow and split input; real sockets on loopback, no wall-clock checks. */
+/** HTTP parser, server and client with malformed, slow and fragmented input, over real loopback sockets. */
 import assert from 'node:assert/strict';
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import { test } from 'node:test';
@@ -13,19 +13,22 @@
 const parse = (text: string): ReturnType<HttpParser['push']> =>
   new HttpParser('request', LIMITS).push(Buffer.from(text, 'latin1'));
 
-function verdict(text: string): string {
+/** Returns the parsed messages, `more` if the text is incomplete, or the status and message of the error. */
+function parseResult(text: string): string {
   try {
     const messages = parse(text);
     return (
-      messages.map((m) => `${m.startLine[0]} ${m.startLine[1]} ${m.body.toString()}`).join(' + ') || 'more'
+      messages
+        .map((message) => `${message.startLine[0]} ${message.startLine[1]} ${message.body.toString()}`)
+        .join(' + ') || 'more'
     );
   } catch (error) {
     return error instanceof HttpError ? `${error.status} ${error.message}` : String(error);
   }
 }
 
-test('requests are read strictly: one reading, or refused', () => {
-  const said = [
+test('requests are parsed strictly: ambiguous and malformed ones are rejected', () => {
+  const results = [
     'GET /up HTTP/1.1\r\n\r\n',
     'POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nok',
     'POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nokGET /b HTTP/1.1\r\n\r\n',
@@ -45,9 +48,9 @@
     'GET /up HTTP/1.1\r\nA: b\x00c\r\n\r\n',
     'POST /a HTTP/1.1\r\nContent-Length: 65\r\n\r\n',
     `GET /up HTTP/1.1\r\nA: ${'x'.repeat(600)}`,
-  ].map(verdict);
+  ].map(parseResult);
   assert.deepEqual(
-    said,
+    results,
     [
       'GET /up ',
       'POST /a ok',
@@ -68,18 +71,18 @@
       '400 bad header',
       '413 body too large',
       '431 head too large',
-    ].map((s, i) => (i === 5 ? said[5] : s)),
+    ].map((result, index) => (index === 5 ? results[5] : result)),
   );
-  assert.match(said[5] ?? '', /^400 /);
+  assert.match(results[5] ?? '', /^400 /);
 });
 
-test('a message that arrives byte by byte reads like one that arrives whole', () => {
+test('a message that arrives byte by byte is parsed like one that arrives whole', () => {
   const text =
     'POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\n';
   const parser = new HttpParser('request', LIMITS);
-  const out = [...text].flatMap((c) => parser.push(Buffer.from(c)));
-  assert.equal(out.length, 1);
-  assert.equal(out[0]?.body.toString(), 'abcde');
+  const messages = [...text].flatMap((character) => parser.push(Buffer.from(character)));
+  assert.equal(messages.length, 1);
+  assert.equal(messages[0]?.body.toString(), 'abcde');
 });
 
 const OPTIONS = {
@@ -107,16 +110,16 @@
   }
 }
 
-/** Answers every request; workers' connections take turns when more than half of them are open. */
-const TURNS = {
+/** Options of a server that closes connections of `/report` after their response while more than 6 of 12 are open. */
+const CROWDED_OPTIONS = {
   ...OPTIONS,
   maxConnections: 12,
   crowding: { crowdedAbove: 6, mayCloseAfter: (path: string) => path === '/report' },
 };
 
-test('more clients than connections are all served: each closes after its answer while many are open', async () => {
+test('more clients than connections are served: connections close after their response while many are open', async () => {
   const answer: Handler = (request) => ({ status: 200, body: { path: request.path } });
-  const server = await startHttpServer('127.0.0.1:0' as Address, answer, TURNS, silentLog());
+  const server = await startHttpServer('127.0.0.1:0' as Address, answer, CROWDED_OPTIONS, silentLog());
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}` as Address;
   const count = (): Promise<number> =>
     new Promise((resolve) => server.getConnections((_, open) => resolve(open)));
@@ -129,7 +132,7 @@
       for (const client of clients) answers.push((await client.call(call)).kind);
     assert.deepEqual(answers, Array(60).fill('answer'));
     assert.ok((await count()) <= 7, `${await count()} connections stay open`);
-    // What may not be closed stays open, and has room for it.
+    // A connection that may not be closed stays open and is served.
     for (let turn = 0; turn < 3; turn += 1)
       assert.equal((await user.call({ method: 'GET', path: '/up', timeout: millis(5000) })).kind, 'answer');
   } finally {
@@ -138,13 +141,13 @@
   }
 });
 
-/** Sends text and returns all that comes until the server closes. */
+/** Sends the text and returns everything received until the server closes the connection. */
 function exchange(port: number, text: string): Promise<string> {
   return new Promise((resolve) => {
     const socket: Socket = connect(port, '127.0.0.1');
-    let got = '';
-    socket.on('data', (d) => (got += d.toString()));
-    socket.on('close', () => resolve(got));
+    let received = '';
+    socket.on('data', (data) => (received += data.toString()));
+    socket.on('close', () => resolve(received));
     socket.on('error', () => undefined);
     socket.write(text);
   });
@@ -152,7 +155,7 @@
 
 const statusOf = (answer: string): string => answer.split('\r\n')[0] ?? '';
 
-test('the server answers or closes, whatever it is sent, and goes on serving', async () => {
+test('the server answers or closes the connection for malformed, slow and excessive input, and keeps serving', async () => {
   await withServer(async (port) => {
     assert.equal(statusOf(await exchange(port, 'nonsense\r\n\r\n')), 'HTTP/1.1 400 Bad Request');
     const large = `POST /a HTTP/1.1\r\nContent-Length: 70000\r\n\r\n`;
@@ -169,7 +172,7 @@
   });
 });
 
-test('the client says whether a request was sent: garbage and silence are unknown, no connection is unsent', async () => {
+test('the client reports unknown after an unreadable or missing answer, and unsent without a connection', async () => {
   const replies = [
     'HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{"a":1}',
     'garbage\r\n\r\n',
@@ -187,34 +190,34 @@
   for (let i = 0; i < 4; i += 1) assert.equal((await client.call(call)).kind, 'unknown');
   server.close();
   client.close();
-  const nobody = new HttpClient(`127.0.0.1:${port}` as Address, 2);
-  assert.equal((await nobody.call(call)).kind, 'unsent');
+  const refusedClient = new HttpClient(`127.0.0.1:${port}` as Address, 2);
+  assert.equal((await refusedClient.call(call)).kind, 'unsent');
 });
 
-test('clients share a number of connections that are kept: beyond it each is closed after its answer', async () => {
-  const open = new Set<Socket>();
+test('above the shared keep-alive limit of clients, connections are closed after their answer', async () => {
+  const openSockets = new Set<Socket>();
   const server = createServer((socket) => {
-    open.add(socket);
+    openSockets.add(socket);
     socket.on('error', () => undefined);
-    socket.on('close', () => open.delete(socket));
+    socket.on('close', () => openSockets.delete(socket));
     socket.on('data', () => socket.write('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}'));
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}` as Address;
-  const sockets = new KeepAliveLimit(3);
-  const clients = Array.from({ length: 10 }, () => new HttpClient(address, 2, 1024, sockets));
+  const keepAliveLimit = new KeepAliveLimit(3);
+  const clients = Array.from({ length: 10 }, () => new HttpClient(address, 2, 1024, keepAliveLimit));
   const call = { method: 'GET', path: '/x', timeout: millis(5000) } as const;
   const kinds: string[] = [];
   for (const client of clients) kinds.push((await client.call(call)).kind);
-  const kept = sockets.openConnections;
+  const keptConnections = keepAliveLimit.openConnections;
   for (const client of clients) client.close();
-  for (const socket of open) socket.destroy();
+  for (const socket of openSockets) socket.destroy();
   await new Promise((resolve) => server.close(resolve));
   assert.deepEqual(kinds, Array(10).fill('answer'));
-  assert.equal(kept, 3);
+  assert.equal(keptConnections, 3);
 });
 
-test('a request whose permission has ended is not sent: after the wait for a turn, and after the wait for a connection', async () => {
+test('a request is not sent if mayStillSend returns false after the wait for a connection or for a free one', async () => {
   const received: string[] = [];
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
@@ -225,20 +228,20 @@
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const client = new HttpClient(`127.0.0.1:${(server.address() as AddressInfo).port}` as Address, 1);
-  let entitled = true;
+  let mayStillSend = true;
   const call = (path: string) =>
-    client.call({ method: 'POST', path, body: {}, timeout: millis(5000), mayStillSend: () => entitled });
+    client.call({ method: 'POST', path, body: {}, timeout: millis(5000), mayStillSend: () => mayStillSend });
   const connecting = call('/connecting');
-  entitled = false;
+  mayStillSend = false;
   assert.deepEqual(await connecting, { kind: 'unsent' });
-  entitled = true;
+  mayStillSend = true;
   const first = call('/first');
   const queued = call('/queued');
   while (received.length === 0) await new Promise((resolve) => setTimeout(resolve, 1));
-  entitled = false;
+  mayStillSend = false;
   assert.equal((await first).kind, 'answer');
   assert.deepEqual(await queued, { kind: 'unsent' });
-  entitled = true;
+  mayStillSend = true;
   assert.equal((await call('/last')).kind, 'answer');
   client.close();
   await new Promise((resolve) => server.close(resolve));
