--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,4 +1,4 @@
-/** The command line: serve, check the settings, simulate, help, version. */
+/** The command line: `serve`, `check`, `simulate`, help and version. */
 import { readFileSync } from 'node:fs';
 import { Command, CommanderError } from 'commander';
 import { Controller } from '../controller/controller.js';
@@ -12,7 +12,7 @@
 import { CommandError } from './command-error.js';
 
 const INVALID_USAGE_EXIT_CODE = 2;
-/** Columns of a property's name in the help. */
+/** Width of the column of property names in the help. */
 const PROPERTY_NAME_WIDTH = 26;
 
 interface CommandOptions {
@@ -26,7 +26,7 @@
       const text = readFileSync(new URL(relativePath, import.meta.url), 'utf8');
       return (JSON.parse(text) as { version: string }).version;
     } catch {
-      // One level further up when built.
+      // The built file is one level deeper than the source file.
     }
   }
   return 'unknown';
@@ -57,7 +57,7 @@
   return `\nOperators' properties:\n${lines.join('\n')}\n`;
 }
 
-/** The simulator is loaded only when it or the help is asked for: `serve` does not pay for it. */
+/** Loads the simulator only for its commands and the help, so that `serve` and `check` start without it. */
 async function loadSimulateCommands(cli: Command, command: string | undefined): Promise<void> {
   if (command === 'serve' || command === 'check') return;
   const { addSimulateCommands } = await import('./simulate.js');
@@ -88,7 +88,7 @@
   return cli;
 }
 
-/** Runs one command line (`process.argv`) and returns the process's exit code; errors go to standard error. */
+/** Runs a command line (`process.argv`) and returns the exit code of the process; errors go to standard error. */
 export async function main(argv: readonly string[]): Promise<number> {
   try {
     const cli = buildProgram();
--- a/src/cli/command-error.ts
+++ b/src/cli/command-error.ts
@@ -1,4 +1,4 @@
-/** A command that ends with a code of its own and one line about why. */
+/** Ends a command with a one-line message and its own exit code. */
 export class CommandError extends Error {
   constructor(
     message: string,
--- a/src/cli/simulate.ts
+++ b/src/cli/simulate.ts
@@ -1,4 +1,4 @@
-/** The commands `simulate run` and `simulate fuzz`. Loaded only when they are asked for. */
+/** The commands `simulate run` and `simulate fuzz`. Loaded on demand. */
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import type { Command } from 'commander';
@@ -13,7 +13,7 @@
 
 const RULE_VIOLATED_EXIT_CODE = 1;
 const INVALID_SCENARIO_EXIT_CODE = 2;
-/** Columns of a statistic's name in the result. */
+/** Width of the column of statistic names in the result. */
 const STATISTIC_NAME_WIDTH = 18;
 
 interface RunOptions {
@@ -47,7 +47,7 @@
 
 function parseRules(text: string): Rule[] {
   return text.split(',').map((name) => {
-    const rule = RULES.find((r) => r === name.trim());
+    const rule = RULES.find((candidate) => candidate === name.trim());
     if (!rule) throw new InvalidArgumentError(`expected some of ${RULES.join(', ')}`);
     return rule;
   });
@@ -99,11 +99,11 @@
   if (options.trace !== undefined) writeFileSync(options.trace, `${trace.join('\n')}\n`);
   if (options.json) printLine(JSON.stringify(summary));
   else printResult(result, (performance.now() - startedAt) / 1000);
-  const first = result.violations[0];
-  if (first) throw new CommandError(`rule broken: ${first.rule}`, RULE_VIOLATED_EXIT_CODE);
+  const firstViolation = result.violations[0];
+  if (firstViolation) throw new CommandError(`rule broken: ${firstViolation.rule}`, RULE_VIOLATED_EXIT_CODE);
 }
 
-/** Writes what was found, and says where; `--json` prints one line a schedule in place of text. */
+/** Writes the scenario of a finding to a file and prints the outcome: as text, or as one JSON line with `--json`. */
 function reportOutcome(outcome: FuzzOutcome, options: FuzzCommandOptions): void {
   const { finding, seed, error } = outcome;
   let file: string | null = null;
@@ -140,9 +140,9 @@
     },
   });
   const elapsedS = (performance.now() - startedAt) / 1000;
-  const broken = outcomes.filter((o) => o.finding !== null).length;
-  const failed = outcomes.filter((o) => o.error !== null).length;
-  const simulatedS = outcomes.reduce((sum, o) => sum + o.simulatedS, 0);
+  const broken = outcomes.filter((outcome) => outcome.finding !== null).length;
+  const failed = outcomes.filter((outcome) => outcome.error !== null).length;
+  const simulatedS = outcomes.reduce((sum, outcome) => sum + outcome.simulatedS, 0);
   const summary = { runs: outcomes.length, broken, failed, simulatedS, elapsedS };
   if (options.json) printLine(JSON.stringify(summary));
   else
--- a/src/logging/counter-set.ts
+++ b/src/logging/counter-set.ts
@@ -1,6 +1,6 @@
-/** Counts events by name since the process began, for the statistics in the log. */
+/** Event counters by name, counted since the start of the process, for the statistics in the log. */
 
-/** Counters for a fixed set of names; one that was never incremented is left out of the snapshot. */
+/** Counters for a fixed set of names. The snapshot omits counters that were never incremented. */
 export class CounterSet<Name extends string> {
   private readonly counts = new Map<Name, number>();
 
@@ -8,7 +8,7 @@
     this.counts.set(name, (this.counts.get(name) ?? 0) + 1);
   }
 
-  /** The counts now, by name. */
+  /** Returns the current counts by name. */
   snapshot(): Readonly<Record<string, number>> {
     return Object.fromEntries(this.counts);
   }
--- a/src/settings/field-path.ts
+++ b/src/settings/field-path.ts
@@ -1,7 +1,7 @@
-/** Where in a file of nested tables a check has failed. */
+/** Formats the position of a failed check in a file of nested tables. */
 import type { BaseIssue } from 'valibot';
 
-/** The path of the field at fault, like `facts.teams[0].name`; empty for the whole file. */
+/** Returns the path of the invalid field, such as `facts.teams[0].name`; empty for the whole file. */
 export function fieldPath(issue: BaseIssue<unknown>): string {
   return (issue.path ?? [])
     .map((step) => (typeof step.key === 'number' ? `[${step.key}]` : `.${String(step.key)}`))
--- a/src/settings/log-level.ts
+++ b/src/settings/log-level.ts
@@ -1,10 +1,10 @@
-/** The level of logs, from the environment variable LOG_LEVEL. */
+/** The log level, from the environment variable LOG_LEVEL. */
 import { SettingsError } from './settings-error.js';
 
-/** What is logged: errors only, also changes of state, or everything. */
+/** `error`: errors only. `info`: also changes of state. `debug`: everything. */
 export type LogLevel = 'error' | 'info' | 'debug';
 
-/** Reads LOG_LEVEL; absent or empty: info. Throws SettingsError. */
+/** Parses the value of LOG_LEVEL; if it is absent or empty, returns `info`. Throws SettingsError. */
 export function parseLogLevel(value: string | undefined): LogLevel {
   const level = value === undefined || value === '' ? 'info' : value;
   if (level === 'error' || level === 'info' || level === 'debug') return level;
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -1,6 +1,6 @@
 /**
- * The schema of the platform's settings file: field names, types, ranges and defaults as the file has them, and the error
- * that names the first field at fault. What the fields mean together is checked in settings.ts.
+ * The schema of the platform's settings file: field names, types, ranges and defaults, and the error that names the first
+ * invalid field. `settings.ts` checks constraints between fields.
  */
 import * as v from 'valibot';
 import { fieldPath } from './field-path.js';
@@ -40,7 +40,7 @@
   times: v.optional(v.nullable(v.number())),
 });
 
-/** Settings of earlier deployments don't say how long a gang's tasks wait for each other, in seconds. */
+/** Default of `gang_wait_s`, in seconds: settings files of earlier deployments do not have the field. */
 const DEFAULT_GANG_WAIT_S = 30;
 
 const settingsSchema = table({
@@ -79,7 +79,7 @@
       write_rps: positiveNumber,
       value_kb: positiveNumber,
       txn_ops: positiveInteger,
-      // Limits that will hold from some moment on.
+      // Limits that will apply from some later time on.
       next: v.optional(
         v.object({
           rps: v.optional(positiveNumber),
@@ -92,15 +92,15 @@
     }),
     cloud: table({ rps: positiveNumber, list_lag_s: nonNegativeNumber }),
     quota: table({ max_connections: positiveInteger }),
-    // Service-level objectives help to rank jobs; a malformed one is no reason not to start.
+    // Service-level objectives only help to rank jobs, so malformed ones are ignored and do not prevent the start.
     objectives: v.optional(v.fallback(v.array(objectiveSchema), []), []),
   }),
 });
 
-/** A settings file in its own field names, with defaults filled in. */
+/** The contents of a settings file under its own field names, with defaults filled in. */
 export type SettingsFile = v.InferOutput<typeof settingsSchema>;
 
-/** The fields of a valibot schema by which a nested one is found. */
+/** The properties of a valibot schema that are needed to find nested schemas. */
 interface AnySchema {
   readonly message?: unknown;
   readonly entries?: Readonly<Record<string, AnySchema>>;
@@ -108,22 +108,25 @@
   readonly wrapped?: AnySchema;
 }
 
-/** What is expected at a place: a missing field is reported by its table, which only knows that it is missing. */
+/**
+ * Returns the type that is expected for the field of an issue. For a missing field the issue has the message of the
+ * enclosing table, so the message is looked up in the schema of the field.
+ */
 function expectedTypeAt(issue: v.BaseIssue<unknown>): string {
-  let current: AnySchema | undefined = settingsSchema;
+  let schema: AnySchema | undefined = settingsSchema;
   for (const step of issue.path ?? []) {
-    current = current?.wrapped ?? current;
-    current = typeof step.key === 'number' ? current?.item : current?.entries?.[String(step.key)];
+    schema = schema?.wrapped ?? schema;
+    schema = typeof step.key === 'number' ? schema?.item : schema?.entries?.[String(step.key)];
   }
-  return typeof current?.message === 'string' ? current.message : issue.message;
+  return typeof schema?.message === 'string' ? schema.message : issue.message;
 }
 
-/** Checks the data of a parsed file; `file` names it in errors. Throws SettingsError. */
+/** Validates the data of a parsed file; `file` is its name in errors. Throws SettingsError. */
 export function checkSettingsFile(data: unknown, file: string): SettingsFile {
   const result = v.safeParse(settingsSchema, data, { abortEarly: true });
   if (result.success) return result.output;
   const issue = result.issues[0];
-  const got = issue.received === 'undefined' ? 'nothing' : issue.received;
+  const actual = issue.received === 'undefined' ? 'nothing' : issue.received;
   const expected = issue.received === 'undefined' ? expectedTypeAt(issue) : issue.message;
-  throw new SettingsError(`${file}: ${fieldPath(issue) || '(top)'}: expected ${expected}, got ${got}`);
+  throw new SettingsError(`${file}: ${fieldPath(issue) || '(top)'}: expected ${expected}, got ${actual}`);
 }
--- a/src/settings/settings-error.ts
+++ b/src/settings/settings-error.ts
@@ -1,10 +1,10 @@
-/** What reading settings has in common: the error of a wrong one, and the file itself. */
+/** Shared by the settings parsers: the error for an invalid setting, and reading the file. */
 import { readFileSync } from 'node:fs';
 
-/** A setting that ends the start: one line naming file, field and what was expected. */
+/** An invalid setting, which prevents the start. The message is one line with file, field and expected value. */
 export class SettingsError extends Error {}
 
-/** The text of a file. Throws SettingsError if it cannot be read. */
+/** Returns the text of a file. Throws SettingsError if it cannot be read. */
 export function readTextFile(file: string): string {
   try {
     return readFileSync(file, 'utf8');
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,4 +1,7 @@
-/** The platform's settings file (TOML), read once: the fields' meaning, checked together, in the project's own names. */
+/**
+ * Reads the platform's settings file (TOML) at the start, checks constraints between its fields, and maps them to the
+ * project's own names.
+ */
 import { parse as parseToml } from 'smol-toml';
 import { RESOURCE_KINDS, UNLIMITED, ZERO, type Resources } from '../model/resources.js';
 import type { Address, ControllerId, ShardId, Seconds, TeamId, ZoneId } from '../model/units.js';
@@ -18,23 +21,23 @@
   readonly shard: ShardId;
 }
 
-/** A team of users with its quota. */
+/** A team with its quota. */
 export interface Team {
   readonly name: TeamId;
-  /** Guaranteed quota: what the team need not wait for others for; 0: no guarantee of that resource. */
+  /** Guaranteed quota, which the team can use without waiting for other teams; 0: no guarantee for that resource. */
   readonly guaranteed: Resources;
-  /** What its tasks may use at most; infinite where the settings give no limit. */
+  /** Maximum that the tasks of the team may use; infinite where the settings set no limit. */
   readonly quota: Resources;
 }
 
-/** The settings of one controller, checked, in the project's own names. */
+/** The validated settings of one controller. */
 export interface Settings {
   readonly node: ControllerId;
   readonly zone: ZoneId;
   readonly shard: ShardId;
   readonly listenAddress: Address;
   readonly peerListenAddress: Address;
-  /** The other controllers. */
+  /** The other controllers of the deployment. */
   readonly peers: readonly Peer[];
   /** Every shard with its home controller, in shard order. */
   readonly shards: readonly { shard: ShardId; node: ControllerId; zone: ZoneId }[];
@@ -43,29 +46,31 @@
   readonly zones: readonly ZoneId[];
   readonly teams: ReadonlyMap<TeamId, Team>;
   readonly heartbeatIntervalS: Seconds;
+  /** Duration of a worker's lease: without an answered heartbeat for this long, it ends its tasks. */
   readonly leaseS: Seconds;
+  /** Time after the confirmation of a cancellation within which all tasks of the job must have ended. */
   readonly cancelS: Seconds;
-  /** How long a gang's task waits for the others before it gives up. */
+  /** How long a task waits for the other tasks of its gang before it exits. */
   readonly gangWaitS: Seconds;
-  /** Requests and changes a second that the state service takes now, and from a later moment on. */
+  /** Requests and writes per second that the state service allows now, and from some later time on (`next...`). */
   readonly storeRps: number;
   readonly storeWriteRps: number;
   readonly nextStoreRps: number;
   readonly nextStoreWriteRps: number;
-  /** The smaller of what holds now and later: what is larger may be refused at any moment. */
+  /** The lower of the current and the later limit, as the later limit may take effect at any time. */
   readonly maxValueBytes: number;
   readonly maxTransactionOps: number;
   readonly cloudRps: number;
   readonly listLagS: Seconds;
   readonly maxConnections: number;
-  /** By job class: up to which multiple of its deadline a job's completion still counts for its users. */
+  /** By job class: the multiple of its deadline up to which the completion of a job still has a value for its users. */
   readonly deadlineFactorByClass: ReadonlyMap<string, number>;
 }
 
-/** Places the controllers in name order: each derives the same shards from its own file. */
+/** Assigns shards in the order of the controllers' names, so that all controllers derive the same assignment. */
 function assignShards(raw: SettingsFile): Settings['shards'] {
-  const all = [{ label: raw.label, domain: raw.domain }, ...raw.known];
-  const sorted = [...all].sort((a, b) => (a.label < b.label ? -1 : 1));
+  const controllers = [{ label: raw.label, domain: raw.domain }, ...raw.known];
+  const sorted = [...controllers].sort((first, second) => (first.label < second.label ? -1 : 1));
   return sorted.map((controller, index) => ({
     shard: index as ShardId,
     node: controller.label as ControllerId,
@@ -73,7 +78,7 @@
   }));
 }
 
-/** A guarantee or limit of 0 is none. */
+/** Parses a team. A guarantee or limit of 0 in the file means none. */
 function parseTeam(raw: SettingsFile['facts']['teams'][number], file: string): Team {
   const guaranteed = { ...ZERO, cpus: raw.cpus, gpus: raw.gpus };
   const quota = { ...UNLIMITED, cpus: raw.cpus_max || Infinity, gpus: raw.gpus_max || Infinity };
@@ -134,24 +139,25 @@
 
 function parseStoreLimits(raw: SettingsFile['facts']['state']): StoreLimits {
   const { next } = raw;
-  const lower = (now: number, later: number | undefined): number => Math.min(now, later ?? now);
+  const lowerLimit = (current: number, later: number | undefined): number =>
+    Math.min(current, later ?? current);
   return {
     storeRps: raw.rps,
     storeWriteRps: raw.write_rps,
-    nextStoreRps: lower(raw.rps, next.rps),
-    nextStoreWriteRps: lower(raw.write_rps, next.write_rps),
-    maxValueBytes: Math.floor(lower(raw.value_kb, next.value_kb) * BYTES_PER_KB),
-    maxTransactionOps: lower(raw.txn_ops, next.txn_ops),
+    nextStoreRps: lowerLimit(raw.rps, next.rps),
+    nextStoreWriteRps: lowerLimit(raw.write_rps, next.write_rps),
+    maxValueBytes: Math.floor(lowerLimit(raw.value_kb, next.value_kb) * BYTES_PER_KB),
+    maxTransactionOps: lowerLimit(raw.txn_ops, next.txn_ops),
   };
 }
 
 function buildSettings(raw: SettingsFile, file: string): Settings {
   const shards = assignShards(raw);
-  if (new Set(shards.map((home) => home.node)).size !== shards.length) {
+  if (new Set(shards.map((controller) => controller.node)).size !== shards.length) {
     throw new SettingsError(`${file}: known: expected labels that differ from each other and from label`);
   }
   const findShard = (node: string): ShardId =>
-    (shards.find((home) => home.node === node) as { shard: ShardId }).shard;
+    (shards.find((controller) => controller.node === node) as { shard: ShardId }).shard;
   const workerTimes = parseWorkerTimes(raw.facts.workers, file);
   return {
     node: raw.label as ControllerId,
@@ -179,7 +185,7 @@
   };
 }
 
-/** Reads and checks a settings file (TOML); `file` names it in errors. Throws SettingsError. */
+/** Parses and validates the text of a settings file (TOML); `file` is its name in errors. Throws SettingsError. */
 export function parseSettings(text: string, file: string): Settings {
   let data: unknown;
   try {
@@ -190,5 +196,5 @@
   return buildSettings(checkSettingsFile(data, file), file);
 }
 
-/** Reads and checks the settings file at a path. Throws SettingsError. */
+/** Reads and validates the settings file at a path. Throws SettingsError. */
 export const loadSettings = (file: string): Settings => parseSettings(readTextFile(file), file);
--- a/src/settings/tuning.ts
+++ b/src/settings/tuning.ts
@@ -1,4 +1,4 @@
-/** The operators' own settings (`.properties`): their names, ranges and defaults, read and checked once. */
+/** The operators' own settings (`.properties`): their names, ranges and defaults, read and validated at the start. */
 import { parse as parseProperties } from 'dot-properties';
 import type { Millis } from '../model/units.js';
 import { SettingsError, readTextFile } from './settings-error.js';
@@ -17,7 +17,7 @@
   readonly seed: number;
 }
 
-/** One property: its name in the file, the field that it sets, its default and its range, both ends included. */
+/** A property: its name in the file, the field that it sets, its default and its inclusive range. */
 interface TuningProperty {
   readonly propertyName: string;
   readonly field: keyof Tuning;
@@ -27,7 +27,7 @@
   readonly description: string;
 }
 
-/** All properties that operators can set; their names, ranges and defaults are part of the interface. */
+/** All properties that operators can set. Their names, ranges and defaults are part of the public interface. */
 export const TUNING_PROPERTIES: readonly TuningProperty[] = [
   {
     propertyName: 'flock.check.interval.ms',
@@ -96,7 +96,10 @@
   );
 }
 
-/** Reads operators' properties; `file` names them in errors. Throws SettingsError on unknown names and values out of range. */
+/**
+ * Parses operators' properties; `file` is the name of the file in errors. Throws SettingsError on unknown names and
+ * values out of range.
+ */
 export function parseTuning(text: string, file: string): Tuning {
   const tuning = Object.fromEntries(
     TUNING_PROPERTIES.map((property) => [property.field, property.defaultValue]),
@@ -104,14 +107,14 @@
   for (const [key, value] of Object.entries(parseProperties(text) as Record<string, unknown>)) {
     const property = TUNING_PROPERTIES.find(({ propertyName }) => propertyName === key);
     if (!property) {
-      const known = TUNING_PROPERTIES.map(({ propertyName }) => propertyName).join(', ');
-      throw new SettingsError(`${file}: ${key}: expected one of ${known}`);
+      const knownNames = TUNING_PROPERTIES.map(({ propertyName }) => propertyName).join(', ');
+      throw new SettingsError(`${file}: ${key}: expected one of ${knownNames}`);
     }
     tuning[property.field] = parseValue(property, value, file);
   }
   return tuning as Tuning;
 }
 
-/** Reads the properties file at a path; without one, the defaults. Throws SettingsError. */
+/** Reads the properties file at a path, or returns the defaults if there is none. Throws SettingsError. */
 export const loadTuning = (file: string | undefined): Tuning =>
   file === undefined ? parseTuning('', 'defaults') : parseTuning(readTextFile(file), file);
--- a/test/model/ranges.test.ts
+++ b/test/model/ranges.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { RangeSet } from '../../src/model/ranges.js';
 
-test('a range set joins neighbours, splits on removal and counts', () => {
+test('a range set merges adjacent ranges, splits them on removal and counts its indices', () => {
   const set = RangeSet.of([
     [0, 3],
     [5, 7],
@@ -23,7 +23,7 @@
   assert.equal(set.has(6), true);
 });
 
-test('adding joins ranges that overlap, and empty ranges add nothing', () => {
+test('overlapping ranges are merged, and empty ranges add nothing', () => {
   const set = RangeSet.of([
     [8, 10],
     [0, 2],
@@ -33,7 +33,7 @@
   assert.deepEqual(set.ranges(), [[0, 10]]);
 });
 
-test('an intersection and a clone leave their sources as they were', () => {
+test('intersecting and cloning do not change the original sets', () => {
   const set = RangeSet.of([[0, 6]]);
   const other = RangeSet.of([
     [2, 3],
@@ -49,7 +49,7 @@
   assert.deepEqual(set.ranges(), [[0, 6]]);
 });
 
-test('a set may be changed while it is iterated', () => {
+test('a set may be changed during iteration', () => {
   const set = RangeSet.of([[0, 4]]);
   const seen: number[] = [];
   for (const index of set) {
--- a/test/model/throttle.test.ts
+++ b/test/model/throttle.test.ts
@@ -3,7 +3,7 @@
 import { Throttle } from '../../src/model/throttle.js';
 import { millis, steady } from '../../src/model/units.js';
 
-test('a throttle lets the first attempt through, even at time zero', () => {
+test('a throttle allows the first attempt, even at time zero', () => {
   assert.equal(new Throttle(millis(100)).tryAcquire(steady(0)), true);
 });
 
--- a/test/settings/settings.test.ts
+++ b/test/settings/settings.test.ts
@@ -8,52 +8,56 @@
 import { parseLogLevel, parseSettings, parseTuning } from '../../src/settings/settings.js';
 import { settingsText } from '../support/simulated-cluster.js';
 
-const said = (work: () => unknown): string => {
+/** Returns the message of the error that the function throws, or `valid`. */
+const errorMessage = (parse: () => unknown): string => {
   try {
-    work();
+    parse();
     return 'valid';
   } catch (error) {
     return (error as Error).message;
   }
 };
 
-test('a wrong setting is named with its file, its field and what was expected', () => {
+test('the error for an invalid setting names the file, the field and the expected value', () => {
   const good = settingsText(0);
-  const bad = (from: string | RegExp, to: string): string =>
-    said(() => parseSettings(good.replace(from, to), 'a.toml'));
+  const errorAfterReplacing = (original: string | RegExp, replacement: string): string =>
+    errorMessage(() => parseSettings(good.replace(original, replacement), 'a.toml'));
   assert.equal(
-    said(() => parseSettings(`${good}\n[later]\nfield = 1\n`, 'a.toml')),
+    errorMessage(() => parseSettings(`${good}\n[later]\nfield = 1\n`, 'a.toml')),
     'valid',
   );
-  assert.match(bad('label = "n0"', 'label = '), /^a\.toml: expected valid TOML/);
-  assert.equal(bad('domain = "east"\n', ''), 'a.toml: domain: expected a text, got nothing');
+  assert.match(errorAfterReplacing('label = "n0"', 'label = '), /^a\.toml: expected valid TOML/);
+  assert.equal(errorAfterReplacing('domain = "east"\n', ''), 'a.toml: domain: expected a text, got nothing');
   assert.equal(
-    bad('10.0.0.1:8080', 'here'),
+    errorAfterReplacing('10.0.0.1:8080', 'here'),
     'a.toml: bind: expected an address like 10.0.0.1:8080, got "here"',
   );
   assert.equal(
-    bad('cancel_s = 32.0', 'cancel_s = -1'),
+    errorAfterReplacing('cancel_s = 32.0', 'cancel_s = -1'),
     'a.toml: facts.workers.cancel_s: expected a number above 0, got -1',
   );
   assert.equal(
-    bad('cancel_s = 32.0', 'cancel_s = 10'),
+    errorAfterReplacing('cancel_s = 32.0', 'cancel_s = 10'),
     'a.toml: facts.workers.cancel_s: expected more than lease_s (12), got 10',
   );
-  assert.equal(bad('cpus = 12.0', 'cpus = "x"'), 'a.toml: facts.teams[0].cpus: expected a number, got "x"');
   assert.equal(
-    bad('name = "blue"', 'name = "red"'),
+    errorAfterReplacing('cpus = 12.0', 'cpus = "x"'),
+    'a.toml: facts.teams[0].cpus: expected a number, got "x"',
+  );
+  assert.equal(
+    errorAfterReplacing('name = "blue"', 'name = "red"'),
     'a.toml: facts.teams[1].name: expected a name used once, got "red" again',
   );
   assert.equal(
-    bad('txn_ops = 12', 'txn_ops = 1.5'),
+    errorAfterReplacing('txn_ops = 12', 'txn_ops = 1.5'),
     'a.toml: facts.state.txn_ops: expected a whole number, got 1.5',
   );
 });
 
-test('a team without any limit, or with a guarantee above its limit, is named', () => {
+test('a team without any limit, or with a guarantee above its limit, is an error that names the team', () => {
   const teams = /\[\[facts\.teams\]\][^]*?(?=\[facts\.workers\])/;
   const withTeam = (amounts: string): string =>
-    said(() => {
+    errorMessage(() => {
       const team = `[[facts.teams]]\nname = "red"\n${amounts.replaceAll(', ', '\n')}\n`;
       parseSettings(settingsText(0).replace(teams, team), 'a.toml');
     });
@@ -89,15 +93,15 @@
   assert.equal(parseTuning('# quiet\nfleet.idle.return.ms = 45000\n', 'p').idleMachineTimeout, 45000);
   assert.equal(parseTuning('', 'p').announcementExpiry, 10000);
   assert.match(
-    said(() => parseTuning('fleet.idle = 1', 'p')),
+    errorMessage(() => parseTuning('fleet.idle = 1', 'p')),
     /^p: fleet\.idle: expected one of /,
   );
   assert.equal(
-    said(() => parseTuning('random.seed = much', 'p')),
+    errorMessage(() => parseTuning('random.seed = much', 'p')),
     'p: random.seed: expected a whole number from 0 to 2147483647, got "much"',
   );
   assert.equal(
-    said(() => parseLogLevel('loud')),
+    errorMessage(() => parseLogLevel('loud')),
     'environment: LOG_LEVEL: expected error, info or debug, got "loud"',
   );
 });
@@ -111,7 +115,7 @@
   return { code: result.status, out: result.stdout, err: result.stderr };
 };
 
-test('the command line: help, version, check, and exit code 2 with one line for what is wrong', () => {
+test('the command line: help, version, check, and exit code 2 with a one-line error for invalid settings', () => {
   const dir = mkdtempSync(join(tmpdir(), 'cleatport-'));
   const good = join(dir, 'good.toml');
   const bad = join(dir, 'bad.toml');
@@ -139,7 +143,7 @@
   assert.equal(run('dance').code, 2);
 });
 
-test('a log level that is empty or unset is the default', () => {
+test('an empty or unset log level means the default', () => {
   assert.equal(parseLogLevel(''), 'info');
   assert.equal(parseLogLevel(undefined), 'info');
 });
