--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -8,7 +8,7 @@
 import { requiredZone, type Machine, type Shard } from '../shards/model.js';
 import { unplacedCount, type UnplacedTasks } from '../scheduling/cycle.js';
 import type { RuntimeEstimator } from '../scheduling/runtime-estimator.js';
-import type { MachineId, ShardId, RentalId, SteadyMs, ZoneId } from '../model/units.js';
+import type { MachineId, ShardId, IdempotencyKey, SteadyMs, ZoneId } from '../model/units.js';
 import { millis } from '../model/units.js';
 import { zoneForShard } from '../overflow/announcement.js';
 import { withJitter } from './jitter.js';
@@ -129,9 +129,9 @@
   }
 
   /** Returns a unique key: no other leader has this fencing token, and this leader counts its requests. */
-  private nextRequestKey(shard: Shard): RentalId {
+  private nextRequestKey(shard: Shard): IdempotencyKey {
     this.requestCount += 1;
-    return `c${shard.id}-${shard.fencingToken}-${this.requestCount}` as RentalId;
+    return `c${shard.id}-${shard.fencingToken}-${this.requestCount}` as IdempotencyKey;
   }
 
   private async requestMachines(shard: ShardId, request: ScaleOutRequest): Promise<void> {
--- a/src/cloud/wire.ts
+++ b/src/cloud/wire.ts
@@ -3,7 +3,7 @@
  * of the cloud. Decoders return null for messages that do not have the documented form. Nothing is sent from here.
  */
 import * as v from 'valibot';
-import type { Address, MachineId, RentalId, Seconds, InstanceTypeId, ZoneId } from '../model/units.js';
+import type { Address, MachineId, IdempotencyKey, Seconds, InstanceTypeId, ZoneId } from '../model/units.js';
 import { HttpStatus } from '../store/http-status.js';
 
 /** An instance type that the cloud offers. */
@@ -43,7 +43,7 @@
 /** A request to rent machines of one type in one zone. */
 export interface ScaleOutRequest {
   /** Repeated requests with the same key rent no further machines. Unique among the requests of all controllers. */
-  readonly idempotencyKey: RentalId;
+  readonly idempotencyKey: IdempotencyKey;
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
--- a/src/model/gang.ts
+++ b/src/model/gang.ts
@@ -84,7 +84,7 @@
   readonly action: GangAction;
 }
 
-/** An incomplete gang is stopped after this share of `waitLimit`, well before its tasks exit by themselves. */
+/** An incomplete gang is stopped after this share of the wait limit, well before its tasks exit by themselves. */
 const INCOMPLETE_SHARE = 0.7;
 
 const WAIT: GangAction = { kind: 'wait' };
--- a/src/model/units.ts
+++ b/src/model/units.ts
@@ -52,7 +52,7 @@
 /** A key in the store. */
 export type StoreKey = Branded<string, 'StoreKey'>;
 /** Idempotency key of a request for machines. */
-export type RentalId = Branded<string, 'RentalId'>;
+export type IdempotencyKey = Branded<string, 'IdempotencyKey'>;
 
 /** Brands a number as a time on the monotonic clock, in milliseconds. */
 export const steady = (n: number): SteadyMs => n as SteadyMs;
