--- a/src/autoscaling/listing-review.ts
+++ b/src/autoscaling/listing-review.ts
@@ -1,6 +1,6 @@
 /**
  * Reviews the cloud's list of machines: deletes machines that have failed, and machines that no shard uses because they
- * never booted or were granted by a request whose answer was lost or late. Relies on the watch cache to tell which
+ * never booted or were granted by a request whose answer arrived late. Relies on the watch cache to tell which
  * machines are in use.
  */
 import type { ListedMachine } from '../cloud/wire.js';
--- a/src/autoscaling/scale-in.ts
+++ b/src/autoscaling/scale-in.ts
@@ -18,7 +18,7 @@
 /** After this many times the timeout, an unreachable machine is deleted even if no machine is reachable. */
 const UNREACHABLE_TIMEOUT_FACTOR = 4;
 /** A machine on which this many tasks have failed recently is considered faulty. */
-const MAX_TASK_FAULTS = 4;
+const FAULTY_MACHINE_TASK_FAILURES = 4;
 /** A machine is silent if no message has arrived for this many heartbeat intervals and for at least `MIN_SILENT_MS`. */
 const SILENT_AFTER_INTERVALS = 3.2;
 const MIN_SILENT_MS = 5000;
@@ -172,7 +172,7 @@
     machine.idleSince = null;
     return null;
   }
-  if (machine.taskFailures.length >= MAX_TASK_FAULTS) return 'tasks fail on it';
+  if (machine.taskFailures.length >= FAULTY_MACHINE_TASK_FAILURES) return 'tasks fail on it';
   machine.idleSince ??= context.now;
   if (machine.interruptedAt !== null || context.hasPendingDemand || !context.storeHealthy) return null;
   // Keeps one on-demand machine, so that a new job does not wait for a machine to boot.
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -112,7 +112,7 @@
       if (!page) return null;
       machines.push(...page.machines);
       const lastMachine = page.machines.at(-1);
-      if (!page.more || !lastMachine) return machines;
+      if (!page.hasMore || !lastMachine) return machines;
       after = lastMachine.id;
     }
   }
--- a/src/cloud/wire.ts
+++ b/src/cloud/wire.ts
@@ -54,7 +54,7 @@
 export interface MachinePage {
   readonly machines: readonly ListedMachine[];
   /** Whether the list continues after this page. */
-  readonly more: boolean;
+  readonly hasMore: boolean;
 }
 
 /** Path of the catalog of instance types. */
@@ -154,7 +154,7 @@
   const result = v.safeParse(machineListSchema, body);
   if (!result.success) return null;
   return {
-    more: result.output.hasNext ?? false,
+    hasMore: result.output.hasNext ?? false,
     machines: result.output.berths.map((machine) => ({
       id: machine.uid as MachineId,
       type: machine.hull as InstanceTypeId,
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -22,7 +22,7 @@
 /** Handles one request. An exception is logged and answered with status 500. */
 export type Handler = (request: HttpRequest) => HttpResponse | Promise<HttpResponse>;
 
-/** Serves more clients than there are connections: above a threshold, connections are closed after their response. */
+/** Closes connections after their response while many are open, so that more clients than connections are served. */
 export interface CrowdingPolicy {
   /** Number of open connections above which connections are closed after their response. */
   readonly crowdedAbove: number;
@@ -74,10 +74,11 @@
 /** Encodes a response, head and body. */
 function encodeResponse(response: HttpResponse, keepAlive: boolean): string {
   const body = JSON.stringify(response.body);
-  const retry = response.retryAfterS === undefined ? '' : `Retry-After: ${response.retryAfterS}\r\n`;
-  const close = keepAlive ? '' : 'Connection: close\r\n';
+  const retryAfterHeader =
+    response.retryAfterS === undefined ? '' : `Retry-After: ${response.retryAfterS}\r\n`;
+  const connectionHeader = keepAlive ? '' : 'Connection: close\r\n';
   const head = `HTTP/1.1 ${response.status} ${REASON_PHRASES[response.status] ?? 'Status'}\r\nContent-Type: application/json\r\n`;
-  return `${head}Content-Length: ${Buffer.byteLength(body)}\r\n${retry}${close}\r\n${body}`;
+  return `${head}Content-Length: ${Buffer.byteLength(body)}\r\n${retryAfterHeader}${connectionHeader}\r\n${body}`;
 }
 
 class Connection {
@@ -114,7 +115,7 @@
       this.reject(status, error instanceof HttpError ? error.message : 'bad request');
       return;
     }
-    // Clients are not expected to pipeline: a flood of requests on one connection is rejected instead of queued.
+    // The protocol does not use pipelining: a flood of requests on one connection is rejected instead of queued.
     if (this.pendingRequests.length > MAX_PENDING_REQUESTS) {
       this.reject(HTTP_STATUS.tooManyRequests, 'too many requests at once');
       return;
--- a/test/autoscaling/scale-in.test.ts
+++ b/test/autoscaling/scale-in.test.ts
@@ -122,12 +122,12 @@
 
 test('a machine is unlisted if the list shows a newer machine that is older than the lag of the list', () => {
   const listed = (id: string, ageS: number): never => ({ id, ageS }) as never;
-  const absent = (list: never[]): string =>
+  const unlistedIds = (list: never[]): string =>
     ['m-007', 'm-008', 'm-010', 'm-012']
       .filter((id) => createUnlistedCheck(list, 8 as never)(id as never))
       .join(' ');
   const list = [listed('m-007', 100), listed('m-009', 60), listed('m-011', 20)];
-  assert.equal(absent(list), 'm-008', 'm-010 may be too new for a page that lags');
-  assert.equal(absent([listed('m-011', 30)]), 'm-007 m-008 m-010');
-  assert.equal(absent([]), '', 'an empty list proves nothing');
+  assert.equal(unlistedIds(list), 'm-008', 'm-010 may be too new for a page that lags');
+  assert.equal(unlistedIds([listed('m-011', 30)]), 'm-007 m-008 m-010');
+  assert.equal(unlistedIds([]), '', 'an empty list proves nothing');
 });
