--- a/src/leadership/command-lease.ts
+++ b/src/leadership/command-lease.ts
@@ -1,31 +1,32 @@
 /**
- * How long a controller may command after the watch cache was last confirmed, and how long a worker may go on after a
- * heartbeat was answered. Both allow for clocks that drift by up to 0.05% and for the steps of timers.
+ * Durations of the command lease (how long a controller may send commands after the store last confirmed its watch cache)
+ * and of the worker lease (how long a worker may run tasks after its last heartbeat was answered). Both allow for clocks
+ * that drift by up to 0.05% and for the granularity of timers.
  */
 import type { Settings } from '../settings/settings.js';
 import { millis, type Millis } from '../model/units.js';
 
-/** Beyond any drift between two clocks. */
+/** Exceeds the drift between two clocks. */
 const CLOCK_DRIFT_FACTOR = 1.001;
-/** The same drift, taken off a time in seconds. */
+/** The same allowance, in milliseconds for each second of a duration. */
 const DRIFT_ALLOWANCE_MS_PER_S = 1;
-/** Beyond the steps of timers. */
+/** Exceeds the granularity of timers. */
 const TIMING_MARGIN_MS = 500;
 
 /**
- * For how long after its last confirmation a watch cache entitles to answer heartbeats and to send commands.
+ * Returns how long after the last confirmation of its watch cache a controller may answer heartbeats and send commands.
  *
- * The bound prevents this sequence: this controller alone is refused by the store; another one confirms the
- * cancellation of a job to its user; this one, which has not read it, answers a heartbeat and so renews the lease of a
- * worker that runs the job. The tasks would outlive `cancel_s`. A lease that is renewed at the last moment still ends
- * within `cancel_s`, as its whole length is subtracted here.
+ * Prevents: the store refuses only this controller; another controller confirms the cancellation of a job to its user;
+ * this controller, which has not read the cancellation, answers a heartbeat and thereby renews the lease of a worker that
+ * runs the job. The tasks would outlive `cancel_s`. Because the full length of the worker lease is subtracted here, a
+ * lease that is renewed at the last moment still ends within `cancel_s`.
  */
 export function commandLeaseDuration({ cancelS, leaseS }: Pick<Settings, 'cancelS' | 'leaseS'>): Millis {
   const driftAllowanceMs = cancelS * DRIFT_ALLOWANCE_MS_PER_S;
   return millis((cancelS - leaseS) * 1000 - 2 * TIMING_MARGIN_MS - driftAllowanceMs);
 }
 
-/** How long after a heartbeat was last answered its worker may still run tasks, by this controller's clock. */
+/** Returns how long after its last answered heartbeat a worker may still run tasks, by this controller's clock. */
 export function workerLeaseDuration({ leaseS }: Pick<Settings, 'leaseS'>): Millis {
   return millis(leaseS * 1000 * CLOCK_DRIFT_FACTOR + TIMING_MARGIN_MS);
 }
--- a/src/leadership/leadership-transactions.ts
+++ b/src/leadership/leadership-transactions.ts
@@ -1,7 +1,7 @@
 /**
- * The two transactions by which leadership of a shard changes hands, each logged with what this controller knew of the
- * store when it sent them. Relies on the store for safety: fencing token and leadership change together, on condition of
- * the versions that the decision was based on.
+ * The transactions that acquire and release leadership of a shard. Each is logged with its result and the state of the
+ * watch cache. Safety relies on the store: a new leader and its fencing token are written together, on condition of the
+ * versions that the decision was based on.
  */
 import type { Log } from '../logging/log.js';
 import { fencingToken, type Clock, type Incarnation, type Revision, type ShardId } from '../model/units.js';
@@ -20,19 +20,19 @@
 import { RequestPriority } from '../store/rate-limiter.js';
 import type { Change, Condition } from '../store/wire.js';
 
-/** What describing the watch cache uses of the controller. */
+/** The part of the controller that `cacheState` reads. */
 export interface CacheStateContext {
   readonly clock: Clock;
   readonly storeCache: Pick<StoreCache, 'revision' | 'confirmedAt'>;
 }
 
-/** What the transactions use of the controller. */
+/** The part of the controller that the transactions use. */
 export interface LeadershipTransactionContext extends CacheStateContext {
   readonly log: Pick<Log, 'error' | 'info'>;
   readonly settings: Pick<Settings, 'node'>;
   readonly incarnation: Incarnation;
   readonly storeCache: Pick<StoreCache, 'revision' | 'confirmedAt' | 'get' | 'version'>;
-  /** Holds as long as the shard's record is the one that this leader knows. */
+  /** Returns the condition that the shard's record is still the version that this leader knows. */
   leaderCondition(shard: Shard): Condition;
   compareAndSwapUntilCertain(
     conditions: Condition[],
@@ -41,7 +41,7 @@
   ): Promise<Exclude<CompareAndSwapResult, { kind: 'unknown' }>>;
 }
 
-/** What this controller knows of the store, for the log. */
+/** Returns up to which revision the watch cache is complete and how old it is, as log fields. */
 export function cacheState({ clock, storeCache }: CacheStateContext): {
   readonly completeUpTo: Revision;
   readonly cacheAgeMs: number;
@@ -51,17 +51,17 @@
 
 /** Acquires and releases leadership in the store. */
 export class LeadershipTransactions {
-  /** The version of the token's record that was reported. */
+  /** Version of the unreadable fencing token record that was logged last. */
   private reportedTokenVersion: Revision | null = null;
 
   constructor(private readonly context: LeadershipTransactionContext) {}
 
-  /** Makes this process the leader under the next fencing token; whether it certainly is. */
+  /** Makes this process the leader under the next fencing token. Returns whether it certainly succeeded. */
   async acquire(shard: ShardId): Promise<boolean> {
     const { context } = this;
     const { settings, storeCache, incarnation } = context;
     const lastToken = storeCache.get(TOKEN_KEY)?.value;
-    // Prevents: a leader under a token that was given out before, whose commands pass for those of an earlier leader.
+    // Prevents: a fencing token is issued twice, and workers accept commands of an earlier leader with the same token.
     if (isUnreadableToken(lastToken)) {
       this.reportUnreadableToken(shard);
       return false;
@@ -85,7 +85,7 @@
     return result.kind === 'done';
   }
 
-  /** Once for each record: the shards are looked at several times a second. */
+  /** Logs each version of the record once: acquisition is attempted several times a second. */
   private reportUnreadableToken(shard: ShardId): void {
     const { log, storeCache } = this.context;
     const version = storeCache.version(TOKEN_KEY);
@@ -94,7 +94,7 @@
     log.error({ shard, version }, 'fencing token cannot be read, leadership is not acquired');
   }
 
-  /** Gives the shard up, for any controller to acquire; whether it certainly has been. */
+  /** Releases the shard, so that any controller may acquire it. Returns whether it certainly succeeded. */
   async release(shard: Shard): Promise<boolean> {
     const { context } = this;
     const value = encodeShardRecord({ leader: null, incarnation: null, fencingToken: shard.fencingToken });
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -1,8 +1,8 @@
 /**
- * Leadership of shards: acquires and releases it, raises the fencing token, and opens a shard once the store says that
- * this process leads it. Relies on the store for safety: leadership and fencing token change together, in one
- * compare-and-swap on the revisions that the decision was based on, so that no two controllers lead a shard under the
- * same fencing token and a late copy of an earlier request fails its conditions.
+ * Shard leadership: acquires and releases shards, raises the fencing token, and opens a shard once the store shows that
+ * this process leads it. Safety relies on the store: leader and fencing token are written together, in one
+ * compare-and-swap on the revisions that the decision was based on. No two controllers can lead a shard under the same
+ * fencing token, and a late copy of an earlier request fails its conditions.
  */
 import type { Settings, Tuning } from '../settings/settings.js';
 import { decodeShardRecord, shardKey, SHARDS_PREFIX, type ShardRecord } from '../shards/codec.js';
@@ -26,7 +26,7 @@
   type ReachabilityContext,
 } from './worker-reachability.js';
 
-/** What the leadership uses of the controller. */
+/** The part of the controller that shard leadership uses. */
 export interface LeadershipContext
   extends LeadershipTransactionContext, MembershipContext, OpenShardContext, ReachabilityContext {
   readonly log: LeadershipTransactionContext['log'];
@@ -36,37 +36,37 @@
     StoreCache,
     'loaded' | 'revision' | 'confirmedAt' | 'get' | 'version' | 'entriesUnder'
   >;
-  /** The controller's membership key exists, for the incarnation if one is given. */
+  /** Returns whether the controller's membership key exists, for the given incarnation unless that is null. */
   isAlive(node: ControllerId, incarnation: Incarnation | null): boolean;
 }
 
-/** How much longer than a watch may block the store cache may go unconfirmed and still count as current. */
+/** The store cache is current if it was confirmed within the watch timeout plus this time for the answer. */
 const WATCH_ANSWER_ALLOWANCE_MS = 1500;
-/** How long a probe that workers answered remains valid, and how long to wait after one that they did not. */
+/** How long a probe that workers answered remains valid, and the delay after a probe without an answer. */
 const PROBE_VALIDITY_MS = 2000;
 const PROBE_RETRY_DELAY_MS = 2000;
-/** After a failed attempt to acquire: long enough for the store cache to learn who was faster. */
+/** Delay after a failed acquisition: the store cache needs this time to show the controller that was faster. */
 const ACQUIRE_RETRY_DELAY_MS = 100;
 const ACQUIRE_RETRY_JITTER_MS = 150;
-/** How long a new leader keeps a shard whatever it hears: workers need this to find it. */
+/** A new leader does not release its shard before this time, which workers need to find the new leader. */
 const MIN_LEADERSHIP_MS = 8000;
 
-/** Leadership of this process over its home shard, and over those of failed peers. */
+/** Leadership of this process over its home shard and over the shards of failed peers. */
 export class ShardLeadership {
   private readonly membership: Membership;
   private readonly transactions: LeadershipTransactions;
   private readonly redirectedHeartbeats: RedirectedHeartbeats;
   private readonly situations: ObservedSituations;
-  /** Released by this process, and led by nobody since. */
+  /** Shards that this process released and that have had no leader since. */
   private readonly releasedShards = new Set<ShardId>();
-  /** Shards for which a store request or a probe is under way: one at a time each. */
+  /** Shards with a store request or a probe in progress; at most one at a time for each shard. */
   private readonly shardsInTransition = new Set<ShardId>();
   private ledHomeShardBefore = false;
   private workersAnsweredAt: SteadyMs | null = null;
 
   constructor(
     private readonly context: LeadershipContext,
-    /** Whether workers of the shard answer this controller. */
+    /** Returns whether workers of the shard answer this controller. */
     private readonly probeWorkers: (shard: ShardId) => Promise<boolean>,
   ) {
     this.membership = new Membership(context);
@@ -75,22 +75,22 @@
     this.situations = new ObservedSituations(context);
   }
 
-  /** Keeps the membership lease and key for as long as the process runs. */
+  /** Maintains the membership lease and key for as long as the process runs. */
   runKeepAlive(): Promise<never> {
     return this.membership.run();
   }
 
-  /** Machines by shard that came here recently although another controller leads their shard. */
+  /** Returns how many machines of each shard recently sent heartbeats here although another controller leads it. */
   redirectedHeartbeatCounts(): Map<ShardId, number> {
     return this.redirectedHeartbeats.counts();
   }
 
-  /** A machine of a shard that another controller leads has sent a heartbeat here. */
+  /** Records a heartbeat from a machine of a shard that another controller leads. */
   recordRedirectedHeartbeat(shard: ShardId, machine: string): void {
     this.redirectedHeartbeats.record(shard, machine);
   }
 
-  /** Decides on every shard whether to acquire or release it; called a few times a second. */
+  /** Decides for every shard whether to acquire or release it; called several times a second. */
   tick(): void {
     const now = this.context.clock.now();
     if (!this.context.storeCache.loaded) return;
@@ -104,15 +104,15 @@
   }
 
   /**
-   * Acquires a higher fencing token for a shard that this process leads. Workers that have seen it refuse every command
-   * under the lower one, so that unacknowledged launches cannot start anything any more.
+   * Acquires a higher fencing token for a shard that this process leads. Workers that have seen it refuse
+   * commands with a lower one, so that unacknowledged launches can no longer start anything.
    */
   async raiseFencingToken(shard: Shard): Promise<void> {
     if (this.shardsInTransition.has(shard.id)) return;
     await this.transition(shard.id, () => this.acquire(shard.id));
   }
 
-  /** Follows a shard's record in the store cache: this process leads a shard once the store says so, not before. */
+  /** Applies a change of a shard's record: this process leads a shard only once the store cache shows it. */
   onShardRecord(key: string, value: unknown, version: Revision): void {
     const { context } = this;
     const id = shardId(Number(key.slice(SHARDS_PREFIX.length)));
@@ -128,7 +128,7 @@
     else openShard(context, id, record.fencingToken, version);
   }
 
-  /** Runs one request or probe. The ticks do not wait for it: what it changes is seen in the store cache. */
+  /** Runs one store request or probe. Ticks do not wait for it: its effect becomes visible in the store cache. */
   private transition(shard: ShardId, run: () => Promise<void>): Promise<void> {
     this.shardsInTransition.add(shard);
     return run().finally(() => this.shardsInTransition.delete(shard));
@@ -170,7 +170,7 @@
     return this.context.tuning.watchTimeout + WATCH_ANSWER_ALLOWANCE_MS;
   }
 
-  /** One attempt to become leader of the shard, or to lead it on, under the next fencing token. */
+  /** Makes one attempt to become the shard's leader, or to remain it, under the next fencing token. */
   private async acquire(shard: ShardId): Promise<void> {
     const { context } = this;
     if (context.settings.shard !== shard && this.situations.isDelayed(shard, context.clock.now())) return;
@@ -183,9 +183,9 @@
     else await this.context.sleep(millis(PROBE_RETRY_DELAY_MS));
   }
 
-  /** Gives up shards whose machines this controller mostly does not hear, if somebody else may reach them. */
+  /** Releases shards if most of their machines do not reach this controller and a peer may reach them. */
   private releaseUnreachableShards(now: SteadyMs): void {
-    // A release on an old store cache would fail its condition, and the shard may have another leader by now.
+    // With an outdated store cache the release would fail its condition: the shard may already have another leader.
     if (this.cacheAgeMs(now) > this.cacheAgeLimitMs) return;
     for (const shard of this.context.shards.values()) {
       if (this.shardsInTransition.has(shard.id) || now - shard.acquiredAt < MIN_LEADERSHIP_MS) continue;
@@ -204,26 +204,29 @@
     if (!(await this.transactions.release(shard))) this.releasedShards.delete(shard.id);
   }
 
-  /** The store says that this process does not lead the shard, or does so no more. */
+  /** Drops the shard if this process led it: the store shows that it does not, or no longer does. */
   private closeShard(id: ShardId, record: ShardRecord | null, version: Revision): void {
     const { shards, log } = this.context;
     const leader = record?.leader ?? null;
-    const lost = shards.get(id);
-    if (lost)
-      log.info({ ...describeLoss(lost, record, version), ...cacheState(this.context) }, 'leadership lost');
+    const lostShard = shards.get(id);
+    if (lostShard)
+      log.info(
+        { ...describeLoss(lostShard, record, version), ...cacheState(this.context) },
+        'leadership lost',
+      );
     shards.delete(id);
     if (leader) this.releasedShards.delete(id);
   }
 }
 
-/** Under which leadership a shard was lost, and to which one, for the log. */
-function describeLoss(lost: Shard, successor: ShardRecord | null, version: Revision): object {
-  const { id: shard, fencingToken: ownToken, acquiredVersion } = lost;
+/** Returns the log fields of a lost shard: the leadership that ended and the one that replaced it. */
+function describeLoss(lostShard: Shard, successor: ShardRecord | null, version: Revision): object {
+  const { id: shard, fencingToken: ownToken, acquiredVersion } = lostShard;
   const { leader = null, fencingToken: successorToken = null } = successor ?? {};
   return { shard, leader, version, successorToken, fencingToken: ownToken, acquiredVersion };
 }
 
-/** The shard's record has changed while this process leads it; all machines are to be told a new fencing token. */
+/** Applies a changed record of a shard that this process leads. All machines must be sent the new fencing token. */
 function adoptRecord(shard: Shard, acquiredToken: FencingToken, version: Revision): void {
   shard.adoptFencingToken(acquiredToken);
   for (const machine of shard.machines.values()) shard.machinesWithPendingCommands.add(machine);
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps this controller's membership: a lease of the key-value store, and the membership key that is attached to it and
- * carries the process's incarnation. Peers take a controller's shards over once its key is gone. Relies on the store to
- * delete the key when the lease expires.
+ * Maintains this controller's cluster membership: a lease in the key-value store and the membership key attached to it,
+ * which carries the incarnation of the process. Peers take over a controller's shards once its key is gone. Relies on the
+ * store to delete the key when the lease expires.
  */
 import type { Settings, Tuning } from '../settings/settings.js';
 import { aliveKey, encodeMembership } from '../shards/codec.js';
@@ -11,21 +11,21 @@
 import type { Clock, Incarnation, LeaseId, Millis, SteadyMs } from '../model/units.js';
 import { millis, plus } from '../model/units.js';
 
-/** What the membership uses of the controller. */
+/** The part of the controller that membership uses. */
 export interface MembershipContext {
   readonly clock: Clock;
   readonly settings: Pick<Settings, 'node'>;
   readonly tuning: Pick<Tuning, 'membershipTtl'>;
   readonly incarnation: Incarnation;
   readonly store: Pick<KeyValueClient, 'grantLease' | 'renewLease' | 'compareAndSwap'>;
-  /** A whole number from 0 to below the limit. */
+  /** Returns a random integer from 0 (inclusive) to `limit` (exclusive). */
   random(limit: number): number;
   sleep(delay: Millis): Promise<void>;
 }
 
-/** Renewals within one time to live: a failed one can be repeated before the lease expires. */
+/** Renewals per time to live: a failed renewal can be retried before the lease expires. */
 const RENEWALS_PER_TTL = 3;
-/** After a failure: the jitter keeps controllers from retrying in step when the store comes back. */
+/** Delay after a failure. The jitter prevents controllers from retrying in lockstep when the store recovers. */
 const RETRY_DELAY_MS = 300;
 const RETRY_JITTER_MS = 200;
 
@@ -34,16 +34,16 @@
   private lease: LeaseId | null = null;
   private keyWritten = false;
   private heldSince: SteadyMs | null = null;
-  /** null: the key has not been confirmed yet. */
+  /** Until when the key certainly exists; null: it has not been confirmed yet. */
   private keyValidUntil: SteadyMs | null = null;
 
   constructor(private readonly context: MembershipContext) {}
 
-  /** Renews lease and key for as long as the process runs. */
+  /** Maintains the lease and the key for as long as the process runs. */
   async run(): Promise<never> {
     const ttl = this.context.tuning.membershipTtl;
     for (;;) {
-      // Counted from before the request: the store may have renewed the lease at any moment since.
+      // The validity counts from the moment of sending: the store may have renewed the lease at any time after it.
       const requestedAt = this.context.clock.now();
       const renewed = await this.renew();
       if (renewed) {
@@ -55,10 +55,10 @@
   }
 
   /**
-   * Since when the lease has been held without a break, or null when the key may be gone by now.
+   * Returns since when the lease has been held without interruption, or null if the key may be gone by now.
    *
-   * Prevents: after a partition the store cache is current a moment before this controller learns that its lease has
-   * expired. A shard acquired then would be taken away at once by peers, to whom its leader's key is missing.
+   * Prevents: after a partition the store cache becomes current a moment before this controller learns that its lease has
+   * expired. It acquires a shard, and peers, which do not see its membership key, take the shard over at once.
    */
   stableSince(now: SteadyMs): SteadyMs | null {
     return this.keyValidUntil !== null && now < this.keyValidUntil ? this.heldSince : null;
@@ -68,7 +68,7 @@
     return RETRY_DELAY_MS + this.context.random(RETRY_JITTER_MS);
   }
 
-  /** One attempt to grant or renew the lease and, on a new lease, to write the key; whether both stand. */
+  /** Grants or renews the lease, and writes the key unless it is on that lease. Returns whether both are in place. */
   private async renew(): Promise<boolean> {
     const { store, tuning } = this.context;
     if (this.lease === null) {
@@ -88,7 +88,7 @@
     if (this.keyWritten) return true;
     const result = await store.compareAndSwap([], [this.keyChange(this.lease)], RequestPriority.leadership);
     this.keyWritten = result.kind === 'done';
-    // Perhaps because the lease has expired meanwhile: the next attempt asks for a new one.
+    // The lease may have expired in the meantime: the next attempt requests a new one.
     if (result.kind === 'refused') this.lease = null;
     return this.keyWritten;
   }
--- a/src/leadership/observed-situations.ts
+++ b/src/leadership/observed-situations.ts
@@ -1,15 +1,16 @@
 /**
- * For how long each shard has been in the situation that a failover decision looks at, and how long this controller
- * holds back before it acts on it. The delay differs between controllers, so that one of the nearest zone usually
- * acquires a shard before the others have sent anything. It saves store requests; safety does not rest on it.
+ * Tracks how long each shard has been in its current situation (its leader, and whether leader and home controller are
+ * alive), and the delay with which this controller reacts to it. The delay differs between controllers, so that one in
+ * the home controller's zone usually acquires the shard before the others have sent a request. This saves store
+ * requests; safety does not depend on it.
  */
 import type { ControllerId, ShardId, SteadyMs } from '../model/units.js';
 import type { Settings } from '../settings/settings.js';
 
-/** What the observation uses of the controller. */
+/** The part of the controller that the tracking uses. */
 export interface SituationContext {
   readonly settings: Pick<Settings, 'shards' | 'zone'>;
-  /** A whole number from 0 to below the limit. */
+  /** Returns a random integer from 0 (inclusive) to `limit` (exclusive). */
   random(limit: number): number;
 }
 
@@ -19,18 +20,18 @@
   readonly delayMs: number;
 }
 
-/** How much longer controllers of other zones than the home controller's hold back. */
+/** Additional delay of controllers outside the home controller's zone. */
 const OTHER_ZONE_DELAY_MS = 250;
-/** Spreads the controllers of one zone. */
+/** Upper limit of the random delay, which spreads the controllers of one zone. */
 const DELAY_JITTER_MS = 150;
 
-/** The present situation of every shard. */
+/** Tracks the current situation of every shard. */
 export class ObservedSituations {
   private readonly byShard = new Map<ShardId, ObservedSituation>();
 
   constructor(private readonly context: SituationContext) {}
 
-  /** Milliseconds in the same situation, less the delay: negative while this controller holds back. */
+  /** Returns for how many milliseconds the situation has lasted, less the delay: negative while the delay lasts. */
   observe(shard: ShardId, situation: string, now: SteadyMs, homeController: ControllerId): number {
     let observed = this.byShard.get(shard);
     if (!observed || observed.situation !== situation) {
@@ -40,7 +41,7 @@
     return now - observed.observedSince - observed.delayMs;
   }
 
-  /** Whether this controller still holds back for the shard's present situation. */
+  /** Returns whether this controller's delay for the shard's current situation still lasts. */
   isDelayed(shard: ShardId, now: SteadyMs): boolean {
     const observed = this.byShard.get(shard);
     return observed !== undefined && now - observed.observedSince < observed.delayMs;
--- a/src/leadership/open-shard.ts
+++ b/src/leadership/open-shard.ts
@@ -1,6 +1,7 @@
 /**
- * Builds what a new leader holds of its shard in memory: the registered machines, all of them unreconciled, and the
- * tasks of active jobs that are assigned to the shard. Relies on the store cache; what the cache learns of later is added by those who follow its changes.
+ * Builds the in-memory state of a shard for its new leader: the registered machines, all of them unreconciled, and the
+ * tasks of active jobs that are assigned to the shard. Reads the store cache; the listeners of the cache apply later
+ * changes.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import { activeJobKey } from '../jobs/codec.js';
@@ -23,12 +24,12 @@
   SteadyMs,
 } from '../model/units.js';
 
-/** What opening a shard uses of the controller. */
+/** The part of the controller that opening a shard uses. */
 export interface OpenShardContext {
   readonly clock: Clock;
   readonly log: Pick<Log, 'info'>;
   readonly storeCache: Pick<StoreCache, 'entriesUnder' | 'version' | 'revision' | 'confirmedAt'>;
-  /** The shards that this process leads; only the leadership adds and removes them. */
+  /** The shards that this process leads; only this folder adds and removes them. */
   readonly shards: Map<ShardId, Shard>;
   readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
   readonly activeJobs: Pick<ReadonlyMap<JobId, JobRecord>, 'values'>;
@@ -37,7 +38,10 @@
   readonly clusterClock: { age(acceptedAt: ClusterMs | null, now: SteadyMs): Millis };
 }
 
-/** Adds the shard to those that this process leads. `version` is the revision of the acquisition. */
+/**
+ * Adds a shard to those that this process leads.
+ * @param version revision of the shard's record that names this process as leader
+ */
 export function openShard(
   context: OpenShardContext,
   id: ShardId,
@@ -74,7 +78,7 @@
   }
 }
 
-/** An earlier leader may have started tasks on it: nothing is known of it before its first heartbeat. */
+/** Creates a machine that may run tasks of an earlier leader: its state is unknown until its first heartbeat. */
 function newUnreconciledMachine(
   id: MachineId,
   record: MachineRecord,
--- a/src/leadership/worker-reachability.ts
+++ b/src/leadership/worker-reachability.ts
@@ -1,13 +1,13 @@
 /**
- * Whether a leader should release its shard because it does not hear the shard's machines, while a peer may: so that a
- * controller that does reach the workers can command them. Pure.
+ * Decides whether a leader should release its shard because it receives no heartbeats from most of the shard's machines
+ * while a peer may receive them: a controller that reaches the workers can then lead the shard. Pure functions.
  */
 import type { Settings } from '../settings/settings.js';
 import type { Machine, Shard } from '../shards/model.js';
 import type { ControllerId, Millis, ShardId, SteadyMs } from '../model/units.js';
 import { millis } from '../model/units.js';
 
-/** What the decision uses of the controller. */
+/** The part of the controller that the decision uses. */
 export interface ReachabilityContext {
   readonly heartbeatIntervalMs: number;
   readonly settings: Pick<Settings, 'peers'>;
@@ -15,25 +15,25 @@
     ReadonlyMap<ControllerId, { readonly redirectedHeartbeats: ReadonlyMap<ShardId, number> }>,
     'get'
   >;
-  /** The peer has sent an announcement within this time. */
+  /** Returns whether an announcement of the peer arrived within this time. */
   heardWithin(node: ControllerId, within: Millis): boolean;
 }
 
-/** Machines of a shard that have had time to send a heartbeat, and how many of them have not. */
+/** How many machines of a shard are expected to send heartbeats, and how many of these are silent. */
 export interface MachineSilence {
   readonly expected: number;
   readonly silent: number;
 }
 
-/** Heartbeat intervals without a heartbeat after which a machine counts as silent, and the least time (milliseconds). */
+/** A machine is silent after this many heartbeat intervals without a heartbeat, but not before the minimum time. */
 const SILENT_INTERVALS = 3.2;
 const MIN_SILENCE_MS = 4500;
-/** Of fewer machines than this nothing can be concluded. */
+/** The silence of fewer machines than this proves nothing. */
 const MIN_MACHINES = 2;
-/** Announcements come every second or so: a peer that is silent for longer counts as out of reach. */
+/** Peers send announcements about once a second; a peer that is silent for longer than this is unreachable. */
 const PEER_SILENCE_LIMIT = millis(3000);
 
-/** How many machines the leader does not hear, if that is a reason to release the shard; otherwise null. */
+/** Returns the counts of expected and silent machines if they are a reason to release the shard; otherwise null. */
 export function findUnreachableMachines(
   context: ReachabilityContext,
   shard: Shard,
@@ -43,7 +43,7 @@
   return areMostSilent(silence) && mayPeersReachMachines(context, shard.id) ? silence : null;
 }
 
-/** Counts the shard's machines that have been silent for more than three heartbeat intervals. */
+/** Counts the machines of the shard that are expected to send heartbeats, and those that are silent. */
 function countSilentMachines(shard: Shard, now: SteadyMs, heartbeatIntervalMs: number): MachineSilence {
   const silenceLimitMs = Math.max(SILENT_INTERVALS * heartbeatIntervalMs, MIN_SILENCE_MS);
   let expected = 0;
@@ -51,33 +51,34 @@
   for (const machine of shard.machines.values()) {
     if (machine.scalingIn || now - machine.addedAt <= silenceLimitMs) continue;
     expected += 1;
-    if (now - lastHeardAt(machine) > silenceLimitMs) silent += 1;
+    if (now - lastHeartbeatArrivalAt(machine) > silenceLimitMs) silent += 1;
   }
   return { expected, silent };
 }
 
 /**
- * When a heartbeat of the machine last arrived. Those refused because commands do not reach the machine count: this
- * controller hears it, and a new leader would have to wait for its lease all over again.
+ * Returns when a heartbeat of the machine last arrived. Heartbeats that were refused because commands do not reach the
+ * machine are included: this controller receives them, and a new leader would have to wait for the expiry of the
+ * machine's lease all over again.
  */
-function lastHeardAt(machine: Machine): number {
+function lastHeartbeatArrivalAt(machine: Machine): number {
   return Math.max(machine.lastHeartbeatAt ?? -Infinity, machine.refusedUnreachableAt ?? -Infinity);
 }
 
-/** At least two thirds of the machines are silent. */
+/** Returns whether at least two thirds of the machines are silent. */
 function areMostSilent({ expected, silent }: MachineSilence): boolean {
   return expected >= MIN_MACHINES && silent * 3 >= expected * 2;
 }
 
 /**
- * Some peer hears machines of the shard, or no peer is heard, which means that this controller is cut off. Prevents:
- * when the machines themselves are cut off or dead, a release would only change the leader, and the next one would have
- * to reconcile all machines.
+ * Returns whether a peer receives heartbeats of the shard's machines, or no peer can be heard, which means that this
+ * controller is cut off. Prevents: when the machines themselves are cut off or dead, a release only changes the leader,
+ * and the new leader has to reconcile all machines.
  */
 function mayPeersReachMachines(context: ReachabilityContext, shard: ShardId): boolean {
   const { settings, peers } = context;
   if (settings.peers.length === 0) return false;
-  const heard = settings.peers.filter((peer) => context.heardWithin(peer.node, PEER_SILENCE_LIMIT));
-  if (heard.length === 0) return true;
-  return heard.some((peer) => (peers.get(peer.node)?.redirectedHeartbeats.get(shard) ?? 0) > 0);
+  const livePeers = settings.peers.filter((peer) => context.heardWithin(peer.node, PEER_SILENCE_LIMIT));
+  if (livePeers.length === 0) return true;
+  return livePeers.some((peer) => (peers.get(peer.node)?.redirectedHeartbeats.get(shard) ?? 0) > 0);
 }
