--- a/src/shards/allocation-changes.ts
+++ b/src/shards/allocation-changes.ts
@@ -1,6 +1,6 @@
 /**
- * Puts allocations on machines and takes them off, the only way to do so: the totals of the machine and of the shard, and
- * the task's place among those that wait, change with them.
+ * Adds allocations to machines and removes them. All changes of allocations go through this module, which keeps the
+ * totals of the machine and of the shard, and the set of waiting tasks, consistent with them.
  */
 import { Priority, type JobSpec } from '../jobs/spec.js';
 import { addTo, clear } from '../model/resources.js';
@@ -10,7 +10,7 @@
 import type { Shard } from './shard.js';
 import { isAssignedTo } from './sync.js';
 
-/** The task of this shard is on the machine, or may be from now on: it does not wait any more. */
+/** Allocates a task of this shard to the machine: it is or may be there from now on, and no longer waits. */
 export function allocate(shard: Shard, machine: Machine, allocation: Allocation): void {
   addToMachine(shard, machine, allocation);
   shard.allocations.set(allocation.id, allocation);
@@ -19,12 +19,12 @@
 }
 
 /**
- * Counts the task on the machine and for its team's quota, in place of an earlier allocation of it there. Alone, for a
- * task that is seen on a machine and should not be: it takes its resources until it is gone.
+ * Adds an allocation to the machine and to its team's usage, and replaces an earlier allocation of the same task there.
+ * Called directly for a task that is seen on a machine and should not be there: it uses resources until it is gone.
  */
 export function addToMachine(shard: Shard, machine: Machine, allocation: Allocation): void {
-  const before = machine.allocations.get(allocation.id);
-  if (before) removeFromMachine(shard, machine, before);
+  const previous = machine.allocations.get(allocation.id);
+  if (previous) removeFromMachine(shard, machine, previous);
   machine.allocations.set(allocation.id, allocation);
   if (allocation.stop) shard.stopping.add(allocation);
   updateTotals(shard, machine, allocation, 1);
@@ -42,14 +42,14 @@
   if (siblings?.size === 0) shard.allocationsByJob.delete(allocation.job);
 }
 
-/** Totals of the machine and of the shard, for one allocation more (1) or less (-1). */
+/** Updates the totals of the machine and of the shard for an added (1) or removed (-1) allocation. */
 function updateTotals(shard: Shard, machine: Machine, { spec }: Allocation, sign: 1 | -1): void {
-  shard.totals.countIfUnaccounted(machine, -1);
+  shard.totals.countIfUsageUnknown(machine, -1);
   if (spec) {
     updateMachineTotals(machine, spec, sign);
     shard.totals.countTask(spec, sign);
   } else machine.unknownSizeCount += sign;
-  shard.totals.countIfUnaccounted(machine, 1);
+  shard.totals.countIfUsageUnknown(machine, 1);
   shard.totals.updateFreeCapacity(machine, shard.types);
 }
 
@@ -66,8 +66,9 @@
 }
 
 /**
- * Another allocation of the same task. A heartbeat that was delayed may have shown the task on a machine that it has
- * left, while the machine that it runs on was told to stop it: until it is gone from there too, it must not start again.
+ * Finds another allocation of the same task. A delayed heartbeat may have shown the task on a machine that it had
+ * left, whereupon the machine that runs it was told to stop it: it must not be started again before it is gone from
+ * there too.
  */
 function allocationElsewhere(shard: Shard, removed: Allocation): Allocation | null {
   for (const allocation of shard.allocationsByJob.get(removed.job) ?? [])
@@ -75,12 +76,12 @@
   return null;
 }
 
-/** The task is certainly not on that machine any more: it waits again, unless it has finished or may be elsewhere. */
+/** Removes a task that is certainly no longer on the machine; it waits again unless finished or possibly elsewhere. */
 export function release(shard: Shard, machine: Machine, allocation: Allocation): void {
   removeFromMachine(shard, machine, allocation);
   if (shard.allocations.get(allocation.id) !== allocation) return;
   shard.allocations.delete(allocation.id);
-  const unfinishedJob = jobStillRequiring(shard, allocation);
+  const unfinishedJob = unfinishedJobOf(shard, allocation);
   const other = allocationElsewhere(shard, allocation);
   if (other) {
     shard.allocations.set(other.id, other);
@@ -88,16 +89,17 @@
   } else if (unfinishedJob) requeue(shard, unfinishedJob, allocation);
 }
 
-/** The job of the task if the task is assigned to this shard and has not finished. */
-function jobStillRequiring(shard: Shard, { job: id, index }: Allocation): ShardJob | null {
+/** Returns the job of the task if the task is assigned to this shard and has not finished; otherwise null. */
+function unfinishedJobOf(shard: Shard, { job: id, index }: Allocation): ShardJob | null {
   const job = shard.jobs.get(id);
   if (!job || !isAssignedTo(shard, id, index)) return null;
   return job.record.done.has(index) || job.finished.has(index) ? null : job;
 }
 
 /**
- * Lets the task be started again. Not at once if it was started by an earlier leader and the shard is not reconciled: a
- * delayed heartbeat may have shown it on a machine that it has left, and it may run on one that has not been heard of.
+ * Lets the task be started again. A task that an earlier leader started becomes unaccounted first if the shard is not
+ * reconciled: a delayed heartbeat may have shown it on a machine that it had left, and it may run on a machine that
+ * this leader has not heard from.
  */
 function requeue(shard: Shard, job: ShardJob, { index, attempt }: Allocation): void {
   if (job.gangHistory) job.gangHistory.mayHaveStarted = true;
@@ -110,7 +112,7 @@
   shard.queue.add(job);
 }
 
-/** The launch has not been sent in any form, so that no machine can hold the task. */
+/** Whether the launch has not been sent in any form, so that the task cannot be on the machine. */
 const isUnsent = (allocation: Allocation): boolean =>
   allocation.phase === 'ordered' &&
   allocation.launchPending &&
@@ -118,20 +120,20 @@
   !allocation.unacknowledged &&
   allocation.answeredSequence === null;
 
-/** The task is not to run on: it is released if nothing of it has been sent, and otherwise told to stop. */
+/** Ends an allocation: releases the task if its launch has not been sent, and otherwise requests it to stop. */
 export function stopOrRelease(shard: Shard, machine: Machine, allocation: Allocation, graceS: number): void {
   if (isUnsent(allocation)) release(shard, machine, allocation);
   else requestStop(shard, machine, allocation, graceS);
 }
 
-/** The task is to stop, within so many seconds: its machine is told directly, and by the answers to its heartbeats. */
+/** Requests a task to stop within `graceS` seconds, by a direct command and by answers to heartbeats. */
 function requestStop(shard: Shard, machine: Machine, allocation: Allocation, graceS: number): void {
   allocation.stop = { grace: graceS, direct: 'due' };
   shard.stopping.add(allocation);
   shard.machinesWithPendingCommands.add(machine);
 }
 
-/** The allocation was stopped since a delayed heartbeat showed the task elsewhere; the task is here after all. */
+/** Withdraws a stop that was requested because a delayed heartbeat had shown the task on another machine. */
 function withdrawStop(shard: Shard, allocation: Allocation): void {
   allocation.stop = null;
   shard.stopping.delete(allocation);
--- a/src/shards/allocation.ts
+++ b/src/shards/allocation.ts
@@ -1,6 +1,6 @@
 /**
- * A task on a machine as the shard's leader knows it, from the launch until it is certain that the task is not there any
- * more, and the traces that it leaves. `allocation-changes.ts` puts allocations on machines and takes them off.
+ * The allocation of a task to a machine as the shard's leader knows it, from the launch until it is certain that the
+ * task is no longer there, and what remains of it afterwards. `allocation-changes.ts` adds and removes allocations.
  */
 import type { JobSpec } from '../jobs/spec.js';
 import type { AllocationPhase } from '../model/allocation-phase.js';
@@ -18,8 +18,8 @@
 } from '../model/units.js';
 
 /**
- * A launch that was sent directly and not answered. The request may be delayed on its way and carried out minutes later,
- * as long as the worker's fencing token and agent epoch are still these: until then the task may start on the machine.
+ * A launch that was sent directly and not answered. The request may be delayed and carried out minutes later: the task
+ * may start on the machine as long as the worker's fencing token and agent epoch are unchanged.
  */
 export interface UnacknowledgedLaunch {
   readonly fencingToken: FencingToken;
@@ -27,48 +27,52 @@
   readonly sentAt: SteadyMs;
 }
 
-/** A task told to stop. `direct`: whether the direct command that says so is still to be sent, or has been. */
+/** A request to stop a task. `direct`: whether the direct command for it is yet to be sent, or has been sent. */
 export interface StopRequest {
   /** Seconds that the task may take to save a checkpoint. */
   grace: number;
   direct: 'due' | 'sent';
 }
 
-/** A task that is on a machine or may be. It takes resources there and counts for its team's quota until it is released. */
+/** A task that is or may be on a machine. It uses resources there and quota of its team until it is released. */
 export interface Allocation {
   readonly id: TaskId;
   readonly job: JobId;
   readonly index: TaskIndex;
   readonly attempt: Attempt;
   readonly machine: MachineId;
-  /** null: a task seen on a machine whose job has ended and is not remembered; its size is unknown. */
+  /** null: the task was seen on a machine, but its job has ended and is no longer known; its size is unknown. */
   readonly spec: JobSpec | null;
-  /** Changed by reconciliation, from what the worker shows. */
+  /** Changed by reconciliation, from the worker's messages. */
   phase: AllocationPhase;
   readonly allocatedAt: SteadyMs;
-  /** When it was first seen to run; null: it has not been. Changed by reconciliation. */
+  /** When it was first seen running; null: not yet. Changed by reconciliation. */
   runningSince: SteadyMs | null;
-  /** When it was first seen to wait for the other tasks of its gang. Changed by reconciliation. */
+  /** When it was first seen waiting for the other tasks of its gang; null: not yet. Changed by reconciliation. */
   waitingForGangSince: SteadyMs | null;
-  /** null: it is to go on. Set by `stopOrRelease`; `direct` is changed by the direct commands. */
+  /** null: the task is not to stop. Set by `stopOrRelease`; the direct commands change `direct`. */
   stop: StopRequest | null;
-  /** A direct request that carries its launch has been sent and not concluded. Changed by the direct commands. */
+  /** Whether a direct request with its launch has been sent and has not ended. Changed by the direct commands. */
   launchInFlight: boolean;
-  /** Its launch is to be sent directly. Set by the scheduler, cleared by whatever sends the launch or shows the task. */
+  /**
+   * Whether its launch is yet to be sent directly. Set by the scheduler, cleared when it is sent or the task is seen.
+   */
   launchPending: boolean;
-  /** Set when a direct launch ends without an answer; cleared by reconciliation once it can't be carried out any more. */
+  /**
+   * Set when a direct launch ends without an answer; cleared by reconciliation once it can no longer be carried out.
+   */
   unacknowledged: UnacknowledgedLaunch | null;
-  /** Sequence number of the last heartbeat whose answer carried the launch; null: none did. Set with that answer. */
+  /** Sequence number of the last heartbeat whose answer carried the launch; null: none. Set with that answer. */
   answeredSequence: Sequence | null;
 }
 
-/** A task that the worker lists as exited; it is listed until the worker has been told to forget it. */
+/** A task that the worker lists as exited, until it is told to forget the task. */
 export interface ExitedTask {
   readonly id: TaskId;
   readonly job: JobId;
   readonly index: TaskIndex;
   readonly attempt: Attempt;
   readonly cause: ExitCause;
-  /** The launch may yet come a second time: the worker must not forget the attempt before that is excluded. */
+  /** A launch that may still arrive a second time: until that is excluded the worker must not forget the attempt. */
   unacknowledged: UnacknowledgedLaunch | null;
 }
--- a/src/shards/codec.ts
+++ b/src/shards/codec.ts
@@ -1,7 +1,7 @@
 /**
- * Maps the records of shards, machines and live controllers to what the store keeps, and names the keys they stand under.
- * Versions of the software read each other's records during an upgrade: keys and field names stay as they are here,
- * whatever the code calls them. Fields that are not known here are ignored.
+ * Encodes and decodes the stored records of shards, machines and live controllers, and defines their keys. During an
+ * upgrade, versions of the software read each other's records: stored keys and field names must not change, whatever
+ * the code calls them. Unknown fields are ignored.
  */
 import * as v from 'valibot';
 import type {
@@ -17,7 +17,7 @@
 } from '../model/units.js';
 import { storeKey } from '../model/units.js';
 
-/** Prefix of everything that controllers watch. */
+/** Prefix of all keys that controllers watch. */
 export const WATCHED_PREFIX = 'c/';
 /** Prefix of the records of shards. */
 export const SHARDS_PREFIX = 'c/parts/';
@@ -25,33 +25,33 @@
 export const MACHINES_PREFIX = 'c/machines/';
 /** Prefix of the keys that live controllers hold by a lease. */
 export const ALIVE_PREFIX = 'c/alive/';
-/** Holds the highest fencing token that any leader has: a single count for all shards. */
+/** Holds the highest fencing token issued so far, by one counter for all shards. */
 export const TOKEN_KEY = storeKey('c/token');
-/** Holds the time that the controllers have counted together. */
+/** Holds the cluster clock, which the controllers advance together. */
 export const TIME_KEY = storeKey('c/time');
-/** Holds the instance types that the cloud was last known to offer. */
+/** Holds the instance types that the cloud last offered. */
 export const CATALOG_KEY = storeKey('c/catalog');
-/** Where the record of a shard stands. */
+/** Key of a shard's record. */
 export const shardKey = (shard: ShardId): StoreKey => storeKey(`${SHARDS_PREFIX}${shard}`);
-/** Where the record of a machine stands while it is registered. */
+/** Key of a machine's record, which exists while the machine is registered. */
 export const machineKey = (machine: MachineId): StoreKey => storeKey(`${MACHINES_PREFIX}${machine}`);
-/** Where a controller shows that it is alive: the key goes when its lease ends. */
+/** Membership key of a live controller, which is deleted when its lease ends. */
 export const aliveKey = (controller: ControllerId): StoreKey => storeKey(`${ALIVE_PREFIX}${controller}`);
 
-/** Who leads a shard. Writing it, on condition of the version that was read, acquires the shard. */
+/** The leader of a shard. Writing it, on condition of the version that was read, acquires the shard. */
 export interface ShardRecord {
-  /** null: released, any controller may acquire it. */
+  /** null: the shard was released, and any controller may acquire it. */
   readonly leader: ControllerId | null;
-  /** The process that acquired the shard: another process of the same controller does not lead it. */
+  /** The process that acquired the shard; another process of the same controller does not lead it. */
   readonly incarnation: Incarnation | null;
-  /** Under which the shard was last acquired. */
+  /** The token under which the shard was last acquired. */
   readonly fencingToken: FencingToken;
 }
 
-/** A registered machine. It is commanded only by the leader of the shard that the record names. */
+/** A registered machine. Only the leader of the shard that the record names sends it commands. */
 export interface MachineRecord {
   readonly shard: ShardId;
-  /** Where its worker was reached when it was registered. */
+  /** Address of its worker at registration. */
   readonly address: Address;
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
@@ -74,20 +74,20 @@
 const aliveSchema = v.object({ incarnation: v.string() });
 const tokenSchema = v.object({ token: v.number() });
 
-/** null: the value has not the form that is expected. */
+/** Returns null if the value does not match the schema. */
 function parse<S extends v.GenericSchema>(schema: S, value: unknown): v.InferOutput<S> | null {
   const result = v.safeParse(schema, value);
   return result.success ? result.output : null;
 }
 
-/** The value of `shardKey`. */
+/** Encodes the value of `shardKey`. */
 export const encodeShardRecord = (record: ShardRecord): unknown => ({
   owner: record.leader,
   incarnation: record.incarnation,
   token: record.fencingToken,
 });
 
-/** null: the value cannot be read. */
+/** Returns null if the value cannot be decoded. */
 export function decodeShardRecord(value: unknown): ShardRecord | null {
   const stored = parse(shardSchema, value);
   return (
@@ -99,7 +99,7 @@
   );
 }
 
-/** The value of `machineKey`. */
+/** Encodes the value of `machineKey`. */
 export const encodeMachineRecord = (record: MachineRecord): unknown => ({
   part: record.shard,
   address: record.address,
@@ -108,7 +108,7 @@
   spot: record.spot,
 });
 
-/** null: the value cannot be read. */
+/** Returns null if the value cannot be decoded. */
 export function decodeMachineRecord(value: unknown): MachineRecord | null {
   const stored = parse(machineSchema, value);
   return (
@@ -122,20 +122,20 @@
   );
 }
 
-/** The value of `aliveKey`. */
+/** Encodes the value of `aliveKey`. */
 export const encodeMembership = (incarnation: Incarnation): unknown => ({ incarnation });
 
-/** The incarnation of a controller that is alive; null: the value cannot be read. */
+/** Returns the incarnation of a live controller, or null if the value cannot be decoded. */
 export const decodeMembership = (value: unknown): Incarnation | null =>
   (parse(aliveSchema, value)?.incarnation as Incarnation | undefined) ?? null;
 
-/** The value of `TOKEN_KEY`. */
+/** Encodes the value of `TOKEN_KEY`. */
 export const encodeFencingToken = (token: FencingToken): unknown => ({ token });
 
-/** A token has been written, and cannot be read: how high it is, is not known. */
+/** Whether a token is stored that cannot be decoded, so that its value is unknown. */
 export const isUnreadableToken = (value: unknown): boolean =>
   value !== undefined && parse(tokenSchema, value) === null;
 
-/** 0: there is none yet, or it cannot be read: ask `isUnreadableToken` before a token is derived from it. */
+/** Returns 0 if there is no token or it cannot be decoded: check `isUnreadableToken` before deriving a new token. */
 export const decodeFencingToken = (value: unknown): FencingToken =>
   (parse(tokenSchema, value)?.token ?? 0) as FencingToken;
--- a/src/shards/image-announcements.ts
+++ b/src/shards/image-announcements.ts
@@ -1,27 +1,27 @@
 /**
- * Chooses the machines whose images are announced next to other controllers. An announcement names a few machines
- * only: changes go first, and all machines recur in turn, since an announcement may be lost.
+ * Chooses the machines whose images are announced to other controllers next. An announcement covers only a few
+ * machines: changed machines come first, and all machines are repeated in turn, since an announcement may be lost.
  */
 import type { MachineId } from '../model/units.js';
 import type { Machine } from './machine.js';
 
-/** The order in which the images of a shard's machines are announced. */
+/** Keeps the order in which the images of a shard's machines are announced. */
 export class ImageAnnouncements {
   private readonly changed = new Set<Machine>();
-  /** Goes through the machines as they come and go; a new round begins when it has reached the end. */
+  /** Iterates over the machines while they are added and removed; restarts when it has reached the end. */
   private cursor: Iterator<Machine>;
 
-  /** @param machines those of the shard, which the shard goes on changing */
+  /** @param machines the live map of the shard's machines */
   constructor(private readonly machines: ReadonlyMap<MachineId, Machine>) {
     this.cursor = machines.values();
   }
 
-  /** The machine holds an image that has not been announced. */
+  /** Marks a machine that holds an image not announced yet. */
   markChanged(machine: Machine): void {
     this.changed.add(machine);
   }
 
-  /** The machines to announce now, `count` at most: changed ones, then the next in turn that hold any image. */
+  /** Returns at most `count` machines: changed machines, then the next machines in turn that hold an image. */
   next(count: number): Set<Machine> {
     const chosen = new Set<Machine>();
     for (const machine of this.changed) {
@@ -29,14 +29,14 @@
       this.changed.delete(machine);
       if (this.machines.has(machine.id)) chosen.add(machine);
     }
-    for (let left = Math.min(count - chosen.size, this.machines.size); left > 0; left -= 1) {
+    for (let remaining = Math.min(count - chosen.size, this.machines.size); remaining > 0; remaining -= 1) {
       const machine = this.nextInTurn();
       if (machine && machine.images.size > 0) chosen.add(machine);
     }
     return chosen;
   }
 
-  /** null: there is no machine. */
+  /** Returns null if there is no machine. */
   private nextInTurn(): Machine | null {
     let next = this.cursor.next();
     if (next.done) {
--- a/src/shards/job.ts
+++ b/src/shards/job.ts
@@ -1,7 +1,7 @@
 /**
- * A shard's copy of a job: which of its tasks wait, may be on a machine that has not been heard of, or have finished.
- * Each unfinished task that is assigned to the shard is in `waiting`, in `unaccounted`, in `unconfirmed`, in
- * `handingOver` or in an allocation; `sync.ts` keeps the copy up to date with the record.
+ * A shard's copy of a job: which of its tasks wait, may be on a machine that the leader has not heard from, or have
+ * finished. Each unfinished task that is assigned to the shard is in `waiting`, in `unaccounted`, in `unconfirmed`, in
+ * the set of tasks being transferred or in an allocation; `sync.ts` keeps the copy up to date with the record.
  */
 import { requiredZoneOf, type Assignment, type JobRecord } from '../jobs/record.js';
 import type { JobSpec } from '../jobs/spec.js';
@@ -11,32 +11,32 @@
 import { steady } from '../model/units.js';
 import type { JobId, MachineId, Millis, Revision, SteadyMs, ZoneId } from '../model/units.js';
 
-/** Why the task of a reservation did not start in the last cycle that looked at it. */
+/** Why the task of a reservation did not start in the last cycle that considered it. */
 export type ReservationObstacle = 'not looked at' | 'machine not free' | 'quota' | 'gang incomplete';
 
-/** A machine reserved for a task that fits nowhere yet. */
+/** A machine reserved for a task that does not fit on any machine yet. */
 export interface Reservation {
   readonly machine: MachineId;
   readonly reservedUntil: SteadyMs;
-  /** For a job that has waited too long: nothing is stopped for it, the machine empties by itself. */
+  /** For a job that has waited too long: no task is preempted, the machine empties as its tasks end. */
   readonly withoutPreemption: boolean;
-  /** For the log alone. */
+  /** Only for the log. */
   lastObstacle: ReservationObstacle;
 }
 
-/** A job of which tasks are assigned to the shard, as its leader knows it. */
+/** A job with tasks assigned to the shard, as the shard's leader knows it. */
 export interface ShardJob {
   readonly id: JobId;
   readonly spec: JobSpec;
-  /** The newest record that was read. */
+  /** The newest record that has been read. */
   record: JobRecord;
   /** Revision of that record. */
   version: Revision;
   /** Tasks that are certainly on no machine and may be started. */
   readonly waiting: RangeSet;
-  /** Tasks that an earlier leader may have started and that have not been seen since: they may be on a machine. */
+  /** Tasks that an earlier leader may have started and that have not been seen since; they may be on a machine. */
   readonly unaccounted: RangeSet;
-  /** Tasks assigned by a record ahead of the watch: an earlier leader cannot have started them, a later one might. */
+  /** Tasks assigned by a record ahead of the watch: an earlier leader cannot have started them, a later leader may. */
   readonly unconfirmed: RangeSet;
   /** Revision of the newest record that assigned tasks to the shard. */
   assignedVersion: Revision;
@@ -44,31 +44,31 @@
   readonly finished: RangeSet;
   /** Tasks being transferred to another shard, while the outcome of the write is unknown. */
   readonly handingOver: RangeSet;
-  /** Machines reserved for its tasks, by index of the task. */
+  /** Machines reserved for its tasks, by task index. */
   readonly reservations: Map<number, Reservation>;
-  /** Machines on which others were stopped for a task of it that then did not start there, and when that was seen. */
+  /** Machines where tasks were preempted for a task of this job that then did not start, and when that was seen. */
   readonly unusedPreemptions: Map<MachineId, SteadyMs>;
-  /** When it was accepted, by the clock of this process; that may be before the process began. */
+  /** When the job was accepted, by the clock of this process; may be before the process started. */
   readonly acceptedAt: SteadyMs;
-  /** Since when tasks of it have been waiting for capacity; null: none is. */
+  /** Since when tasks of the job have been waiting for capacity; null: no task is waiting for it. */
   waitingSince: SteadyMs | null;
-  /** No task of it is started before this time, after errors. */
+  /** After errors no task of the job is started before this time. */
   backoffUntil: SteadyMs;
-  /** A search for tasks to preempt found none: no other search before this time. */
+  /** No search for preemption victims before this time: the last search found none. */
   nextPreemptionSearchAt: SteadyMs;
   /** How many of its tasks have ended in an error. */
   errors: number;
-  /** How many of its tasks have ended well. */
+  /** How many of its tasks have ended without an error. */
   successes: number;
-  /** Machines on which a task of it has failed. */
+  /** Machines on which a task of the job has failed. */
   readonly failedMachines: Set<MachineId>;
   /** When tasks were last assigned to this shard. */
   arrivedAt: SteadyMs;
-  /** What is known of the attempts of its tasks together; null: no gang. */
+  /** What is known of the attempts of the gang; null: the job is no gang. */
   readonly gangHistory: GangHistory | null;
 }
 
-/** What a shard's copy of a job starts from. */
+/** Initial values of a shard's copy of a job. */
 export interface ShardJobOptions {
   readonly record: JobRecord;
   readonly version: Revision;
@@ -81,7 +81,7 @@
   readonly age: Millis;
 }
 
-/** A copy of a job that nothing is known of but its record. */
+/** Creates a copy of a job of which only the record is known. */
 export function newShardJob(options: ShardJobOptions): ShardJob {
   const { record, version, addedAt, unfinished, mayBeRunning, age } = options;
   return {
@@ -109,27 +109,29 @@
   };
 }
 
-/** The tasks are on a machine or have ended: they do not wait in any way. */
-export function withdrawFromQueue(job: ShardJob, from: number, to: number): void {
-  for (const tasks of [job.waiting, job.unaccounted, job.unconfirmed]) tasks.removeRange(from, to);
+/**
+ * Removes the tasks [start, end), which are on a machine or have ended, from all sets of tasks that may still start.
+ */
+export function withdrawFromQueue(job: ShardJob, start: number, end: number): void {
+  for (const tasks of [job.waiting, job.unaccounted, job.unconfirmed]) tasks.removeRange(start, end);
 }
 
-/** What must be free at once for anything of the job to start: all tasks of a gang, else one task. */
+/** Returns the capacity that must be free for the job to start: for all tasks of a gang, otherwise for one task. */
 export const minimumToStart = (job: ShardJob): Resources =>
   job.gangHistory ? scale(job.spec, job.waiting.size + job.unaccounted.size) : job.spec;
 
-/** The zone in which the task must run by the job's record; null: any. */
+/** Returns the zone in which the task must run by the job's record; null: any zone. */
 export const requiredZone = (job: ShardJob, index: number): ZoneId | null =>
   requiredZoneOf(job.record, index);
 
-/** Consecutive waiting tasks [from, to) that must run in the same zone; `zone` null: in any. */
+/** Consecutive waiting tasks [from, to) that must run in the same zone; null: in any zone. */
 export interface WaitingRun {
   readonly from: number;
   readonly to: number;
   readonly zone: ZoneId | null;
 }
 
-/** The waiting tasks of a job as runs, in the order of their numbers. */
+/** Returns the waiting tasks of a job as ranges of equal zone, in the order of the task indices. */
 export function waitingRuns(job: ShardJob): WaitingRun[] {
   const runs: WaitingRun[] = [];
   const { assignments } = job.record;
@@ -149,7 +151,7 @@
   return runs;
 }
 
-/** How many tasks of a job wait for each zone. */
+/** Counts the waiting tasks of a job by required zone. */
 export function waitingByZone(job: ShardJob): Map<ZoneId | null, number> {
   const counts = new Map<ZoneId | null, number>();
   for (const { from, to, zone } of waitingRuns(job)) counts.set(zone, (counts.get(zone) ?? 0) + to - from);
--- a/src/shards/machine.ts
+++ b/src/shards/machine.ts
@@ -1,6 +1,6 @@
 /**
- * A machine of a shard: what is known of its worker, what is allocated on it, and what is free there. It lives as long
- * as the leadership under which it was created; a later leader of the shard starts from the machine's record again.
+ * A machine of a shard: what is known of its worker, what is allocated on it, and what is free there. It exists for one
+ * leadership of the shard; a later leader builds it anew from the machine's record.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import { subtract, ZERO, type MutableResources } from '../model/resources.js';
@@ -27,86 +27,89 @@
 }
 
 /**
- * The fields are written by few, named at each: "reconciliation" is workers/reconciliation.ts, "the shard" the functions
- * of this folder, which keep the totals of the shard up to date with the field. Everybody reads.
+ * Each field names the code that may change it: "reconciliation" is workers/reconciliation.ts, "the shard" the
+ * functions of this folder, which keep the totals of the shard consistent with the field. Any code may read the
+ * fields.
  */
 export interface Machine {
   readonly id: MachineId;
-  /** Where direct commands go, as its last message says. Changed by reconciliation. */
+  /** Where direct commands are sent, by the machine's last message. Changed by reconciliation. */
   address: Address;
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
-  /** Of the newest message that was applied, like the next two; 0: none has been yet. Changed by reconciliation. */
+  /** From the newest message that was applied, like the next two fields; 0: none yet. Changed by reconciliation. */
   agentEpoch: AgentEpoch;
   sequence: Sequence;
-  /** The fencing token of the leader whom the worker obeys. */
+  /** The fencing token of the leader that the worker obeys. */
   fencingToken: FencingToken;
-  /** A message of an earlier epoch lists tasks that are certainly gone, and is refused. Raised by the lease's expiry. */
+  /** Messages of earlier epochs list tasks that are certainly gone, and are refused. Raised when the lease expires. */
   minimumAgentEpoch: AgentEpoch;
-  /** Receipt of the last message, heartbeat or answer to a direct command; null: none yet. Changed by reconciliation. */
+  /** When the last heartbeat or answer to a direct command arrived; null: none yet. Changed by reconciliation. */
   lastHeardAt: SteadyMs | null;
-  /** Since when heartbeats have come without a gap. Changed by reconciliation. */
+  /** Since when heartbeats have arrived without a gap. Changed by reconciliation. */
   continuouslyHeardSince: SteadyMs | null;
-  /** Receipt of the last heartbeat that may have been answered, which renews the lease. Changed by reconciliation. */
+  /** When the last heartbeat arrived whose answer may have renewed the lease. Changed by reconciliation. */
   lastHeartbeatAt: SteadyMs | null;
   /** Sequence number of that heartbeat. Changed by reconciliation. */
   lastHeartbeatSequence: Sequence | null;
-  /** When its present epoch was first heard of; the epoch's lease began before that. Changed by reconciliation. */
+  /** When its current epoch was first seen; the epoch's lease began before that. Changed by reconciliation. */
   agentEpochSeenAt: SteadyMs | null;
   /**
-   * Since the shard was acquired it has shown this leader's fencing token, or its lease has expired: it holds nothing of
-   * an earlier leader that is not known here. Changed by `Shard.markReconciled` alone.
+   * Whether it has shown this leader's fencing token since the shard was acquired, or its lease has expired: it holds
+   * no tasks of an earlier leader that are unknown here. Changed only by `Shard.markReconciled`.
    */
   reconciled: boolean;
   /** Revision of the record that registered it for the shard. */
   readonly registeredVersion: Revision;
-  /** This leader knows all that was written before that record. Changed by `RecordConfirmation` alone. */
+  /** Whether this leader knows all changes up to that record. Changed only by `RecordConfirmation`. */
   confirmed: boolean;
-  /** When the cloud takes the spot instance, once it has given notice. Changed by `Shard.setInterruption` alone. */
+  /** When the cloud will take the spot instance, by its notice. Changed only by `Shard.setInterruption`. */
   interruptedAt: SteadyMs | null;
-  /** What is on it or may be, by task. Changed by the shard, like the next four. */
+  /** Tasks that are or may be on it. Changed by the shard, like the next four fields. */
   readonly allocations: Map<TaskId, Allocation>;
-  /** What the allocations of known size take together. */
+  /** Sum of the allocations of known size. */
   readonly used: MutableResources;
-  /** What those of them below critical priority take. */
+  /** Sum of the allocations of known size below critical priority. */
   readonly preemptible: MutableResources;
   /** How many allocations are of unknown size. */
   unknownSizeCount: number;
-  /** How many allocations need each image: it is on the machine, or being fetched. */
+  /** How many allocations need each image, which is on the machine or being fetched. */
   readonly requiredImages: Map<ImageId, number>;
   /** Tasks that the worker lists as exited. Changed by reconciliation. */
   exitedTasks: Map<TaskId, ExitedTask>;
-  /** Images that it should hold, with their GB, the least recently used first. Changed by `Shard.recordImage`. */
+  /** Images that it should hold, with sizes in GB, least recently used first. Changed by `Shard.recordImage`. */
   readonly images: Map<ImageId, number>;
-  /** At most one direct request to it at a time. Changed by the direct commands. */
+  /** Only one direct request may be in progress at a time. Changed by the direct commands. */
   directRequestInFlight: boolean;
   /**
-   * Since when nothing that was sent has certainly arrived there; null while it is reached. Heartbeats prove nothing: in
-   * a fault of one direction a machine is heard and hears nothing. No task is started on it until it answers a direct
-   * request. Set by reconciliation and the direct commands, cleared by the latter.
+   * Since when no command is known to have reached the machine; null: it is reachable. Heartbeats prove nothing: in a
+   * one-way network fault they arrive although no command gets through. No task is started on the machine until it
+   * answers a direct request. Set by reconciliation and the direct commands, cleared by the latter.
    */
   unreachableSince: SteadyMs | null;
-  /** Direct requests in a row without an answer. Counted by the direct commands; scale-in sets it back. */
+  /** Consecutive direct requests without an answer. Counted by the direct commands, reset by scale-in. */
   missedDirectRequests: number;
-  /** When a heartbeat that did not show this leader's fencing token was first answered. Set by the heartbeat handler. */
+  /** When a heartbeat without this leader's fencing token was first answered. Set by the heartbeat handler. */
   answeredUnreconciledAt: SteadyMs | null;
-  /** Receipt of the last heartbeat refused since answers do not reach the machine. Set by the heartbeat handler. */
+  /** When a heartbeat was last refused because answers do not reach the machine. Set by the heartbeat handler. */
   refusedUnreachableAt: SteadyMs | null;
-  /** No new tasks before this: it refused or failed tasks, or did not answer. Set by reconciliation, direct commands. */
+  /**
+   * No new tasks before this time: it refused or failed tasks, or was silent. Set by reconciliation, direct commands.
+   */
   quarantinedUntil: SteadyMs;
   /** The latest failures of tasks on it. Changed by reconciliation. */
   taskFailures: TaskFailure[];
-  /** It goes to another shard and takes no more tasks. Changed by the transfer of machines. */
+  /** Whether it is being transferred to another shard and takes no more tasks. Changed by the transfer of machines. */
   draining: boolean;
-  /** It is returned to the cloud. Set by the autoscaler, for good. */
+  /** Whether it is being returned to the cloud. Set by the autoscaler, never cleared. */
   scalingIn: boolean;
   /** Since when nothing has been allocated on it. Changed by scale-in. */
   idleSince: SteadyMs | null;
   readonly addedAt: SteadyMs;
 }
 
-/** What is known of a machine before its worker has been heard. */
+/** What is known of a machine before the first message of its worker. */
 export interface MachineOptions {
   readonly id: MachineId;
   readonly address: Address;
@@ -115,13 +118,13 @@
   /** A spot instance. */
   readonly spot: boolean;
   readonly addedAt: SteadyMs;
-  /** It was registered after the shard was acquired: no earlier leader can have started anything on it. */
+  /** True: it was registered after the shard was acquired, so that no earlier leader can have started tasks on it. */
   readonly reconciled: boolean;
   /** Revision of its registration. */
   readonly registeredVersion: Revision;
 }
 
-/** A machine that has not been heard of and holds nothing that is known. */
+/** Creates a machine that has sent no message yet and has no known allocations. */
 export function newMachine(options: MachineOptions): Machine {
   return {
     ...options,
@@ -156,11 +159,13 @@
   };
 }
 
-/** The machine may hold tasks that are not known here, or tasks of unknown size. */
+/** Whether the machine may hold tasks that are unknown here, or tasks of unknown size. */
 export const hasUnknownUsage = (machine: Machine): boolean =>
   !machine.reconciled || machine.unknownSizeCount > 0;
 
-/** What is free on a machine; nothing while something of unknown size is on it, or its type is not in the catalog. */
+/**
+ * Returns the free resources: none while a task of unknown size is on the machine or its type is not in the catalog.
+ */
 export function freeResources(machine: Machine, type: InstanceType | undefined): MutableResources {
   if (!type || machine.unknownSizeCount > 0) return { ...ZERO };
   return subtract(type, machine.used);
--- a/src/shards/model.ts
+++ b/src/shards/model.ts
@@ -1,4 +1,4 @@
-/** The public face of the shard model: what other folders use of it. */
+/** Public interface of the shard model for other folders. */
 export type { Allocation, ExitedTask, UnacknowledgedLaunch } from './allocation.js';
 export { addToMachine, allocate, release, stopOrRelease } from './allocation-changes.js';
 export {
--- a/src/shards/record-confirmation.ts
+++ b/src/shards/record-confirmation.ts
@@ -1,37 +1,37 @@
 /**
- * Which records a shard's leader may act on. The watch cache learns single keys ahead of the watch, from own commits and
- * from reads of one key. Whoever acts on such a record must also know everything written before it: the record may be
- * newer than an acquisition by another controller that the watch has not shown yet. A right to start therefore comes from
- * "this process leads the shard, and its cache is complete up to a revision that is not below any record that is used".
- * This module is the one place that grants it.
+ * Tracks which records a shard's leader may act on. The watch cache learns single keys ahead of the watch, from this
+ * controller's own commits and from reads of one key. A leader that acts on such a record must also know everything
+ * written before it: the record may be newer than an acquisition by another controller that the watch has not shown
+ * yet. Tasks may therefore be started only if this process leads the shard and its cache is complete up to the
+ * revision of every record that the start is based on. Only this module grants that permission.
  */
 import type { Revision } from '../model/units.js';
 import { NO_REVISION } from '../model/units.js';
 import type { ShardJob } from './job.js';
 import type { Machine } from './machine.js';
 
-/** Jobs and machines of one shard whose records are ahead of the watch. */
+/** Holds the jobs and machines of one shard whose records are ahead of the watch. */
 export class RecordConfirmation {
   private completeUpTo: Revision = NO_REVISION;
   private readonly jobs = new Set<ShardJob>();
   private readonly machines = new Set<Machine>();
 
-  /** Up to here the cache lacked no change, and its record of the shard was this leader's. */
+  /** Revision up to which the cache was complete and showed this leader. */
   get revision(): Revision {
     return this.completeUpTo;
   }
 
-  /** Whether a record of this version was written under this leadership, as far as anything is known. */
+  /** Whether the cache was complete up to a record of this version and showed this leader. */
   covers(version: Revision): boolean {
     return version <= this.completeUpTo;
   }
 
-  /** The job has unconfirmed tasks: they wait for `confirmUpTo`. */
+  /** Adds a job with unconfirmed tasks, which wait for `confirmUpTo`. */
   addJob(job: ShardJob): void {
     this.jobs.add(job);
   }
 
-  /** Nothing is started on the machine before its registration is confirmed. */
+  /** Adds a machine; no task is started on it before its registration is confirmed. */
   addMachine(machine: Machine): void {
     machine.confirmed = this.covers(machine.registeredVersion);
     if (!machine.confirmed) this.machines.add(machine);
@@ -42,8 +42,8 @@
   }
 
   /**
-   * The cache is complete up to `revision` and shows this leader still. Returns the jobs whose unconfirmed tasks may be
-   * started from now on, and whether there was anything that waited for this.
+   * Records that the cache is complete up to `revision` and still shows this leader. Returns the jobs whose unconfirmed
+   * tasks may now be started, and whether any job or machine was waiting for this confirmation.
    */
   confirmUpTo(revision: Revision): { readonly jobs: readonly ShardJob[]; readonly changed: boolean } {
     if (revision > this.completeUpTo) this.completeUpTo = revision;
--- a/src/shards/registered-machines.ts
+++ b/src/shards/registered-machines.ts
@@ -1,26 +1,26 @@
-/** The machines that are registered in the store, with their shards, counted by type as records come and go. */
+/** Counts the machines that are registered in the store by shard and type, as records are added and removed. */
 import type { InstanceType } from '../cloud/wire.js';
 import { addTo, ZERO, type MutableResources, type Resources } from '../model/resources.js';
 import type { MachineId, ShardId, InstanceTypeId } from '../model/units.js';
 import type { MachineRecord } from './codec.js';
 
-/** Assumed of a machine whose type is not in the catalog. */
+/** Assumed capacity of a machine whose type is not in the catalog. */
 const ONE_CPU: Resources = { ...ZERO, cpus: 1 };
 
-/** Follows the machine records of all shards. */
+/** Tracks the machine records of all shards. */
 export class RegisteredMachines {
   private readonly records = new Map<MachineId, MachineRecord>();
   private readonly counts = new Map<ShardId, Map<InstanceTypeId, number>>();
 
-  /** How many machines are registered, in all shards. */
+  /** Number of registered machines in all shards. */
   get size(): number {
     return this.records.size;
   }
 
-  /** Takes in a record as it was read; null: the machine is not registered any more. */
+  /** Applies a record that was read; null: the machine is no longer registered. */
   update(id: MachineId, record: MachineRecord | null): void {
-    const before = this.records.get(id);
-    if (before) this.count(before, -1);
+    const previous = this.records.get(id);
+    if (previous) this.count(previous, -1);
     if (record) {
       this.records.set(id, record);
       this.count(record, 1);
@@ -32,7 +32,7 @@
     this.counts.set(shard, types.set(type, (types.get(type) ?? 0) + sign));
   }
 
-  /** What the machines of a shard have together; one whose type is not in the catalog counts as one CPU. */
+  /** Returns the total capacity of a shard's machines; a machine whose type is not in the catalog counts as one CPU. */
   capacity(shard: ShardId, types: ReadonlyMap<InstanceTypeId, InstanceType>): Resources {
     const sum: MutableResources = { ...ZERO };
     for (const [type, count] of this.counts.get(shard) ?? []) addTo(sum, types.get(type) ?? ONE_CPU, count);
--- a/src/shards/retired-machines.ts
+++ b/src/shards/retired-machines.ts
@@ -1,11 +1,11 @@
-/** The ids of machines that were deleted or lost for good. The cloud never uses an id again. */
+/** Remembers the ids of machines that were deleted or lost permanently. The cloud never reuses an id. */
 import type { MachineId } from '../model/units.js';
 import type { RegisteredMachines } from './registered-machines.js';
 
-/** Ids that are remembered at least, however few machines there are. */
+/** Minimum number of remembered ids, however few machines are registered. */
 const MIN_REMEMBERED = 5000;
 
-/** The latest retired machines: as many as are registered, as all of these may be replaced at once. */
+/** The most recently retired machines: as many as are registered, since all of these may be replaced at once. */
 export class RetiredMachines {
   private readonly ids = new Set<MachineId>();
 
@@ -15,7 +15,7 @@
     return this.ids.has(id);
   }
 
-  /** Remembers a machine, and forgets the oldest one if there are too many. */
+  /** Remembers a machine, and forgets the oldest remembered machine if there are too many. */
   add(id: MachineId): void {
     this.ids.add(id);
     if (this.ids.size > Math.max(MIN_REMEMBERED, this.registered.size))
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader of a shard holds in memory: its machines, the allocations on them, and its copies of the jobs of which
- * tasks are assigned to it. It is created when the shard is acquired and dropped when the leadership ends.
+ * The in-memory state of a shard at its leader: its machines, the allocations on them, and copies of the jobs with
+ * tasks assigned to the shard. It is created when the shard is acquired and dropped when the leadership ends.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import type { Resources } from '../model/resources.js';
@@ -26,14 +26,14 @@
   InstanceTypeId,
 } from '../model/units.js';
 
-/** Attempts that can be numbered under one fencing token. */
+/** How many attempt numbers there are for each fencing token. */
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
-/** A new fencing token is due when this many are left. */
+/** A new fencing token is needed when this many attempt numbers are left. */
 const ATTEMPTS_LEFT_AT_RENEWAL = ATTEMPTS_PER_TOKEN / 4;
 
-/** A search for tasks to preempt that found none. */
-export interface FailedSearch {
-  /** The capacity that preempting was to free. */
+/** A search for preemption victims that found none. */
+export interface FailedPreemptionSearch {
+  /** The capacity that preemption was to free. */
   readonly need: Resources;
   /** The search need not be repeated before this time. */
   readonly until: SteadyMs;
@@ -41,50 +41,50 @@
 
 /** A shard under the leadership of this controller. */
 export class Shard {
-  /** Changed by `addMachine` and `removeMachine` alone. */
+  /** Changed only by `addMachine` and `removeMachine`. */
   readonly machines = new Map<MachineId, Machine>();
-  /** Changed by `syncJob`, and by the scheduler when a job is over. */
+  /** Changed by `syncJob`, and by the scheduler when a job has ended. */
   readonly jobs = new Map<JobId, ShardJob>();
-  /** Where each started task is. Changed by `allocate`, `addToMachine` and `release` alone, like all totals below. */
+  /** Where each started task is. Changed only by `allocate`, `addToMachine` and `release`, like all totals below. */
   readonly allocations = new Map<TaskId, Allocation>();
-  /** Also those of tasks that are seen on a machine and should not be there. */
+  /** Includes allocations of tasks that are seen on a machine and should not be there. */
   readonly allocationsByJob = new Map<JobId, Set<Allocation>>();
-  /** Jobs that may have waiting tasks; who reads it takes out those that have none. */
+  /** Jobs that may have waiting tasks; readers remove jobs that have none. */
   readonly queue = new Set<ShardJob>();
-  /** Jobs with finished tasks that are not yet recorded as done; who records them takes the job out. */
+  /** Jobs with finished tasks that are not yet recorded as done; a job is removed when these are recorded. */
   readonly jobsWithUnrecordedEnds = new Set<ShardJob>();
-  /** Gangs that are assigned to the shard; who reads it takes out those that are over. */
+  /** Gangs that are assigned to the shard; readers remove gangs that have ended. */
   readonly gangs = new Set<ShardJob>();
   /** Teams whose tasks found no free capacity in the last scheduling cycle. */
   teamsBlockedByCapacity: ReadonlySet<TeamId> = new Set();
   /** Teams whose tasks exceeded their shard quota in the last scheduling cycle. */
   teamsBlockedByQuota: ReadonlySet<TeamId> = new Set();
-  /** Teams for which quota is reserved until one large task, or gang, fits into it, and how much that is. */
+  /** Quota that is reserved for a team until one large task, or a gang, fits into it. */
   quotaReservations: ReadonlyMap<TeamId, Resources> = new Map();
-  /** By the tasks that the search might have preempted, as a text that preemption makes and reads. */
-  readonly failedSearches = new Map<string, FailedSearch>();
-  /** Machines for which a direct command may be due. */
+  /** By a key for the tasks that the search could have preempted; the preemption code builds and reads the keys. */
+  readonly failedSearches = new Map<string, FailedPreemptionSearch>();
+  /** Machines to which a direct command may have to be sent. */
   readonly machinesWithPendingCommands = new Set<Machine>();
-  /** Allocations that were told to stop and are not yet certainly gone. Changed with the allocations. */
+  /** Allocations that were requested to stop and may still exist. Changed with the allocations. */
   readonly stopping = new Set<Allocation>();
-  /** Spot instances that the cloud has given notice to interrupt. Changed by `setInterruption`. */
+  /** Spot instances with an interruption notice. Changed by `setInterruption`. */
   readonly interruptedMachines = new Set<Machine>();
   readonly totals = new ShardTotals();
-  /** Every machine is reconciled, and so is every task that an earlier leader may have started. */
+  /** Whether all machines are reconciled, and no task that an earlier leader may have started is unaccounted. */
   reconciled = false;
   /** Machines that may hold tasks of an earlier leader. */
   readonly unreconciled = new UnreconciledMachines();
-  /** Which records this leader may act on. */
+  /** Tracks which records this leader may act on. */
   private readonly confirmation = new RecordConfirmation();
   private attemptCounter = 0;
   private readonly firstFencingToken: FencingToken;
-  /** Revision at which the shard was acquired: an earlier leader may have acted on whatever was written up to then. */
+  /** Revision at which the shard was acquired: an earlier leader may have acted on all records up to it. */
   readonly acquiredVersion: Revision;
   private readonly imageAnnouncements = new ImageAnnouncements(this.machines);
 
   /**
    * @param currentFencingToken fencing token under which the shard was acquired
-   * @param version revision of the shard's record, the condition of the leader's writes
+   * @param version revision of the shard's record, on which the leader's writes are conditional
    * @param types the catalog, kept up to date by its owner
    */
   constructor(
@@ -98,12 +98,12 @@
     this.acquiredVersion = version;
   }
 
-  /** A machine that is registered for the shard; nothing is known to be allocated on it. */
+  /** Adds a machine that is registered for the shard and has no known allocations. */
   addMachine(machine: Machine): void {
     this.machines.set(machine.id, machine);
     this.confirmation.addMachine(machine);
     for (const image of machine.images.keys()) this.totals.setImageHolder(image, machine, true);
-    this.totals.countIfUnaccounted(machine, 1);
+    this.totals.countIfUsageUnknown(machine, 1);
     this.totals.updateFreeCapacity(machine, this.types);
     if (!machine.reconciled) this.addUnreconciled(machine);
     this.machinesWithPendingCommands.add(machine);
@@ -114,25 +114,31 @@
     this.reconciled = false;
   }
 
-  /** Tasks read after the acquisition from a record that is older: an earlier leader may have started them. */
+  /**
+   * Adds tasks of a record that is older than the acquisition and was read after it: an earlier leader may have
+   * started them.
+   */
   addUnaccounted(job: ShardJob, tasks: RangeSet): void {
     job.unaccounted.addAll(tasks);
     this.reconciled = false;
     this.unreconciled.requestRecheck();
   }
 
-  /** Tasks of a record that may be ahead of the watch: they are started once `confirmUpTo` has covered it. */
+  /** Adds tasks of a record that may be ahead of the watch: they may start once `confirmUpTo` has covered it. */
   addUnconfirmed(job: ShardJob, tasks: RangeSet): void {
     job.unconfirmed.addAll(tasks);
     this.confirmation.addJob(job);
   }
 
-  /** Up to here this leader knows everything that was written, and led the shard. */
+  /** Revision up to which this leader knows all changes and has led the shard. */
   get confirmedUpTo(): Revision {
     return this.confirmation.revision;
   }
 
-  /** The watch cache is complete up to `revision` and shows this leader still. Returns what may be started with this. */
+  /**
+   * Records that the watch cache is complete up to `revision` and still shows this leader. Returns the jobs whose
+   * unconfirmed tasks may now be started.
+   */
   confirmUpTo(revision: Revision): { readonly jobs: readonly ShardJob[]; readonly changed: boolean } {
     const confirmed = this.confirmation.confirmUpTo(revision);
     for (const job of confirmed.jobs) {
@@ -144,45 +150,45 @@
     return confirmed;
   }
 
-  /** The machine is not registered for the shard any more. What was allocated on it has been released before. */
+  /** Removes a machine that is no longer registered for the shard. Its allocations must have been released before. */
   removeMachine(machine: Machine): void {
     this.machines.delete(machine.id);
     this.confirmation.removeMachine(machine);
     for (const image of machine.images.keys()) this.totals.setImageHolder(image, machine, false);
-    this.totals.countIfUnaccounted(machine, -1);
+    this.totals.countIfUsageUnknown(machine, -1);
     this.totals.removeMachine(machine);
     if (!machine.reconciled) this.unreconciled.add(machine, -1);
     this.machinesWithPendingCommands.delete(machine);
     this.interruptedMachines.delete(machine);
   }
 
-  /** It has shown this leader's fencing token, or cannot hold any task of an earlier leader. */
+  /** Marks a machine that has shown this leader's fencing token, or cannot hold any task of an earlier leader. */
   markReconciled(machine: Machine): void {
     if (machine.reconciled) return;
-    this.totals.countIfUnaccounted(machine, -1);
+    this.totals.countIfUsageUnknown(machine, -1);
     machine.reconciled = true;
     this.unreconciled.add(machine, -1);
-    this.totals.countIfUnaccounted(machine, 1);
+    this.totals.countIfUsageUnknown(machine, 1);
   }
 
-  /** When the cloud takes the machine, by its notice; null: no notice is in force. */
+  /** Sets when the cloud will take the machine back, by its notice; null: no notice is in force. */
   setInterruption(machine: Machine, at: SteadyMs | null): void {
     machine.interruptedAt = at;
     if (at === null) this.interruptedMachines.delete(machine);
     else this.interruptedMachines.add(machine);
   }
 
-  /** To be called when the catalog has changed. */
+  /** Recomputes the free capacity of all machines; must be called when the catalog has changed. */
   refreshFreeCapacity(): void {
     for (const machine of this.machines.values()) this.totals.updateFreeCapacity(machine, this.types);
   }
 
-  /** Machines whose images are to be announced now, `count` at most. */
+  /** Returns the machines whose images are to be announced next, at most `count`. */
   nextImageAnnouncements(count: number): Set<Machine> {
     return this.imageAnnouncements.next(count);
   }
 
-  /** The machine has fetched or used this image. */
+  /** Records that the machine has fetched or used an image. */
   recordImage(machine: Machine, image: ImageId, sizeGb: number): void {
     const alreadyHeld = machine.images.delete(image);
     machine.images.set(image, sizeGb);
@@ -192,7 +198,7 @@
     this.evictImages(machine);
   }
 
-  /** Forgets images that do not fit into the machine's cache: those used longest ago, except those that tasks need. */
+  /** Removes the least recently used images that exceed the machine's cache, except images that its tasks require. */
   private evictImages(machine: Machine): void {
     const cacheGb = this.types.get(machine.type)?.cacheGb ?? Infinity;
     let totalGb = 0;
@@ -206,35 +212,37 @@
     }
   }
 
-  /** Sent with every command: a worker obeys the leader with the highest one that it has seen. */
+  /** Sent with every command: a worker obeys only the leader with the highest token that it has seen. */
   get fencingToken(): FencingToken {
     return this.currentFencingToken;
   }
 
-  /** Goes on under a higher fencing token of this leader: its attempts are larger than all before. */
+  /** Adopts a higher fencing token of this leader: attempts under it have larger numbers than all earlier attempts. */
   adoptFencingToken(fencingToken: FencingToken): void {
     if (fencingToken <= this.currentFencingToken) return;
     this.currentFencingToken = fencingToken;
     this.attemptCounter = 0;
   }
 
-  /** Few attempts are left: beyond them the numbers are those of the next fencing token, another leader's perhaps. */
+  /**
+   * Whether few attempt numbers are left: the numbers after them belong to the next token, perhaps of another leader.
+   */
   get needsNewFencingToken(): boolean {
     return this.attemptCounter >= ATTEMPTS_PER_TOKEN - ATTEMPTS_LEFT_AT_RENEWAL;
   }
 
   /**
-   * A number that no other start of a task has, on any controller: the fencing token is this leader's alone, and the
-   * counter never goes back. Throws when all numbers of the token have been used.
+   * Returns a number that is unique among all starts of tasks on all controllers: only this leader has the fencing
+   * token, and the counter never decreases. Throws when all numbers of the token have been used.
    */
   nextAttempt(): Attempt {
     if (this.attemptCounter >= ATTEMPTS_PER_TOKEN - 1)
-      throw new Error(`shard ${this.id} has used all attempts of its fencing token`);
+      throw new Error(`shard ${this.id} has used all attempt numbers of its fencing token`);
     this.attemptCounter += 1;
     return (this.fencingToken * ATTEMPTS_PER_TOKEN + this.attemptCounter) as Attempt;
   }
 
-  /** Was the attempt started by this leader, since it acquired the shard? */
+  /** Whether this leader started the attempt after it acquired the shard. */
   issuedAttempt(attempt: Attempt): boolean {
     return attempt >= this.firstFencingToken * ATTEMPTS_PER_TOKEN;
   }
--- a/src/shards/statistics.ts
+++ b/src/shards/statistics.ts
@@ -1,6 +1,6 @@
 /**
- * What the capacity of a shard goes to, for the log: one line that shows where it is lost. Counted from all machines,
- * allocations and waiting jobs, so it is for every few seconds at most. The names of the fields are those of the log.
+ * Shard statistics: one log line that shows how the capacity of a shard is used and where it is lost. They are computed
+ * from all machines, allocations and waiting jobs, so at most every few seconds. The field names are those of the log.
  */
 import type { AllocationPhase } from '../model/allocation-phase.js';
 import { addTo, mapResources, ZERO, type MutableResources, type Resources } from '../model/resources.js';
@@ -12,18 +12,18 @@
 
 type AllocatedByPhase<Amount> = Record<AllocationPhase | 'stopping', Amount>;
 
-/** What the machines of a shard have, what is allocated of it, and what waits. */
+/** Capacity of a shard's machines, what is allocated of it, and the demand of waiting tasks. */
 export interface ShardStatistics {
   readonly machines: number;
-  /** Machines on which no task may be started now, for whatever reason. */
+  /** Number of machines on which no task may be started now, for any reason. */
   readonly unusable: number;
-  /** Of all machines of known type. */
+  /** Sum over all machines of known type. */
   readonly capacity: Resources;
-  /** What tasks of known size take, by their phase; those told to stop are counted apart. */
+  /** Resources of tasks of known size, by phase; tasks that were requested to stop are counted separately. */
   readonly allocated: Readonly<AllocatedByPhase<Resources>>;
-  /** On machines that are not counted as unusable. */
+  /** Free resources of machines that are not unusable. */
   readonly free: Resources;
-  /** What all waiting tasks need. */
+  /** Resources that all waiting tasks need. */
   readonly waiting: Resources;
   /** Teams with waiting tasks; an unlimited quota is logged as null. */
   readonly teams: Readonly<Record<string, TeamStatistics>>;
@@ -34,7 +34,10 @@
   readonly usage: Resources;
   /** What the team may use on this shard. */
   readonly shardQuota: Resources;
-  /** Of the shard quota, what is kept for one job that has waited too long; other jobs of the team cannot use it. Absent: none. */
+  /**
+   * The part of the shard quota that is reserved for a job that has waited too long; other jobs of the team cannot use
+   * it. Absent: none.
+   */
   readonly reservedQuota?: Resources;
   readonly waiting: Resources;
 }
@@ -42,7 +45,7 @@
 const rounded = (amount: Resources): Resources => mapResources((kind) => Math.round(amount[kind]));
 
 /**
- * Counts the statistics of a shard.
+ * Computes the statistics of a shard.
  * @param heartbeatIntervalMs interval of heartbeats, in milliseconds
  * @param shardQuota what a team may use on this shard
  */
--- a/src/shards/sync.ts
+++ b/src/shards/sync.ts
@@ -1,6 +1,6 @@
 /**
- * Brings a shard's copies of jobs up to their records in the store. The record says which tasks are assigned to the
- * shard and which have finished; the copy adds what the leader knows of those that have not.
+ * Updates a shard's copies of jobs from their records in the store. The record holds which tasks are assigned to the
+ * shard and which are done; the copy adds what the leader knows of unfinished tasks.
  */
 import { assignedTo, type JobRecord } from '../jobs/record.js';
 import type { RangeSet } from '../model/ranges.js';
@@ -9,7 +9,7 @@
 import { newShardJob, withdrawFromQueue, type ShardJob } from './job.js';
 import type { Shard } from './shard.js';
 
-/** A record as it was read, and what follows from it for the shard. */
+/** A record as it was read, and the shard's tasks in it. */
 interface JobRevision {
   readonly record: JobRecord;
   readonly version: Revision;
@@ -19,10 +19,10 @@
 }
 
 /**
- * Brings a shard's copy of a job up to its record, or makes one if any task is assigned to the shard.
- * @param version revision of the record; one that is not newer than the copy changes nothing
+ * Updates a shard's copy of a job from its record, or creates the copy if an unfinished task is assigned to the shard.
+ * @param version revision of the record; a record that is not newer than the copy is ignored
  * @param atAcquisition the shard is being acquired: an earlier leader may have started the tasks
- * @param age time since the job was accepted, perhaps by a controller that has ended
+ * @param age time since the job was accepted, possibly by a controller that has ended
  */
 export function syncJob(
   shard: Shard,
@@ -42,7 +42,7 @@
 
 function addJob(shard: Shard, revision: JobRevision, atAcquisition: boolean, age: Millis): void {
   const { unfinished } = revision;
-  // Read after the acquisition and written before it: an earlier leader may have started these tasks too.
+  // A record written before the acquisition but read after it: an earlier leader may have started these tasks too.
   const predatesAcquisition = revision.version <= shard.acquiredVersion;
   const mayBeRunning = atAcquisition || predatesAcquisition;
   const job = newShardJob({
@@ -56,7 +56,7 @@
   if (!mayBeRunning) shard.addUnconfirmed(job, unfinished);
   else if (!atAcquisition) shard.addUnaccounted(job, unfinished);
   shard.jobs.set(job.id, job);
-  // Seen on machines while the record could not be read.
+  // These tasks were seen on machines while the record could not be decoded.
   for (const { index } of shard.allocationsByJob.get(job.id) ?? []) withdrawFromQueue(job, index, index + 1);
   shard.queue.add(job);
   if (job.gangHistory) shard.gangs.add(job);
@@ -79,15 +79,17 @@
   if (job.gangHistory) shard.gangs.add(job);
 }
 
-/** Tasks that the record newly assigns to the shard. */
+/** Adds tasks that the record newly assigns to the shard. */
 function addAssignedTasks(shard: Shard, job: ShardJob, added: RangeSet): void {
-  // Transferred to this leader: the shard that gave them up knew that none of them was on a machine.
+  // The tasks were transferred to this shard, whose previous owner knew that none of them was on a machine.
   job.assignedVersion = job.version;
   if (job.version > shard.acquiredVersion) shard.addUnconfirmed(job, added);
   else shard.addUnaccounted(job, added);
 }
 
-/** Takes out what has finished or is assigned elsewhere, and lets nothing wait that is on a machine or has ended. */
+/**
+ * Drops tasks that are done or assigned elsewhere, and removes tasks on machines or finished from the waiting tasks.
+ */
 function retainUnfinished(shard: Shard, job: ShardJob, unfinished: RangeSet): void {
   for (const tasks of [job.waiting, job.unaccounted, job.unconfirmed, job.handingOver, job.finished])
     retainOnly(tasks, unfinished);
@@ -105,7 +107,7 @@
   tasks.removeAll(removed);
 }
 
-/** Is the task assigned to this shard, by the newest record that is known? */
+/** Whether the task is assigned to this shard by the newest known record. */
 export function isAssignedTo(shard: Shard, jobId: JobId, index: number): boolean {
   const job = shard.jobs.get(jobId);
   if (!job) return false;
--- a/src/shards/totals.ts
+++ b/src/shards/totals.ts
@@ -1,7 +1,7 @@
 /**
- * Running totals of one shard: what its teams use, how many machines have unknown usage, which machines have free
- * capacity, and which hold an image. Updated with every change by the functions of this folder, so that no decision walks
- * over all machines.
+ * Running totals of one shard: the usage of its teams, the number of machines with unknown usage, the machines with
+ * free capacity, and the machines that hold an image. The functions of this folder update them with every change, so
+ * that no decision has to visit all machines.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import {
@@ -23,20 +23,20 @@
 
 const NO_MACHINES: ReadonlySet<Machine> = new Set();
 
-/** Of a machine that has nothing free of a resource: it is in no set of machines. */
+/** Level of a machine that has nothing free of a resource; it is in no set of `levels`. */
 const NO_LEVEL = -1;
 
-/** Machines by how much they have free of one resource, rounded down. */
+/** Indexes machines by their free amount of one resource, rounded down. */
 class FreeCapacityIndex {
-  /** By level, the whole amount that is free. */
+  /** Sets of machines by level: the free amount, rounded down. */
   private readonly levels: (Set<Machine> | undefined)[] = [];
   private readonly levelByMachine = new Map<Machine, number>();
 
   update(machine: Machine, free: number): void {
     const level = free <= TOLERANCE ? NO_LEVEL : Math.floor(free + TOLERANCE);
-    const before = this.levelByMachine.get(machine);
-    if (before === level) return;
-    if (before !== undefined) this.levels[before]?.delete(machine);
+    const previous = this.levelByMachine.get(machine);
+    if (previous === level) return;
+    if (previous !== undefined) this.levels[previous]?.delete(machine);
     this.levelByMachine.set(machine, level);
     if (level !== NO_LEVEL) (this.levels[level] ??= new Set()).add(machine);
   }
@@ -47,34 +47,34 @@
     this.levelByMachine.delete(machine);
   }
 
-  /** Machines with that much free, rounded down, or more. */
+  /** Yields the machines with at least this amount free; both amounts are rounded down. */
   *atLeast(amount: number): Generator<Machine> {
     for (let level = Math.floor(amount); level < this.levels.length; level += 1)
       yield* this.levels[level] ?? NO_MACHINES;
   }
 }
 
-/** What some tasks take, and how many there are. */
+/** Total resources of a number of tasks. */
 interface TaskTotal extends MutableResources {
   tasks: number;
 }
 
-/** Without any task the total is exactly nothing: sums of fractions drift. */
+/** Adds or removes a task. Without tasks the total is set to exactly zero, since sums of fractions drift. */
 function countIn(total: TaskTotal, spec: JobSpec, sign: 1 | -1): void {
   total.tasks += sign;
   if (total.tasks === 0) clear(total);
   else addTo(total, spec, sign);
 }
 
-/** The totals of one shard. Only the functions of this folder change them. */
+/** The totals of one shard. Changed only by the functions of this folder. */
 export class ShardTotals {
   private readonly teams = new Map<TeamId, TaskTotal>();
-  /** What the allocations of each team take, on all machines of the shard. */
+  /** Resources of each team's allocations on all machines of the shard. */
   readonly usageByTeam: ReadonlyMap<TeamId, Resources> = this.teams;
   private readonly preemptible: TaskTotal = { ...ZERO, tasks: 0 };
-  /** What all allocations take that are not critical. */
+  /** Resources of all allocations below critical priority. */
   readonly preemptibleUsage: Resources = this.preemptible;
-  private readonly unaccountedByType = new Map<InstanceTypeId, number>();
+  private readonly unknownUsageByType = new Map<InstanceTypeId, number>();
   private readonly machinesByImage = new Map<ImageId, Set<Machine>>();
   private readonly free: Readonly<Record<ResourceKind, FreeCapacityIndex>> = {
     cpus: new FreeCapacityIndex(),
@@ -83,27 +83,27 @@
   };
 
   /**
-   * Counts the machine more (1) or less (-1) if its usage is unknown now. To be called with -1 before every change that
+   * Adds (1) or removes (-1) the machine if its usage is unknown now. Must be called with -1 before every change that
    * may affect this, and with 1 after it.
    */
-  countIfUnaccounted(machine: Machine, sign: 1 | -1): void {
+  countIfUsageUnknown(machine: Machine, sign: 1 | -1): void {
     if (!hasUnknownUsage(machine)) return;
-    this.unaccountedByType.set(machine.type, (this.unaccountedByType.get(machine.type) ?? 0) + sign);
+    this.unknownUsageByType.set(machine.type, (this.unknownUsageByType.get(machine.type) ?? 0) + sign);
   }
 
   /**
-   * Capacity of the machines with unknown usage. After a failover a machine that has not been heard of may be full of one
-   * team's tasks: counted as free, the team would exceed its quota.
+   * Returns the capacity of the machines with unknown usage. After a failover a machine that has not sent a message yet
+   * may be full of one team's tasks: if it counted as free, the team would exceed its quota.
    */
   unaccountedCapacity(types: ReadonlyMap<InstanceTypeId, InstanceType>): Resources {
     const sum: MutableResources = { ...ZERO };
-    for (const [name, count] of this.unaccountedByType) {
+    for (const [name, count] of this.unknownUsageByType) {
       if (count > 0) addTo(sum, types.get(name) ?? UNLIMITED, count);
     }
     return sum;
   }
 
-  /** Counts a task of this size for its team, more (1) or less (-1). */
+  /** Adds (1) or removes (-1) a task of this size from the usage of its team. */
   countTask(spec: JobSpec, sign: 1 | -1): void {
     const team = this.teams.get(spec.team) ?? { ...ZERO, tasks: 0 };
     countIn(team, spec, sign);
@@ -111,7 +111,7 @@
     if (spec.priority !== Priority.critical) countIn(this.preemptible, spec, sign);
   }
 
-  /** The machine holds the image from now on, or does not. */
+  /** Records whether the machine holds the image. */
   setImageHolder(image: ImageId, machine: Machine, present: boolean): void {
     const holders = this.machinesByImage.get(image) ?? new Set();
     if (present) holders.add(machine);
@@ -120,37 +120,37 @@
     else this.machinesByImage.delete(image);
   }
 
-  /** Machines that should hold the image. */
+  /** Returns the machines that should hold the image. */
   machinesWithImage(image: ImageId): ReadonlySet<Machine> {
     return this.machinesByImage.get(image) ?? NO_MACHINES;
   }
 
-  /** Every image that is on a machine, with its machines. */
+  /** Returns every image that is on a machine, with the machines that hold it. */
   imageHolders(): Iterable<[ImageId, ReadonlySet<Machine>]> {
     return this.machinesByImage;
   }
 
-  /** Takes in what the machine has free now. */
+  /** Updates the free capacity of a machine. */
   updateFreeCapacity(machine: Machine, types: ReadonlyMap<InstanceTypeId, InstanceType>): void {
     const free = freeResources(machine, types.get(machine.type));
     for (const kind of RESOURCE_KINDS) this.free[kind].update(machine, free[kind]);
   }
 
-  /** The machine has left the shard. */
+  /** Removes a machine that has left the shard. */
   removeMachine(machine: Machine): void {
     for (const kind of RESOURCE_KINDS) this.free[kind].remove(machine);
   }
 
   /**
-   * Machines with at least as much free of the resource of which the need takes the largest share: every machine on which
-   * it fits is among them, and the fewest others.
+   * Returns the machines with enough free of the dominant resource of the need, up to rounding: every machine on which
+   * the need fits, and few others.
    */
   machinesWithFree(need: Resources, types: ReadonlyMap<InstanceTypeId, InstanceType>): Iterable<Machine> {
     const kind = dominantKind(need, largestOf(types.values()));
     return this.free[kind].atLeast(need[kind]);
   }
 
-  /** Machines on which any CPU is free: without one nothing starts. */
+  /** Returns the machines with any free CPU capacity, which every task needs. */
   machinesWithFreeCpu(): Iterable<Machine> {
     return this.free.cpus.atLeast(0);
   }
--- a/src/shards/unaccounted-tasks.ts
+++ b/src/shards/unaccounted-tasks.ts
@@ -1,18 +1,19 @@
 /**
- * After a failover a task that has not been seen may be on any machine of the shard that has not been heard of since. Once
- * every machine on which the job's constraints allow the task is reconciled, the task is on none and may be started
- * again. This relies on the constraints having been the same when an earlier leader may have started it: the zone in the
- * record of a job changes only while the task is certainly on no machine (`overflow/zone-reassignment.ts`).
+ * Decides when unaccounted tasks may be started again. After a failover a task that has not been seen may be on any
+ * machine of the shard that has not sent a message since. Once every machine on which the job's constraints allow the
+ * task is reconciled, the task is on no machine and may be started again. This relies on the constraints having been
+ * the same when an earlier leader may have started the task: the zone in the record of a job changes only while the
+ * task is certainly on no machine (`overflow/zone-reassignment.ts`).
  */
 import { RangeSet, type Range } from '../model/ranges.js';
 import type { ZoneId } from '../model/units.js';
 import { requiredZone, type ShardJob } from './job.js';
 import type { Shard } from './shard.js';
 
-/** Told of each job of which tasks wait again. */
+/** Called for each job with tasks that wait again. */
 export type OnRequeued = (job: ShardJob, tasks: RangeSet) => void;
 
-/** Lets tasks that are certainly on no machine wait again; true: with this the whole shard became reconciled. */
+/** Requeues tasks that are certainly on no machine. Returns whether the shard became reconciled by this call. */
 export function requeueAccountedTasks(shard: Shard, onRequeued: OnRequeued = () => undefined): boolean {
   if (shard.reconciled || !shard.unreconciled.takeRecheckRequest()) return false;
   if (shard.unreconciled.isEmpty) shard.reconciled = true;
