--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,6 +1,6 @@
 /**
- * One controller: wires the slices to each other and to the network, and starts them. The only module that knows all
- * of them; what they do is in their own folders.
+ * The composition of a controller: connects its components to each other and to the network, and starts them. Only this
+ * module knows all components; their behavior is in their own folders.
  */
 import { Autoscaler } from '../autoscaling/autoscaler.js';
 import { InstanceTypeCatalog } from '../autoscaling/instance-types.js';
@@ -32,17 +32,17 @@
 import { StoreChangeDispatcher } from './store-changes.js';
 
 const MIN_WATCH_INTERVAL_MS = 25;
-/** Share of the store's rate of requests that the watches of all controllers may use. */
+/** Share of the store's request rate limit that the watches of all controllers together may use. */
 const WATCH_REQUEST_SHARE = 0.3;
-/** A random fraction is one of this many steps. */
+/** Resolution of random fractions. */
 const RANDOM_FRACTION_STEPS = 10_000;
 
-/** Least time between two watches that bring changes: bounds the requests that a busy store costs. */
+/** Returns the minimum time between two watches that return changes: limits the requests while the store is busy. */
 function minWatchInterval({ shards, storeRps }: Settings): Millis {
   return millis(Math.max(MIN_WATCH_INTERVAL_MS, (shards.length * 1000) / (storeRps * WATCH_REQUEST_SHARE)));
 }
 
-/** One controller process, or one controller of a simulation. */
+/** A controller, in a process of its own or in a simulation. */
 export class Controller {
   private readonly core: Core;
   private readonly instanceTypes = new Map<InstanceTypeId, InstanceType>();
@@ -97,7 +97,7 @@
     });
   }
 
-  /** Listens for peers, users and workers, and starts the work that goes on for as long as the process lives. */
+  /** Listens for peers, users and workers, and starts the loops that run for as long as the process. */
   async run(): Promise<void> {
     const { core, ports } = this;
     const { settings, log, incarnation } = core;
@@ -111,7 +111,7 @@
     this.startLoops();
   }
 
-  /** None of the loops is awaited: they end with the process. */
+  /** Starts the loops without awaiting them: they end with the process. */
   private startLoops(): void {
     void this.storeWatcher.run();
     void this.leadership.runKeepAlive();
@@ -120,7 +120,7 @@
     this.periodicWork.start();
   }
 
-  /** The slices are created after what they share: what it asks of them is looked up when it is asked. */
+  /** Creates the shared state. Its callbacks look up the other components when called, as these are created later. */
   private createCore(settings: Settings, tuning: Tuning, clock: Clock, log: Log): Core {
     const { ports } = this;
     const random = seededRandom(tuning.seed + settings.shard);
@@ -163,7 +163,7 @@
     );
   }
 
-  /** From 0 (included) to 1 (excluded). */
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   private randomFraction(): number {
     return this.core.random(RANDOM_FRACTION_STEPS) / RANDOM_FRACTION_STEPS;
   }
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -1,6 +1,6 @@
 /**
- * The answer of `/up`, by which the load balancer decides whether users and workers reach this controller. Relies on
- * the watch cache and on what peers announced.
+ * The health check at `/up`, by which the load balancer decides whether to route users and workers to this controller.
+ * Computed from the state of the watch cache and from the announcements of peers.
  */
 import type { HttpResponse } from '../http/server.js';
 import { millis, type Clock, type SteadyMs } from '../model/units.js';
@@ -8,30 +8,30 @@
 import type { Settings } from '../settings/settings.js';
 import type { StoreCache } from '../store/cache.js';
 
-/** The watch cache counts as stale when it was last confirmed longer ago than this. */
+/** The watch cache is stale if its last confirmation is older than this. */
 const STORE_STALE_AFTER_MS = 4500;
-/** A peer that was heard more recently than this is reachable. */
+/** A peer is reachable if its last announcement is more recent than this. */
 const PEER_LIVENESS_TIMEOUT_MS = 2500;
-/** How long the controller must have been cut off before it says so. */
+/** How long the controller must have been cut off before it reports itself unhealthy. */
 const CUT_OFF_GRACE_MS = 2500;
 
-/** What the answer is computed from. */
+/** The part of the controller that the health check uses. */
 export interface HealthContext {
   readonly clock: Pick<Clock, 'now'>;
   readonly peers: Pick<PeerDirectory, 'allHeardWithin'>;
   readonly settings: { readonly peers: Pick<Settings['peers'], 'length'> };
   readonly storeCache: Pick<StoreCache, 'loaded' | 'confirmedAt'>;
-  /** The instance types that are known: none before the first list of the cloud or the store has been read. */
+  /** The known instance types; empty until the first catalog has been read from the cloud or the store. */
   readonly types: { readonly size: number };
 }
 
-/** Whether this controller should get requests. */
+/** Decides whether this controller should receive requests. */
 export class HealthCheck {
   private cutOffSince: SteadyMs | null = null;
 
   constructor(private readonly context: HealthContext) {}
 
-  /** 200 or 503. Each call takes note of whether the controller is cut off at this moment. */
+  /** Answers 200 or 503. Each call also records whether the controller is cut off at this moment. */
   answer(): HttpResponse {
     const { storeCache, types, clock } = this.context;
     const started = storeCache.loaded && types.size > 0;
@@ -40,17 +40,20 @@
     return { status: 503, body: { error: started ? 'cut off from the state service' : 'starting' } };
   }
 
-  /** When an outage ends some controllers are served a moment before the others: nobody leaves for that. */
+  /**
+   * Returns whether the controller has been cut off for the grace time. Prevents: when a store outage ends, some
+   * controllers are served a moment before the others, and the others report themselves unhealthy.
+   */
   private isCutOff(now: SteadyMs): boolean {
-    this.cutOffSince = this.isWorseOffThanPeers(now) ? (this.cutOffSince ?? now) : null;
+    this.cutOffSince = this.isCutOffNow(now) ? (this.cutOffSince ?? now) : null;
     return this.cutOffSince !== null && now - this.cutOffSince >= CUT_OFF_GRACE_MS;
   }
 
   /**
-   * Whether the store answers peers and not this controller, or neither the store nor any peer is heard. In an outage
-   * for all, every controller stays in.
+   * Returns whether the store answers peers but not this controller, or neither the store nor any peer can be reached.
+   * In a store outage that affects all controllers, every controller remains healthy.
    */
-  private isWorseOffThanPeers(now: SteadyMs): boolean {
+  private isCutOffNow(now: SteadyMs): boolean {
     const { peers, settings, storeCache } = this.context;
     const storeStale = now - storeCache.confirmedAt > STORE_STALE_AFTER_MS;
     if (!storeStale) return false;
--- a/src/controller/job-assignment.ts
+++ b/src/controller/job-assignment.ts
@@ -1,4 +1,4 @@
-/** Assigns the tasks of new jobs to shards, by recent free capacity. */
+/** Assigns the tasks of new jobs to shards, by the recent free capacity of each shard. */
 import type { Core } from '../core.js';
 import type { Assignment } from '../jobs/record.js';
 import type { JobSpec } from '../jobs/spec.js';
@@ -6,22 +6,22 @@
 import { refreshFreeCapacity, zoneForShard } from '../overflow/announcement.js';
 import { assignJob } from '../overflow/assignment.js';
 
-/** New jobs are assigned by what was free in the shards led here at most this long ago. */
+/** Maximum age of the free capacity of the shards led here when a new job is assigned. */
 const FREE_CAPACITY_MAX_AGE_MS = 100;
 
-/** Chooses the shards of new jobs, and keeps the free capacity of the shards led here recent. */
+/** Chooses the shards of new jobs, and keeps the free capacity of the shards led here up to date. */
 export class JobAssigner {
   private freeCapacityRefreshedAt: SteadyMs | null = null;
 
   constructor(private readonly core: Core) {}
 
-  /** Counts anew what the shards led here have free. */
+  /** Recomputes the free capacity of the shards led here. */
   refreshFreeCapacity(now: SteadyMs): void {
     this.freeCapacityRefreshedAt = now;
     refreshFreeCapacity(this.core);
   }
 
-  /** Which shard gets which tasks of a new job. */
+  /** Decides which shard gets which tasks of a new job. */
   assign(spec: JobSpec): Assignment[] {
     const { core } = this;
     const homeShard = this.homeShard();
@@ -45,7 +45,7 @@
     return refreshedAt !== null && now - refreshedAt <= FREE_CAPACITY_MAX_AGE_MS;
   }
 
-  /** The shard of this controller if it leads it, otherwise one that it leads. */
+  /** Returns this controller's own shard, or one that it leads if it leads only other shards. */
   private homeShard(): ShardId {
     const { shards, settings } = this.core;
     if (shards.has(settings.shard)) return settings.shard;
--- a/src/controller/peer-messages.ts
+++ b/src/controller/peer-messages.ts
@@ -1,4 +1,4 @@
-/** The messages between this controller and its peers: what is sent at the announcement interval, and what arrives. */
+/** Messages between this controller and its peers: sends periodic announcements and dispatches received messages. */
 import type { Core } from '../core.js';
 import type { ControllerId, JobId, Revision, SteadyMs } from '../model/units.js';
 import { Throttle } from '../model/throttle.js';
@@ -13,13 +13,13 @@
 import { borrowStoreLimits } from './store-limits.js';
 
 /**
- * A transport that slices may hold before the controller listens for its peers. As messages to peers may be lost
- * anyway, one that is sent before `open` is dropped.
+ * A transport that components can hold before the controller listens for its peers. It drops messages sent before
+ * `open`, since messages to peers may be lost anyway.
  */
 export class DeferredPeerTransport implements PeerTransport {
   private transport: PeerTransport | null = null;
 
-  /** Sends through this transport from now on. */
+  /** Sends all later messages through this transport. */
   open(transport: PeerTransport): void {
     this.transport = transport;
   }
@@ -33,7 +33,7 @@
   }
 }
 
-/** The slices that take part in the exchange with peers. */
+/** The components that take part in the exchange with peers. */
 export interface PeerMessageHandlers {
   readonly leadership: Pick<ShardLeadership, 'redirectedHeartbeatCounts'>;
   readonly machineTransfers: Pick<MachineTransferService, 'handleRequest'>;
@@ -41,7 +41,7 @@
   readonly jobAssigner: Pick<JobAssigner, 'refreshFreeCapacity'>;
 }
 
-/** Announces this controller to its peers, and takes in what they send. */
+/** Sends announcements to the peers, and handles messages from them. */
 export class PeerMessages {
   private readonly announcementThrottle: Throttle;
 
@@ -52,7 +52,7 @@
     this.announcementThrottle = new Throttle(core.tuning.announcementInterval);
   }
 
-  /** Announces free capacity and unused quota once per interval. */
+  /** Announces free capacity and unused quota at most once per announcement interval. */
   announce(now: SteadyMs): void {
     const { core, handlers } = this;
     if (!this.announcementThrottle.tryAcquire(now)) return;
@@ -66,17 +66,17 @@
     core.peerTransport.broadcast(encodePeerMessage(announcement));
   }
 
-  /** Tells the peers of a committed cancellation; the message may be lost. */
+  /** Notifies the peers of a committed cancellation; the message may be lost. */
   announceCancellation(job: JobId, version: Revision): void {
     const notice: CancellationNotice = { kind: 'cancellationNotice', job, version };
     this.core.peerTransport.broadcast(encodePeerMessage(notice));
   }
 
-  /** Takes in a message as it was decoded from its frame. */
+  /** Handles a message that was decoded from its frame. */
   receive(message: unknown): void {
     const { core, handlers } = this;
     const request = receiveMessage(core, message);
-    // Not awaited: a transfer ends with a write to the store, and the peer asks again if it sees none.
+    // Not awaited: a transfer ends with a write to the store, and the peer repeats its request if it sees no write.
     if (request?.kind === 'quotaTransferRequest') void handlers.quotaTransfers.handleRequest(request);
     if (request?.kind === 'machineRequest') handlers.machineTransfers.handleRequest(request);
     core.requestCycle();
--- a/src/controller/periodic-work.ts
+++ b/src/controller/periodic-work.ts
@@ -1,4 +1,4 @@
-/** What a controller does at intervals, in this order: leadership comes before all else. */
+/** The periodic work of a controller, in a fixed order that starts with leadership. */
 import type { Autoscaler } from '../autoscaling/autoscaler.js';
 import type { Core } from '../core.js';
 import type { ClusterClockWriter } from '../jobs/cluster-clock.js';
@@ -15,11 +15,11 @@
 import type { PeerMessages } from './peer-messages.js';
 
 const TICK_INTERVAL_MS = 200;
-/** What walks over all machines is done at this interval, not on every tick. */
+/** Work that visits all machines is done at this interval, not on every tick. */
 const REVIEW_INTERVAL_MS = 1000;
 const STATISTICS_INTERVAL_MS = 10_000;
 
-/** What the periodic work uses of the controller's shared state. */
+/** The part of the controller's shared state that the periodic work uses. */
 export type PeriodicContext = Pick<
   Core,
   | 'clock'
@@ -32,7 +32,7 @@
   | 'invariants'
 >;
 
-/** The slices with work to do at intervals. */
+/** The components with periodic work. */
 export interface PeriodicServices {
   readonly leadership: Pick<ShardLeadership, 'tick'>;
   readonly progress: Pick<ProgressWriter, 'tick'>;
@@ -45,7 +45,7 @@
   readonly peerMessages: Pick<PeerMessages, 'announce'>;
 }
 
-/** Runs the periodic work of one controller for as long as the process lives. */
+/** Runs the periodic work of one controller for as long as the process runs. */
 export class PeriodicWork {
   private readonly reviewThrottle = new Throttle(millis(REVIEW_INTERVAL_MS));
   private readonly statisticsThrottle = new Throttle(millis(STATISTICS_INTERVAL_MS));
@@ -55,9 +55,9 @@
     private readonly services: PeriodicServices,
   ) {}
 
-  /** Ticks now and at every interval from now on. */
+  /** Ticks now and then once per interval. */
   start(): void {
-    // Not awaited: a tick that waits for its turn must not delay the next one.
+    // Not awaited: a tick that waits for exclusive access must not delay the next tick.
     void this.context.exclusive(() => this.tick());
     this.context.clock.after(millis(TICK_INTERVAL_MS), () => this.start());
   }
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -1,4 +1,4 @@
-/** Everything that a controller reaches outside its process. Tests and the simulation put fakes in its place. */
+/** Ports of a controller to everything outside its process. Tests and the simulation replace them with fakes. */
 import { randomBytes } from 'node:crypto';
 import { HttpClient, KeepAliveLimit } from '../http/client.js';
 import { startHttpServer, type Handler, type ServerOptions } from '../http/server.js';
@@ -10,15 +10,15 @@
 import { DIRECT_CALL_SHARE, type WorkerClient } from '../workers/clients.js';
 import { HEARTBEAT_PATH } from './routes.js';
 
-/** Sockets for calls to the store, the cloud and peers, and for what users hold open beside the machines. */
+/** Sockets reserved for calls to the store, the cloud and peers, and for connections of users. */
 const RESERVED_SOCKETS = 80;
-/** What the server may hold open at least, however few sockets the settings allow. */
+/** Minimum number of server connections, however few sockets the settings allow. */
 const MIN_SERVER_CONNECTIONS = 16;
 /** Share of the server's connections that workers may keep open between heartbeats. */
-const KEPT_WORKER_CONNECTION_SHARE = 0.7;
-/** A connection without a request is closed after this many heartbeat intervals, ... */
+const IDLE_WORKER_CONNECTION_SHARE = 0.7;
+/** A connection without requests is closed after this many heartbeat intervals, ... */
 const IDLE_HEARTBEAT_INTERVALS = 5;
-/** ... but not before this. */
+/** ... but not before this time. */
 const MIN_IDLE_TIMEOUT_MS = 30_000;
 const RECEIVE_TIMEOUT_MS = 10_000;
 const RESPONSE_TIMEOUT_MS = 4500;
@@ -32,34 +32,34 @@
 const MAX_WORKER_RESPONSE_MIB = 1;
 const INCARNATION_BYTES = 6;
 
-/** Clients and servers by what they are for. */
+/** Clients and servers by purpose. */
 export interface Ports {
-  /** Requests to the store, except for watches. */
+  /** Client for requests to the store, except watches. */
   readonly state: Caller;
-  /** Watches, which keep a connection busy for as long as they block. */
+  /** Client for watches, which occupy a connection for as long as they block. */
   readonly stateWatch: Caller;
   readonly cloud: Caller;
-  /** A client for direct commands to the worker at an address. */
+  /** Creates a client for direct commands to the worker at an address. */
   readonly worker: (address: Address) => WorkerClient;
-  /** Listens for peers and dials them; `receive` gets every message as it was decoded from its frame. */
+  /** Listens for peers and connects to them; calls `receive` with every message decoded from its frame. */
   readonly mesh: (receive: (message: unknown) => void) => PeerTransport;
-  /** Serves users and workers. */
+  /** Starts the server for users and workers. */
   readonly listen: (handler: Handler) => Promise<void>;
-  /** A name for this start of the process that no other start has. */
+  /** Returns a unique name for this start of the process. */
   readonly incarnation: () => Incarnation;
 }
 
-/** How the server shares its connections between users and workers. */
+/** Returns the server options, by which users and workers share the connections. */
 function serverOptions(settings: Settings, maxConnections: number): ServerOptions {
   return {
     maxConnections,
-    // A controller that is left alone may have more machines than sockets: they take turns.
+    // A controller that leads all shards may have more machines than sockets: the machines take turns.
     crowding: {
-      crowdedAbove: Math.floor(maxConnections * KEPT_WORKER_CONNECTION_SHARE),
+      crowdedAbove: Math.floor(maxConnections * IDLE_WORKER_CONNECTION_SHARE),
       mayCloseAfter: (path) => path === HEARTBEAT_PATH,
     },
     receiveTimeout: millis(RECEIVE_TIMEOUT_MS),
-    // What hundreds of machines leave open in a network fault is closed before they come back on new connections.
+    // Connections that machines leave open in a network fault are closed before hundreds of machines reconnect.
     idleTimeout: millis(
       Math.max(MIN_IDLE_TIMEOUT_MS, settings.heartbeatIntervalS * 1000 * IDLE_HEARTBEAT_INTERVALS),
     ),
@@ -67,7 +67,7 @@
   };
 }
 
-/** The ports of a controller process: HTTP and peer connections at the addresses of the settings. */
+/** Creates the ports of a controller process: HTTP and peer connections at the addresses from the settings. */
 export function networkPorts(settings: Settings, log: Log): Ports {
   const peers = settings.peers.map((peer) => ({ node: peer.node, address: peer.address }));
   const workerConnections = new KeepAliveLimit(Math.floor(settings.maxConnections * DIRECT_CALL_SHARE));
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -1,26 +1,26 @@
-/** Which handler answers which path and method. */
+/** Routes requests to handlers by path and method. */
 import type { Handler, HttpRequest, HttpResponse } from '../http/server.js';
 import type { JobService } from '../jobs/service.js';
 import type { WorkerService } from '../workers/service.js';
 import type { HealthCheck } from './health.js';
 
-/** Where workers post their heartbeats. */
+/** Path to which workers post their heartbeats. */
 export const HEARTBEAT_PATH = '/agent/beat';
 const HEALTH_PATH = '/up';
 const JOBS_PATH = '/v2/runs';
-/** One job, and its cancellation. */
+/** Path of a job, and of its cancellation. */
 const JOB_PATH_PATTERN = /^\/v2\/runs\/([^/]+)(\/abort)?$/;
 
 const NOT_FOUND: HttpResponse = { status: 404, body: { error: 'no such path' } };
 const METHOD_NOT_ALLOWED: HttpResponse = { status: 405, body: { error: 'method not allowed' } };
 
-/** The only method of a path, and what answers it. */
+/** The only method of a path, and its handler. */
 interface Route {
   readonly method: 'GET' | 'POST';
   readonly answer: () => HttpResponse | Promise<HttpResponse>;
 }
 
-/** What answers requests. */
+/** The components that handle requests. */
 export interface RouteHandlers {
   readonly health: Pick<HealthCheck, 'answer'>;
   readonly workers: Pick<WorkerService, 'handleHeartbeat'>;
@@ -44,7 +44,7 @@
   return { method: 'GET', answer: () => jobs.status(id) };
 }
 
-/** The handler of all requests of users and workers. */
+/** Returns the handler of all requests from users and workers. */
 export function routeRequests(handlers: RouteHandlers): Handler {
   return (request) => {
     const route = findRoute(handlers, request);
--- a/src/controller/store-changes.ts
+++ b/src/controller/store-changes.ts
@@ -1,4 +1,4 @@
-/** Tells the slices what changed in the watch cache, by the kind of the changed key. */
+/** Dispatches changes of the watch cache to the components that they concern, by the prefix of the changed key. */
 import type { Autoscaler } from '../autoscaling/autoscaler.js';
 import type { Core } from '../core.js';
 import { decodeClusterTime } from '../jobs/cluster-clock.js';
@@ -19,7 +19,7 @@
 import type { WorkerService } from '../workers/service.js';
 import { divideStoreLimits, type LimitDivisionContext } from './store-limits.js';
 
-/** What the dispatch uses of the controller's shared state. */
+/** The part of the controller's shared state that the dispatch uses. */
 export interface StoreChangeContext
   extends
     LimitDivisionContext,
@@ -27,7 +27,7 @@
   readonly clock: Pick<Clock, 'now'>;
 }
 
-/** The slices that follow changes of the store. */
+/** The components that are notified of store changes. */
 export interface StoreChangeListeners {
   readonly leadership: Pick<ShardLeadership, 'onShardRecord'>;
   readonly workers: Pick<WorkerService, 'onMachineChanged'>;
@@ -35,14 +35,14 @@
   readonly autoscaler: Pick<Autoscaler, 'forgetPending'>;
 }
 
-/** Hands each change of the watch cache to the slices that it concerns. */
+/** Dispatches each change of the watch cache to the components that it concerns. */
 export class StoreChangeDispatcher {
   constructor(
     private readonly context: StoreChangeContext,
     private readonly listeners: StoreChangeListeners,
   ) {}
 
-  /** A key has the value at the version; `undefined` when it was deleted. */
+  /** Handles a changed key with its new value and version; the value is `undefined` if the key was deleted. */
   dispatch(key: string, value: unknown, version: Revision): void {
     const { context, listeners } = this;
     if (key.startsWith(ACTIVE_JOBS_PREFIX)) this.onJobRecord(key, value, version);
@@ -54,10 +54,10 @@
   }
 
   /**
-   * The watch cache is complete up to the revision: the shards led here may act on records up to there.
+   * Records that the watch cache is complete up to the revision: the shards led here may act on records up to it.
    *
-   * Prevents: a leader that has been replaced learns of a job by its own commit before its watch shows the successor, and
-   * both start the job's tasks.
+   * Prevents: a replaced leader learns of a job by its own commit before its watch shows the successor, and both
+   * leaders start the job's tasks.
    */
   confirm(revision: Revision): void {
     const { shards, requestCycle } = this.context;
--- a/src/controller/store-limits.ts
+++ b/src/controller/store-limits.ts
@@ -1,4 +1,4 @@
-/** How the controllers divide the rate limits of the store among themselves. */
+/** Divides the rate limits of the store among the controllers. */
 import { millis, type ControllerId, type Incarnation, type Millis } from '../model/units.js';
 import type { PeerDirectory } from '../peers/peer-directory.js';
 import type { Peer, Settings } from '../settings/settings.js';
@@ -6,17 +6,17 @@
 import type { StoreCache } from '../store/cache.js';
 import type { KeyValueClient } from '../store/client.js';
 
-/** A peer that was heard more recently than this says what it draws from the store. */
+/** The store usage that a peer announced is valid for this time. */
 const USAGE_TIMEOUT_MS = 3000;
 
-/** What the division of the limits needs to know, and the client whose limits are set. */
+/** The part of the controller that the division of limits uses: facts, and the client whose limits are set. */
 export interface LimitDivisionContext {
   readonly settings: { readonly shards: Pick<Settings['shards'], 'length'> };
   readonly storeCache: Pick<StoreCache, 'entriesUnder'>;
   readonly store: Pick<KeyValueClient, 'setControllerCount'>;
 }
 
-/** What borrowing from peers needs to know, and the client whose limits are set. */
+/** The part of the controller that borrowing limits uses: facts, and the client whose limits are set. */
 export interface LimitBorrowingContext {
   readonly settings: { readonly peers: readonly Pick<Peer, 'node'>[] };
   readonly peers: Pick<PeerDirectory, 'get'>;
@@ -25,13 +25,13 @@
   heardWithin(node: ControllerId, within: Millis): boolean;
 }
 
-/** Controllers that are not alive leave their share of the limits to the others. */
+/** Divides the limits among the live controllers: the share of controllers that are not alive goes to the others. */
 export function divideStoreLimits({ settings, store, storeCache }: LimitDivisionContext): void {
   const alive = [...storeCache.entriesUnder(ALIVE_PREFIX)].length;
   store.setControllerCount(Math.max(1, Math.min(alive, settings.shards.length)));
 }
 
-/** What live peers leave unused is borrowed. A peer that is alive and silent may be using all of its share. */
+/** Borrows what live peers leave unused. A live peer without a recent announcement may be using all of its share. */
 export function borrowStoreLimits(context: LimitBorrowingContext): void {
   const { peers, settings, store } = context;
   const wholeShare = { requests: store.requestRate, writes: store.writeRate };
--- a/src/core.ts
+++ b/src/core.ts
@@ -1,6 +1,7 @@
 /**
- * What the slices of one controller share: its settings, clock and clients, the watch cache, the shards that it leads,
- * and what it has learned of machines and peers. Slices change shared state inside `exclusive` only.
+ * The shared state of a controller's components: settings, clock and clients, the watch cache, the shards that the
+ * controller leads, and what it has learned of machines and peers. Components change shared state only inside
+ * `exclusive`.
  */
 import { Mutex } from 'async-mutex';
 import type { CloudClient } from './cloud/client.js';
@@ -44,17 +45,17 @@
 const INITIAL_RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 2000;
 
-/** Time that the controllers count together, as far as this one knows it. */
+/** The cluster clock, which all controllers advance together, as far as this controller knows it. */
 export interface ClusterClock {
-  /** The count has reached this. */
+  /** Records that the cluster clock has reached `count` (milliseconds). */
   reached(count: number, now: SteadyMs): void;
-  /** The count at a time of this process's clock. */
+  /** Returns the time of the cluster clock at a time of this process's clock. */
   now(now: SteadyMs): ClusterMs;
-  /** How long ago a job was accepted. */
+  /** Returns how long ago a job was accepted. */
   age(accepted: ClusterMs | null, now: SteadyMs): Millis;
 }
 
-/** What the composition hands to the slices through `Core`. */
+/** Dependencies that the composition provides to the components through `Core`. */
 export interface CoreDependencies {
   readonly settings: Settings;
   readonly tuning: Tuning;
@@ -67,11 +68,11 @@
   readonly storeCache: StoreCache;
   readonly cloud: CloudClient;
   readonly peerTransport: PeerTransport;
-  /** Written by the instance type catalog alone; empty until it has read the first list. */
+  /** Written only by the instance type catalog; empty until it has read the first list. */
   readonly types: ReadonlyMap<InstanceTypeId, InstanceType>;
   /** Whether the store answered the last request of the watch. */
   readonly storeHealthy: () => boolean;
-  /** Asks for a scheduling cycle soon. */
+  /** Requests a scheduling cycle soon. */
   readonly requestCycle: () => void;
 }
 
@@ -96,19 +97,19 @@
   readonly shards = new Map<ShardId, Shard>();
   readonly activeJobs = new JobRecordCache();
   readonly peers = new PeerDirectory();
-  /** By shard: counted for those led here, announced for the others. */
+  /** By shard: computed for the shards led here, announced by peers for the others. */
   readonly freeCapacity = new Map<ShardId, FreeCapacity>();
-  /** Of shards that other controllers lead. */
+  /** Announcements of shards that other controllers lead. */
   readonly shardAnnouncements = new Map<ShardId, ShardAnnouncement>();
-  /** Which shard a rented machine is meant for; a hint until the store holds the machine's registration. */
+  /** The shard that a rented machine is intended for; a hint until the machine's registration is in the store. */
   readonly intendedShards = new Map<MachineId, ShardId>();
-  /** Machines that this controller rented and that are not registered yet. */
+  /** Machines that this controller rented and that are not registered yet, with their shards. */
   readonly unregisteredOwnMachines = new Map<MachineId, ShardId>();
-  /** Which images the machines of other shards hold, for a failover: image and size in GB. */
+  /** Images (with sizes in GB) on the machines of other shards, used after a failover. */
   readonly imageHints = new Map<MachineId, readonly (readonly [ImageId, number])[]>();
-  /** By shard and image: what critical jobs could have at once on machines that hold the image. */
+  /** By shard and image: the capacity immediately available to critical jobs on machines that hold the image. */
   readonly criticalCapacityByImage = new Map<ShardId, ReadonlyMap<ImageId, Resources>>();
-  /** Machines that the store holds, counted by shard. */
+  /** Machines that are registered in the store, counted by shard. */
   readonly registeredMachines = new RegisteredMachines();
   readonly invariants: InvariantMonitor;
   readonly retiredMachines = new RetiredMachines(this.registeredMachines);
@@ -137,7 +138,7 @@
     this.workerLease = workerLeaseDuration(dependencies.settings);
   }
 
-  /** Runs a change of shared state alone. The work is short and waits for nothing. */
+  /** Runs a change of shared state exclusively. The work must be short and must not wait for anything. */
   exclusive<T>(work: () => T): Promise<T> {
     return this.mutex.runExclusive(work);
   }
@@ -150,34 +151,35 @@
     return this.settings.heartbeatIntervalS * 1000;
   }
 
-  /** How long after a heartbeat was last answered its worker may still run tasks. */
+  /** How long after its last answered heartbeat a worker may still run tasks. */
   get leaseDurationMs(): number {
     return this.workerLease;
   }
 
-  /** Specifications of jobs that have ended while their tasks may still be on machines. */
+  /** Specifications of ended jobs whose tasks may still be on machines. */
   get recentlyEndedJobs(): ReadonlyMap<JobId, JobSpec> {
     return this.activeJobs.recentlyEnded;
   }
 
   /**
-   * Whether this controller may answer heartbeats and send commands now. A job may have been cancelled through another
-   * controller since the watch cache was last confirmed: see `commandLeaseDuration`. Asked for where something is sent,
-   * after every wait.
+   * Returns whether this controller may answer heartbeats and send commands now. A job may have been cancelled
+   * through another controller since the watch cache was last confirmed: see `commandLeaseDuration`. Must be checked
+   * right before sending, after every wait.
    */
   mayCommand(now: SteadyMs): boolean {
     return this.storeCache.loaded && now - this.storeCache.confirmedAt < this.commandLease;
   }
 
-  /** The stored record of a shard; null when there is none, or none that this version can read. */
+  /** Returns the stored record of a shard, or null if there is none or it cannot be decoded. */
   shardRecord(shard: ShardId): ShardRecord | null {
     const entry = this.storeCache.get(shardKey(shard));
     return entry ? decodeShardRecord(entry.value) : null;
   }
 
   /**
-   * Whether the result of a task needs no other trace than the store: the job's record has it, or the job has ended. A job
-   * that is not in the cache has ended only if the cache is complete; one whose record cannot be read has not ended.
+   * Returns whether a task's result need not be kept anywhere but in the store: the job's record contains the result,
+   * or the job has ended. A job that is not in the cache has ended only if the cache is complete; a job whose
+   * record cannot be decoded has not ended.
    */
   isResultRecorded(job: JobId, index: TaskIndex): boolean {
     const record = this.activeJobs.get(job);
@@ -185,30 +187,30 @@
     return this.storeCache.loaded && this.storeCache.get(activeJobKey(job)) === undefined;
   }
 
-  /** Whether the store has a record of the job of which this process has read none: the job has not ended. */
+  /** Returns whether the store has a record of the job that this process could never decode: the job has not ended. */
   isRecordUnreadable(job: JobId): boolean {
     return !this.activeJobs.has(job) && this.storeCache.get(activeJobKey(job)) !== undefined;
   }
 
-  /** Whether a controller holds its membership key; with an incarnation, whether that process holds it. */
+  /** Returns whether the controller's membership key exists, for the given incarnation unless that is null. */
   isAlive(node: ControllerId, incarnation: Incarnation | null): boolean {
     const entry = this.storeCache.get(aliveKey(node));
     return entry !== undefined && (incarnation === null || decodeMembership(entry.value) === incarnation);
   }
 
-  /** Whether an announcement of the peer arrived less than `within` ago. */
+  /** Returns whether an announcement of the peer arrived within this time. */
   heardWithin(node: ControllerId, within: Millis): boolean {
     return this.peers.heardWithin(node, within, this.clock.now());
   }
 
-  /** The condition under which a leader's write may apply: the shard's record is still the one it acquired. */
+  /** Returns the condition of a leader's writes: the shard's record is still the version that the leader knows. */
   leaderCondition(shard: Shard): Condition {
     return { key: shardKey(shard.id), version: shard.version };
   }
 
   /**
-   * Sends a transaction until its outcome is certain. `conflict` after an unknown outcome means: look at what the
-   * store holds, an earlier copy of the same transaction may have been applied.
+   * Repeats a transaction until its outcome is certain. After an unknown outcome `conflict` may mean that an earlier
+   * copy of the same transaction was applied: the caller must check the state of the store.
    */
   async compareAndSwapUntilCertain(
     conditions: Condition[],
@@ -220,7 +222,7 @@
     for (;;) {
       const result = await this.store.compareAndSwap(conditions, changes, priority);
       if (result.kind === 'unknown') uncertain = true;
-      // A refusal says nothing about an earlier copy that is still on its way.
+      // A refusal says nothing about an earlier copy that may still be in transit.
       else if (result.kind !== 'refused' || !uncertain) return result;
       await this.sleep(millis(retryDelayMs * (0.5 + this.random(1000) / 1000)));
       retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2);
--- a/src/leadership/command-lease.ts
+++ b/src/leadership/command-lease.ts
@@ -1,7 +1,7 @@
 /**
- * Durations of the command lease (how long a controller may send commands after the store last confirmed its watch cache)
- * and of the worker lease (how long a worker may run tasks after its last heartbeat was answered). Both allow for clocks
- * that drift by up to 0.05% and for the granularity of timers.
+ * Durations of the command lease (how long a controller may send commands after the store last confirmed its watch
+ * cache) and of the worker lease (how long a worker may run tasks after its last heartbeat was answered). Both allow
+ * for clocks that drift by up to 0.05% and for the granularity of timers.
  */
 import type { Settings } from '../settings/settings.js';
 import { millis, type Millis } from '../model/units.js';
@@ -16,10 +16,10 @@
 /**
  * Returns how long after the last confirmation of its watch cache a controller may answer heartbeats and send commands.
  *
- * Prevents: the store refuses only this controller; another controller confirms the cancellation of a job to its user;
- * this controller, which has not read the cancellation, answers a heartbeat and thereby renews the lease of a worker that
- * runs the job. The tasks would outlive `cancel_s`. Because the full length of the worker lease is subtracted here, a
- * lease that is renewed at the last moment still ends within `cancel_s`.
+ * Prevents: the store refuses only this controller; another controller confirms the cancellation of a job to its
+ * user; this controller, which has not read the cancellation, answers a heartbeat and thereby renews the lease of a
+ * worker that runs the job. The tasks would outlive `cancel_s`. Because the full length of the worker lease is
+ * subtracted here, a lease that is renewed at the last moment still ends within `cancel_s`.
  */
 export function commandLeaseDuration({ cancelS, leaseS }: Pick<Settings, 'cancelS' | 'leaseS'>): Millis {
   const driftAllowanceMs = cancelS * DRIFT_ALLOWANCE_MS_PER_S;
--- a/src/leadership/failover.ts
+++ b/src/leadership/failover.ts
@@ -1,8 +1,9 @@
 /**
- * The failover decision: whether a controller tries to become the leader of a shard, given what it knows of the shard.
- * Pure function. It decides only when to try; safety does not depend on it: leadership is acquired by a compare-and-swap
- * on the fencing token and the shard's record, so that at most one of several controllers that try succeeds. The decision
- * prevents unnecessary leadership changes, and leadership of a controller that cannot reach the shard's workers.
+ * The failover decision: whether a controller tries to become the leader of a shard, given what it knows of the
+ * shard. Pure function. It decides only when to try; safety does not depend on it: leadership is acquired by a
+ * compare-and-swap on the fencing token and the shard's record, so that at most one of several controllers that try
+ * succeeds. The decision prevents unnecessary leadership changes, and leadership of a controller that cannot reach
+ * the shard's workers.
  */
 import type { ControllerId, Incarnation, SteadyMs } from '../model/units.js';
 
@@ -23,7 +24,9 @@
   readonly homeControllerAlive: boolean;
   /** Whether this process has led its home shard before, and lost or released it. */
   readonly ledHomeShardBefore: boolean;
-  /** Since when this controller has held its membership lease; null: its lease or its store cache may be out of date. */
+  /**
+   * Since when this controller has held its membership lease; null: its lease or its store cache may be out of date.
+   */
   readonly membershipStableSince: SteadyMs | null;
   /** How many machines of the shard recently sent heartbeats here because the leader does not answer them. */
   readonly redirectedHeartbeats: number;
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -1,7 +1,7 @@
 /**
- * Maintains this controller's cluster membership: a lease in the key-value store and the membership key attached to it,
- * which carries the incarnation of the process. Peers take over a controller's shards once its key is gone. Relies on the
- * store to delete the key when the lease expires.
+ * Maintains this controller's cluster membership: a lease in the key-value store and the membership key attached to
+ * it, which carries the incarnation of the process. Peers take over a controller's shards once its key is gone.
+ * Relies on the store to delete the key when the lease expires.
  */
 import type { Settings, Tuning } from '../settings/settings.js';
 import { aliveKey, encodeMembership } from '../shards/codec.js';
@@ -57,8 +57,8 @@
   /**
    * Returns since when the lease has been held without interruption, or null if the key may be gone by now.
    *
-   * Prevents: after a partition the store cache becomes current a moment before this controller learns that its lease has
-   * expired. It acquires a shard, and peers, which do not see its membership key, take the shard over at once.
+   * Prevents: after a partition the store cache becomes current a moment before this controller learns that its lease
+   * has expired. It acquires a shard, and peers, which do not see its membership key, take the shard over at once.
    */
   stableSince(now: SteadyMs): SteadyMs | null {
     return this.keyValidUntil !== null && now < this.keyValidUntil ? this.heldSince : null;
--- a/src/leadership/redirected-heartbeats.ts
+++ b/src/leadership/redirected-heartbeats.ts
@@ -1,7 +1,7 @@
 /**
- * Counts the machines whose heartbeats arrive at this controller although another controller leads their shard, because
- * that leader does not answer them. The counts are announced to peers, and show which controllers receive heartbeats of a
- * released shard. Relies on the heartbeat handler to record each such heartbeat.
+ * Counts the machines whose heartbeats arrive at this controller although another controller leads their shard,
+ * because that leader does not answer them. The counts are announced to peers, and show which controllers receive
+ * heartbeats of a released shard. Relies on the heartbeat handler to record each such heartbeat.
  */
 import type { Clock, ShardId, SteadyMs } from '../model/units.js';
 
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,10 +1,10 @@
 /**
- * The entry point of the command: runs the command line and keeps the process alive through errors that nothing caught.
- * A controller never ends by itself: what went wrong in one request or connection must not end the others.
+ * Entry point of the command: runs the command line and keeps the process alive after uncaught errors. A controller
+ * never exits by itself: an error in one request or connection must not end the others.
  */
 import { main } from './cli/cli.js';
 
-/** One line in the form of the log, which may not be open yet. */
+/** Writes a line in the format of the log, which may not be open yet. */
 function reportUncaught(message: string, error: unknown): void {
   const text = error instanceof Error ? String(error.stack) : String(error);
   process.stderr.write(`${JSON.stringify({ level: 'error', msg: message, err: text })}\n`);
