--- a/test/controller/health.test.ts
+++ b/test/controller/health.test.ts
@@ -9,7 +9,7 @@
 const STARTING = { status: 503, body: { error: 'starting' } };
 const CUT_OFF = { status: 503, body: { error: 'cut off from the state service' } };
 
-/** A controller with one peer whose facts the test sets. */
+/** A controller with one peer; the test sets the state of both. */
 class HealthFixture {
   time = 100_000;
   loaded = true;
@@ -49,8 +49,8 @@
     });
   }
 
-  /** The answers at intervals of 500 ms, the peer announcing itself before each. */
-  answersWhilePeerSays(storeHealthy: boolean | null, count: number): unknown[] {
+  /** Returns answers at intervals of 500 ms. The peer announces this store health before each; null: it is silent. */
+  answersWhilePeerAnnounces(storeHealthy: boolean | null, count: number): unknown[] {
     return Array.from({ length: count }, () => {
       this.time += 500;
       if (storeHealthy !== null) this.hearPeer(storeHealthy);
@@ -70,40 +70,40 @@
   assert.deepEqual(fixture.check.answer(), HEALTHY);
 });
 
-test('a controller refused by a store that serves its peer leaves after the grace time', () => {
+test('a controller refused by a store that serves its peer is unhealthy after the grace time', () => {
   const fixture = new HealthFixture();
   fixture.confirmedAt = fixture.time - 4500;
-  // Stale from the first answer on, and cut off 2.5 s later.
-  const answers = fixture.answersWhilePeerSays(true, 7);
+  // The watch cache is stale from the first answer on; the grace time ends 2.5 s later.
+  const answers = fixture.answersWhilePeerAnnounces(true, 7);
   assert.deepEqual(answers, [HEALTHY, HEALTHY, HEALTHY, HEALTHY, HEALTHY, CUT_OFF, CUT_OFF]);
 });
 
-test('in an outage for all controllers everybody stays', () => {
+test('in a store outage for all controllers every controller stays healthy', () => {
   const fixture = new HealthFixture();
   fixture.confirmedAt = fixture.time - 60_000;
-  const answers = fixture.answersWhilePeerSays(false, 20);
+  const answers = fixture.answersWhilePeerAnnounces(false, 20);
   assert.ok(answers.every((answer) => JSON.stringify(answer) === JSON.stringify(HEALTHY)));
 });
 
-test('a controller that hears neither the store nor a peer leaves', () => {
+test('a controller that reaches neither the store nor a peer is unhealthy', () => {
   const fixture = new HealthFixture();
   fixture.confirmedAt = fixture.time - 60_000;
-  assert.deepEqual(fixture.answersWhilePeerSays(null, 6).at(-1), CUT_OFF);
+  assert.deepEqual(fixture.answersWhilePeerAnnounces(null, 6).at(-1), CUT_OFF);
 });
 
-test('a controller without configured peers stays in an outage', () => {
+test('a controller without configured peers stays healthy in a store outage', () => {
   const fixture = new HealthFixture([]);
   fixture.confirmedAt = fixture.time - 60_000;
-  assert.deepEqual(fixture.answersWhilePeerSays(null, 20).at(-1), HEALTHY);
+  assert.deepEqual(fixture.answersWhilePeerAnnounces(null, 20).at(-1), HEALTHY);
 });
 
-test('a confirmation by the store starts the grace time anew', () => {
+test('a confirmation by the store restarts the grace time', () => {
   const fixture = new HealthFixture();
   fixture.confirmedAt = fixture.time - 60_000;
-  assert.deepEqual(fixture.answersWhilePeerSays(true, 6).at(-1), CUT_OFF);
+  assert.deepEqual(fixture.answersWhilePeerAnnounces(true, 6).at(-1), CUT_OFF);
   fixture.confirmedAt = fixture.time;
   assert.deepEqual(fixture.check.answer(), HEALTHY);
   fixture.confirmedAt = fixture.time - 60_000;
-  assert.deepEqual(fixture.answersWhilePeerSays(true, 5).at(-1), HEALTHY);
-  assert.deepEqual(fixture.answersWhilePeerSays(true, 1).at(-1), CUT_OFF);
+  assert.deepEqual(fixture.answersWhilePeerAnnounces(true, 5).at(-1), HEALTHY);
+  assert.deepEqual(fixture.answersWhilePeerAnnounces(true, 1).at(-1), CUT_OFF);
 });
--- a/test/controller/periodic-work.test.ts
+++ b/test/controller/periodic-work.test.ts
@@ -7,7 +7,7 @@
 import { StoreCache } from '../../src/store/cache.js';
 import { SimulatedClock } from '../support/simulated-clock.js';
 
-/** Starts periodic work whose services record what is called, and returns the calls of the given time. */
+/** Starts periodic work with services that record their calls, and returns the calls within the given time. */
 async function callsWithin(ms: number): Promise<string[]> {
   const calls: string[] = [];
   const record = (call: string) => (): void => {
--- a/test/controller/routes.test.ts
+++ b/test/controller/routes.test.ts
@@ -3,7 +3,7 @@
 import { routeRequests } from '../../src/controller/routes.js';
 import type { HttpResponse } from '../../src/http/server.js';
 
-/** Answers with the name of the handler and what it was called with. */
+/** Answers with the name and the argument of the handler. */
 const answer = (handler: string, argument?: unknown): HttpResponse => ({
   status: 200,
   body: { handler, argument: Buffer.isBuffer(argument) ? argument.toString() : argument },
--- a/test/controller/store-changes.test.ts
+++ b/test/controller/store-changes.test.ts
@@ -12,7 +12,7 @@
 
 const NOW = steady(1000);
 
-/** A dispatcher whose listeners record what they are told. */
+/** A dispatcher with listeners that record their calls. */
 function fixture() {
   const calls: unknown[][] = [];
   const context = {
@@ -62,7 +62,7 @@
   assert.equal(context.clusterClock.now(NOW), 700);
 });
 
-test('a critical job asks for an urgent cycle', () => {
+test('a critical job requests an urgent cycle', () => {
   const { dispatch } = fixture();
   assert.deepEqual(dispatch('c/live/req-1', jobRecord({ priority: 0 })), [
     ['job', 'req-1', 1],
@@ -88,7 +88,7 @@
   assert.equal(context.activeJobs.has('req-1' as never), true);
 });
 
-test('a registered machine is no longer awaited, a deleted registration is told to the workers alone', () => {
+test('a registered machine is no longer pending; only the workers are notified of a deleted registration', () => {
   const { context, dispatch } = fixture();
   const record = { part: 2, address: '10.0.0.9:1', type: 'large', zone: 'east', spot: false };
   assert.deepEqual(dispatch('c/machines/m-1', record), [
@@ -107,7 +107,7 @@
   assert.deepEqual(dispatch('c/alive/n1', {}), [['controllers', 1], ['request cycle']]);
 });
 
-test('the stored count moves the cluster clock', () => {
+test('the stored time advances the cluster clock', () => {
   const { context, dispatch } = fixture();
   assert.deepEqual(dispatch('c/time', { ms: 900 }), [['request cycle']]);
   assert.equal(context.clusterClock.now(NOW), 900);
--- a/test/controller/store-limits.test.ts
+++ b/test/controller/store-limits.test.ts
@@ -20,7 +20,7 @@
 const node = (name: string): ControllerId => name as ControllerId;
 const WHOLE_SHARE: StoreUsage = { requests: 30, writes: 10 };
 
-/** Three controllers, seen by the first; records what is set. */
+/** The context of the first of three controllers; records the limits that are set. */
 class FakeLimits implements LimitBorrowingContext, LimitDivisionContext {
   readonly controllerCounts: number[] = [];
   readonly usages: (readonly StoreUsage[])[] = [];
@@ -70,26 +70,26 @@
   }
 }
 
-test('the limits are divided by the controllers that are alive, from one to all of the configured ones', () => {
-  const counted = (alive: readonly string[]): number | undefined => {
+test('the limits are divided by the number of live controllers, from one to all configured controllers', () => {
+  const countFor = (alive: readonly string[]): number | undefined => {
     const limits = new FakeLimits(alive, []);
     divideStoreLimits(limits);
     return limits.controllerCounts[0];
   };
   assert.deepEqual(
-    [counted([]), counted(['n0']), counted(['n0', 'n1']), counted(['n0', 'n1', 'n2', 'n3'])],
+    [countFor([]), countFor(['n0']), countFor(['n0', 'n1']), countFor(['n0', 'n1', 'n2', 'n3'])],
     [1, 1, 2, 3],
   );
 });
 
-test('a live peer counts with the usage that it announced', () => {
+test('a live peer is counted with its announced usage', () => {
   const limits = new FakeLimits(['n0', 'n1'], ['n1']);
   limits.announceUsage('n1', { requests: 3, writes: 2 });
   borrowStoreLimits(limits);
   assert.deepEqual(limits.usages, [[{ requests: 3, writes: 2 }]]);
 });
 
-test('a live peer that is silent counts with its whole share, a dead one with nothing', () => {
+test('a live peer that is silent is counted with its whole share, a dead peer is not counted', () => {
   const limits = new FakeLimits(['n0', 'n1'], []);
   limits.announceUsage('n1', { requests: 3, writes: 2 });
   limits.announceUsage('n2', { requests: 3, writes: 2 });
--- a/test/leadership/cancellation-during-store-outage.test.ts
+++ b/test/leadership/cancellation-during-store-outage.test.ts
@@ -1,7 +1,8 @@
 /**
- * The store refuses the leader alone; another controller confirms cancellations; then the store is down for everybody,
- * for longer than the cancel time, while the workers still send heartbeats to the old leader. The tasks of those jobs
- * must be gone within the cancel time all the same. Walks the edges of the margins that this rests on.
+ * The store refuses only the leader; another controller confirms cancellations; then the store is down for all
+ * controllers for longer than the cancel time, while the workers still send heartbeats to the old leader. The tasks of
+ * the cancelled jobs must nevertheless end within the cancel time. The cases exercise the limits of the margins that
+ * ensure this.
  */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
@@ -22,13 +23,13 @@
 import { SimulatedCluster } from '../support/simulated-cluster.js';
 
 /**
- * The least that is to be left of the cancel time, and of the time in which the old leader may command: twice 500 ms,
- * a thousandth of the cancel time for drift, and what passes between its last read and the first confirmation, less
- * what clocks that are slow by 0.05% take away.
+ * Minimum remaining time of the cancel time, and of the time in which the old leader may send commands: twice 500 ms, a
+ * thousandth of the cancel time for clock drift, and the time between its last read and the first confirmation, less
+ * the loss through clocks that are slow by 0.05%.
  */
 const MIN_REMAINING_MS = 1012;
 const MIN_SLACK_MS = 1008;
-/** A successor that reaches the machines has sent them its fencing token long before the old leader falls silent. */
+/** A successor that reaches the machines sends them its fencing token long before the old leader must stop. */
 const MIN_REMAINING_REACHED_MS = 4000;
 
 const DEFAULT_CASE: Omit<OutageCase, 'seed' | 'outageAfterMs'> = {
@@ -50,11 +51,11 @@
   [1 / SLOW_CLOCK_RATE, SLOW_CLOCK_RATE],
 ] as const;
 
-/** The outage from 0 to 3 s after its trigger, with each kind of failover; the rest by turns. */
+/** Cases with an outage 0 to 3 s after its trigger for each kind of failover; the other parameters alternate. */
 function casesByOutageMoment(): OutageCase[] {
   const cases: OutageCase[] = [];
   for (const failover of FAILOVERS) {
-    for (let outageAfter = 0; outageAfter <= 3000; outageAfter += OUTAGE_STEP_MS) {
+    for (let outageAfterMs = 0; outageAfterMs <= 3000; outageAfterMs += OUTAGE_STEP_MS) {
       const seed = cases.length;
       const [leaderRate, workerRate] = CLOCK_RATES[seed % CLOCK_RATES.length] ?? CLOCK_RATES[0];
       const hanging = seed % 3 === 1;
@@ -62,7 +63,7 @@
       cases.push({
         ...DEFAULT_CASE,
         seed,
-        outageAfterMs: outageAfter,
+        outageAfterMs,
         failover,
         hanging,
         unacknowledgedLaunches,
@@ -74,12 +75,12 @@
   return cases;
 }
 
-/** Heartbeats come at 250 phases of their interval when the leader is refused; there is no other fault. */
+/** Heartbeats arrive at 250 phases of their interval when the leader is refused; there is no other fault. */
 const casesByHeartbeatPhase = (): OutageCase[] =>
   Array.from({ length: 25 }, (_, i) => ({ ...DEFAULT_CASE, seed: 100 + i, outageAfterMs: 40 * i }));
 
 async function runAll(cases: readonly OutageCase[], recover = false): Promise<OutageMeasurement[]> {
-  const all: OutageMeasurement[] = [];
+  const measurements: OutageMeasurement[] = [];
   for (const outageCase of cases) {
     const scenario = new OutageScenario(outageCase);
     const measured = await scenario.run();
@@ -88,45 +89,53 @@
     assert.deepEqual(broken, [], `${JSON.stringify(outageCase)}\n${lines.slice(-150).join('\n')}`);
     assert.equal(measured.failedOver, outageCase.failover !== 'none');
     assert.equal(measured.confirmed, MACHINES * JOBS_PER_MACHINE + 1);
-    all.push(measured);
+    measurements.push(measured);
   }
-  return all;
+  return measurements;
 }
 
 const minimumOf = (
-  all: readonly OutageMeasurement[],
+  measurements: readonly OutageMeasurement[],
   select: (measurement: OutageMeasurement) => number,
-): number => Math.floor(Math.min(...all.map(select)));
+): number => Math.floor(Math.min(...measurements.map(select)));
 
-/** Reports the least margins over all cases, and checks that none has shrunk. */
-function checkMargins(context: TestContext, all: readonly OutageMeasurement[]): void {
-  const left = minimumOf(all, ({ remainingMs }) => remainingMs);
-  const answers = minimumOf(all, ({ answerSlackMs }) => answerSlackMs);
-  const direct = minimumOf(all, ({ directSlackMs }) => directSlackMs);
-  const starts = all.reduce((sum, { lateStarts }) => sum + lateStarts, 0);
+/** Reports the smallest margins over all cases, and checks that none has shrunk. */
+function checkMargins(context: TestContext, measurements: readonly OutageMeasurement[]): void {
+  const leftMs = minimumOf(measurements, ({ remainingMs }) => remainingMs);
+  const answerMs = minimumOf(measurements, ({ answerSlackMs }) => answerSlackMs);
+  const directMs = minimumOf(measurements, ({ directSlackMs }) => directSlackMs);
+  const starts = measurements.reduce((sum, { lateStarts }) => sum + lateStarts, 0);
   context.diagnostic(
-    `${all.length} cases: least time left to the bound ${left} ms; last answer ${answers} ms and last direct command ` +
-      `${direct} ms before the limit; ${starts} starts after a confirmed cancellation, in time`,
+    `${measurements.length} cases: least time left to the bound ${leftMs} ms; last answer ${answerMs} ms and last direct command ` +
+      `${directMs} ms before the limit; ${starts} starts after a confirmed cancellation, in time`,
+  );
+  assert.ok(leftMs >= MIN_REMAINING_MS, `${leftMs} ms left`);
+  assert.ok(answerMs >= MIN_SLACK_MS, `the old leader's last answer: ${answerMs} ms before the limit`);
+  assert.ok(
+    directMs >= MIN_SLACK_MS,
+    `the old leader's last direct command: ${directMs} ms before the limit`,
   );
-  assert.ok(left >= MIN_REMAINING_MS, `${left} ms left`);
-  assert.ok(answers >= MIN_SLACK_MS, `the old leader's last answer: ${answers} ms before the limit`);
-  assert.ok(direct >= MIN_SLACK_MS, `the old leader's last direct command: ${direct} ms before the limit`);
 }
 
 test('an outage 0 to 3 s after the confirmation, with and without a failover, hanging machines, unacknowledged launches', async (context) => {
   const cases = casesByOutageMoment();
-  const all = await runAll(cases);
-  checkMargins(context, all);
-  const reached = all.filter((_, i) => cases[i]?.failover === 'reaches the machines');
-  const left = minimumOf(reached, ({ remainingMs }) => remainingMs);
-  context.diagnostic(`${reached.length} of them with a successor that reaches the machines: ${left} ms left`);
-  assert.ok(left >= MIN_REMAINING_REACHED_MS, `${left} ms left after a failover that reaches the machines`);
+  const measurements = await runAll(cases);
+  checkMargins(context, measurements);
+  const reached = measurements.filter((_, i) => cases[i]?.failover === 'reaches the machines');
+  const remainingMs = minimumOf(reached, ({ remainingMs }) => remainingMs);
+  context.diagnostic(
+    `${reached.length} of them with a successor that reaches the machines: ${remainingMs} ms left`,
+  );
+  assert.ok(
+    remainingMs >= MIN_REMAINING_REACHED_MS,
+    `${remainingMs} ms left after a failover that reaches the machines`,
+  );
 });
 
 test('the store refuses the leader at every phase of a heartbeat interval', async (context) => {
-  const all = await runAll(casesByHeartbeatPhase());
-  checkMargins(context, all);
-  const phases = new Set(all.flatMap((measurement) => [...measurement.phases]));
+  const measurements = await runAll(casesByHeartbeatPhase());
+  checkMargins(context, measurements);
+  const phases = new Set(measurements.flatMap((measurement) => [...measurement.phases]));
   assert.equal(phases.size, 10);
 });
 
@@ -162,8 +171,11 @@
   checkMargins(context, await runAll(cases, true));
 });
 
-/** The leader is refused and goes on with machines that reach nobody else; a successor has machines of its own. */
-async function startAgainElsewhere(seed: number): Promise<SimulatedCluster> {
+/**
+ * The store refuses the leader, which keeps machines that reach no other controller; its successor has other
+ * machines.
+ */
+async function restartTasksElsewhere(seed: number): Promise<SimulatedCluster> {
   const cluster = new SimulatedCluster(OUTAGE_CLUSTER);
   cluster.clockRate = (who) => (who === `n${LEADER}` || who.startsWith('m-') ? SLOW_CLOCK_RATE : 1);
   await cluster.start();
@@ -174,7 +186,7 @@
   await cluster.step(2000);
   await cluster.submit(0, 'req-1', { tasks: 16, cpus: 2, runMs: 1e6 });
   await cluster.step(1000 + 70 * seed);
-  // Otherwise the deletion of a machine would prove that its tasks have ended.
+  // Without the outage the deletion of a machine would prove that its tasks have ended.
   cluster.cloudOutage = true;
   const heldMachines = [...cluster.workers.keys()];
   for (const machine of heldMachines)
@@ -182,7 +194,7 @@
       if (node !== LEADER) cluster.networkCuts.add(`n${node}|${machine}`);
   for (let i = 0; i < 4; i += 1) cluster.addWorker('large', 'west');
   await cluster.step(2000);
-  // Refused right after a read of changes for a user's question: it goes on as long as it ever may.
+  // The leader is refused right after a read of changes for a user's request, so that it commands as long as possible.
   cluster.store.onWatchAnswered = (node, blockMs) => {
     if (node !== `n${LEADER}` || blockMs > 0 || cluster.store.refusedNodes.has(node)) return;
     cluster.store.refusedNodes.add(node);
@@ -190,24 +202,24 @@
   };
   for (let delayMs = 0; delayMs < 400; delayMs += 7)
     cluster.clock.after(delayMs, () => void cluster.request(LEADER, 'GET', '/v2/runs/req-1'));
-  // Users ask the others too, so that the successor's store cache is always current: it waits for the lease alone.
-  const more = CANCEL_MS + LEASE_MS + 6000;
-  for (let delayMs = 0; delayMs < more; delayMs += 200)
+  // Users query the other controllers too: the successor's store cache is always current, and it waits only for leases.
+  const durationMs = CANCEL_MS + LEASE_MS + 6000;
+  for (let delayMs = 0; delayMs < durationMs; delayMs += 200)
     for (const node of cluster.nodes.keys())
       if (node !== LEADER)
         cluster.clock.after(delayMs, () => void cluster.request(node, 'GET', '/v2/runs/req-1'));
-  await cluster.step(more);
+  await cluster.step(durationMs);
   assert.ok(cluster.store.refusedNodes.has(`n${LEADER}`));
-  const again = [...cluster.workers.values()]
+  const restartedTasks = [...cluster.workers.values()]
     .filter((machine) => !heldMachines.includes(machine.id))
     .flatMap((machine) => machine.runningTasks());
-  assert.equal(again.length, 16, `every task runs again\n${cluster.traceLines.join('\n')}`);
+  assert.equal(restartedTasks.length, 16, `every task runs again\n${cluster.traceLines.join('\n')}`);
   return cluster;
 }
 
 test('after a failover that reaches no machine, tasks start elsewhere only when the old leader cannot renew their lease', async () => {
   for (let seed = 0; seed < 8; seed += 1) {
-    const cluster = await startAgainElsewhere(seed);
+    const cluster = await restartTasksElsewhere(seed);
     assert.deepEqual(cluster.violations, [], cluster.traceLines.join('\n'));
   }
 });
--- a/test/leadership/command-lease.test.ts
+++ b/test/leadership/command-lease.test.ts
@@ -18,14 +18,14 @@
   }
 });
 
-test('a worker that runs for its whole lease on the slowest clock is still counted as running', () => {
+test('a worker that runs for its whole lease on the slowest clock still counts as running', () => {
   for (const settings of SETTINGS) {
     const slowestLeaseMs = (settings.leaseS * 1000 * (1 + MAX_CLOCK_DRIFT)) / (1 - MAX_CLOCK_DRIFT);
     assert.ok(workerLeaseDuration(settings) > slowestLeaseMs, JSON.stringify(settings));
   }
 });
 
-test('the durations are those of the settings less, or plus, the margins', () => {
+test('the margins are subtracted from the command lease and added to the worker lease', () => {
   assert.equal(commandLeaseDuration({ leaseS: seconds(12), cancelS: seconds(32) }), 20_000 - 1000 - 32);
   assert.equal(workerLeaseDuration({ leaseS: seconds(12) }), 12_000 * 1.001 + 500);
 });
--- a/test/leadership/failover-decision.test.ts
+++ b/test/leadership/failover-decision.test.ts
@@ -23,41 +23,61 @@
   };
   const decide = (facts: Partial<Record<keyof FailoverFacts, unknown>>): string =>
     decideFailover({ ...base, ...facts } as FailoverFacts);
-  assert.equal(decide({}), 'wait', 'its owner is alive');
-  assert.equal(decide({ leaderAlive: false, homeControllerAlive: false }), 'claim', 'its owner is gone');
+  assert.equal(decide({}), 'wait', 'the leader is alive');
+  assert.equal(decide({ leaderAlive: false, homeControllerAlive: false }), 'claim', 'the leader has failed');
   assert.equal(
     decide({ leaderAlive: false, homeControllerAlive: false, membershipStableSince: null }),
     'wait',
-    'our view may be old',
+    'the store cache may be out of date',
   );
   assert.equal(
     decide({ leaderAlive: false, situationAgeMs: 500 }),
     'wait',
-    'its owner restarted and claims for itself',
+    'the leader has restarted and acquires its shard itself',
+  );
+  assert.equal(
+    decide({ leaderAlive: false, situationAgeMs: 5000 }),
+    'claim',
+    'the restarted leader does not acquire it in time',
   );
-  assert.equal(decide({ leaderAlive: false, situationAgeMs: 5000 }), 'claim', 'it does not get so far');
   assert.equal(
     decide({ leader: null, leaderIncarnation: null }),
     'wait',
-    'released, but its workers do not come to us',
+    'released, but no heartbeats of its workers arrive here',
   );
   const redirected = { leader: null, leaderIncarnation: null, redirectedHeartbeats: 2 };
-  assert.equal(decide({ ...redirected, situationAgeMs: 700 }), 'claim', 'released, and they do');
-  assert.equal(decide(redirected), 'wait', 'its home goes first');
-  assert.equal(decide({ ...redirected, homeControllerAlive: false }), 'claim', 'there is no home');
-  assert.equal(decide({ ...redirected, homeController: 'n1' }), 'claim', 'its home, without waiting');
+  assert.equal(
+    decide({ ...redirected, situationAgeMs: 700 }),
+    'claim',
+    'released, and heartbeats of its workers arrive here',
+  );
+  assert.equal(decide(redirected), 'wait', 'the home controller has a head start');
+  assert.equal(
+    decide({ ...redirected, homeControllerAlive: false }),
+    'claim',
+    'the home controller is not alive',
+  );
+  assert.equal(decide({ ...redirected, homeController: 'n1' }), 'claim', 'the home controller does not wait');
   assert.equal(
     decide({ leader: null, leaderIncarnation: null, redirectedHeartbeats: 2, releasedBySelf: true }),
     'wait',
-    'released by us',
+    'released by this controller',
   );
   const home = { homeController: 'n1', leader: 'n2', leaderIncarnation: 'n2-1' };
-  assert.equal(decide({ ...home, ledHomeShardBefore: false }), 'claim', 'started anew');
-  assert.equal(decide(home), 'probe', 'back, but do our workers answer?');
-  assert.equal(decide({ ...home, workersReachable: true }), 'claim', 'back and steady');
+  assert.equal(
+    decide({ ...home, ledHomeShardBefore: false }),
+    'claim',
+    'a restarted process that has not led it yet',
+  );
+  assert.equal(decide(home), 'probe', 'stable membership, but it is unknown whether the workers answer');
+  assert.equal(
+    decide({ ...home, workersReachable: true }),
+    'claim',
+    'stable membership, and the workers answer',
+  );
   assert.equal(
     decide({ ...home, workersReachable: true, membershipStableSince: 99_000 }),
     'wait',
-    'back for a moment',
+    'the membership is too recent',
   );
 });
--- a/test/leadership/failover-during-faults.test.ts
+++ b/test/leadership/failover-during-faults.test.ts
@@ -1,6 +1,6 @@
 /**
  * Leaders change during other faults: slow writes, outages, repeated failures, partitions.
- * Each case is brought about by events (a commit, a start, a command on its way), over several phases, and
+ * Each case is triggered by events (a commit, a start, a command in transit), runs through several phases, and is
  * checked against the rules of the protocol.
  */
 import assert from 'node:assert/strict';
@@ -15,46 +15,46 @@
 } from '../support/fault-injection-cluster.js';
 import type { JobOptions } from '../support/simulated-cluster.js';
 
-test('a new machine gets work at once while writes are slow, and its leader ends', async () => {
+test('a new machine gets work at once while writes are slow, and its leader stops', async () => {
   const fates = ['normal', 'lose-answer', { holdMs: 700 }] as const;
   for (const fate of fates) {
-    for (const endAfter of [0, 300]) {
-      for (const silentFor of [0, 7000]) await addMachineThenStopLeader(fate, endAfter, silentFor);
+    for (const stopDelayMs of [0, 300]) {
+      for (const silentMs of [0, 7000]) await addMachineThenStopLeader(fate, stopDelayMs, silentMs);
     }
   }
 });
 
 async function addMachineThenStopLeader(
   fate: 'normal' | 'lose-answer' | { holdMs: number },
-  endAfter: number,
-  silentFor: number,
+  stopDelayMs: number,
+  silentMs: number,
 ): Promise<void> {
   const cluster = await startCluster(2, 2);
   await cluster.submit(0, 'req-full', { tasks: 8, zone: 'east', runMs: 600_000 });
-  await cluster.until('the east is full', () => cluster.countRunningTasks('req-full') === 8);
+  await cluster.until('the east zone is full', () => cluster.countRunningTasks('req-full') === 8);
   await cluster.submit(0, 'req-new', { team: 'blue', tasks: 8, zone: 'east', runMs: 40_000 });
   cluster.store.transactionFate = (_, body) =>
     (body.apply ?? []).some((change) => change.put?.startsWith('c/machines/')) ? fate : 'normal';
   cluster.watchDelayMs = (node) => (node === 'n0' ? 0 : 400);
-  let first = '';
+  let firstMachine = '';
   cluster.onStart = (machine, task) => {
-    if (first !== '' || !task.startsWith('req-new/')) return;
-    first = machine;
-    cluster.clock.after(endAfter, () => {
+    if (firstMachine !== '' || !task.startsWith('req-new/')) return;
+    firstMachine = machine;
+    cluster.clock.after(stopDelayMs, () => {
       cluster.trace(`the leader of ${machine} ends`);
       cluster.killNode(shardOfMachine(cluster, machine));
-      if (silentFor > 0) cluster.cutOff([machine]);
-      // Capacity for another start of everything.
+      if (silentMs > 0) cluster.cutOff([machine]);
+      // Capacity for a second start of all tasks.
       for (let i = 0; i < 4; i += 1) cluster.addWorker('large', 'east');
-      cluster.clock.after(silentFor, () => cluster.heal([machine]));
+      cluster.clock.after(silentMs, () => cluster.heal([machine]));
     });
   };
-  const fresh = cluster.addWorker('large', 'east');
-  await cluster.until('the new machine has work', () => first !== '');
-  assert.equal(first, fresh);
+  const addedMachine = cluster.addWorker('large', 'east');
+  await cluster.until('the new machine has work', () => firstMachine !== '');
+  assert.equal(firstMachine, addedMachine);
   await cluster.step(90_000);
   cluster.assertNoViolations(
-    `registration ${JSON.stringify(fate)}, ended ${endAfter} ms after, silent ${silentFor} ms`,
+    `registration ${JSON.stringify(fate)}, leader stopped after ${stopDelayMs} ms, silent for ${silentMs} ms`,
   );
   const done = cluster.traceLines.filter((l) => /ends req-new\/\d: done/.test(l)).length;
   assert.equal(done, 8, `every task is done once:\n${cluster.traceLines.join('\n')}`);
@@ -75,8 +75,8 @@
     for (let change = 0; change < 12; change += 1) {
       const leader = cluster.leaderOf(0);
       cluster.killNode(leader);
-      const away = 200 + ((seed * 1700 + change * 900) % 4000);
-      cluster.clock.after(away, () => void cluster.startNode(leader));
+      const downMs = 200 + ((seed * 1700 + change * 900) % 4000);
+      cluster.clock.after(downMs, () => void cluster.startNode(leader));
       if (change === 2 || change === 6) cluster.clock.after(400 * seed, () => (cluster.store.outage = true));
       if (change === 3 || change === 7) cluster.clock.after(400 * seed, () => cluster.store.endOutage());
       if (change === 5) cluster.cancel('req-over', seed % 3);
@@ -93,8 +93,8 @@
   }
 });
 
-test('after a hand-over the successor ends at its failover, all end, and one returns within a second', async () => {
-  for (const [endAfter, backAfter] of [
+test('all controllers stop right after a failover, and only the successor returns, within a second', async () => {
+  for (const [stopDelayMs, restartDelayMs] of [
     [0, 30],
     [4, 300],
     [20, 950],
@@ -104,15 +104,15 @@
     await cluster.submit(0, 'req-service', { service: true, tasks: 4, zone: 'east' });
     await cluster.submit(0, 'req-array', { tasks: 8, cpus: 1, zone: 'east', runMs: 60_000, team: 'blue' });
     await cluster.until(
-      'all runs',
+      'all tasks run',
       () => cluster.countRunningTasks('req-service') + cluster.countRunningTasks('req-array') === 12,
     );
     let successor = -1;
     cluster.onFailover(0, (node) => {
       successor = node;
-      cluster.clock.after(endAfter, () => {
+      cluster.clock.after(stopDelayMs, () => {
         for (const node of NODES) cluster.killNode(node);
-        cluster.clock.after(backAfter, () => void cluster.startNode(node));
+        cluster.clock.after(restartDelayMs, () => void cluster.startNode(node));
       });
     });
     cluster.killNode(0);
@@ -129,21 +129,21 @@
       `one controller is enough:\n${cluster.traceLines.join('\n')}`,
     );
     for (const node of NODES) if (node !== successor) await cluster.startNode(node);
-    // And back: each home controller leads its shard again, and ends at once.
+    // The home controller leads its shard again, and stops at once.
     await cluster.until('the home controller leads the shard', () => cluster.leaderOf(0) === 0);
     cluster.killNode(0);
-    cluster.clock.after(backAfter, () => void cluster.startNode(0));
+    cluster.clock.after(restartDelayMs, () => void cluster.startNode(0));
     await cluster.step(45_000);
     await cluster.sendUserRequest(0, 'GET', '/v2/runs/req-array');
     cluster.assertNoViolations(
-      `all end ${endAfter} ms after the failover, one is back after ${backAfter} ms`,
+      `all stop ${stopDelayMs} ms after the failover, the successor returns after ${restartDelayMs} ms`,
     );
     assert.equal(cluster.invariantChecker.finalState('req-array'), 'done', cluster.traceLines.join('\n'));
     assert.equal(cluster.countRunningTasks('req-service'), 4);
   }
 });
 
-/** As users do: again after a second, until the job is accepted. */
+/** Submits a job as users do: repeats the request every second until the job is accepted. */
 async function submitUntilAccepted(
   cluster: FaultInjectionCluster,
   node: number,
@@ -158,69 +158,76 @@
   assert.fail(`${job} was never accepted:\n${cluster.traceLines.join('\n')}`);
 }
 
-test('the leader ends while machines with long tasks are partitioned, or do not hear its successor', async () => {
+test('the leader stops while machines with long tasks are partitioned, or cannot be reached by its successor', async () => {
   for (const fault of ['cut', 'unreachable'] as const) {
-    for (const lastsMs of [3000, 11_000, 20_000, 45_000, 150_000])
-      await failOverWithUnreachableMachines(fault, lastsMs);
+    for (const durationMs of [3000, 11_000, 20_000, 45_000, 150_000])
+      await failOverWithUnreachableMachines(fault, durationMs);
   }
 });
 
-async function failOverWithUnreachableMachines(fault: 'cut' | 'unreachable', lastsMs: number): Promise<void> {
+async function failOverWithUnreachableMachines(
+  fault: 'cut' | 'unreachable',
+  durationMs: number,
+): Promise<void> {
   const cluster = await startCluster(6, 2);
   await cluster.submit(0, 'req-long', { tasks: 6, zone: 'east', runMs: 600_000 });
-  await cluster.until('it runs', () => cluster.countRunningTasks('req-long') === 6);
-  const lost = machinesOfShard(cluster, 0, 'req-long');
-  assert.ok(lost.length > 0);
-  // Nor can they be deleted, which would end what they run.
+  await cluster.until('the tasks run', () => cluster.countRunningTasks('req-long') === 6);
+  const affectedMachines = machinesOfShard(cluster, 0, 'req-long');
+  assert.ok(affectedMachines.length > 0);
+  // The machines cannot be deleted either, which would end their tasks.
   cluster.cloudOutage = true;
   cluster.killNode(0);
-  if (fault === 'cut') cluster.cutOff(lost);
-  else for (const machine of lost) cluster.unreachableMachines.add(machine);
-  cluster.clock.after(lastsMs, () => {
-    cluster.heal(lost);
-    for (const machine of lost) cluster.unreachableMachines.delete(machine);
+  if (fault === 'cut') cluster.cutOff(affectedMachines);
+  else for (const machine of affectedMachines) cluster.unreachableMachines.add(machine);
+  cluster.clock.after(durationMs, () => {
+    cluster.heal(affectedMachines);
+    for (const machine of affectedMachines) cluster.unreachableMachines.delete(machine);
   });
   await cluster.step(75_000);
-  cluster.assertNoViolations(`${fault} for ${lastsMs} ms`);
+  cluster.assertNoViolations(`${fault} for ${durationMs} ms`);
   assert.equal(
     cluster.countRunningTasks('req-long'),
     6,
-    `${fault} for ${lastsMs} ms, all run again:\n${cluster.traceLines.join('\n')}`,
+    `${fault} for ${durationMs} ms, all run again:\n${cluster.traceLines.join('\n')}`,
   );
   await cluster.step(90_000);
-  cluster.assertNoViolations(`${fault} for ${lastsMs} ms`);
+  cluster.assertNoViolations(`${fault} for ${durationMs} ms`);
   assert.equal(cluster.countRunningTasks('req-long'), 6);
 }
 
 const wideTasks = { tasks: 2, cpus: 4, image: 'another' };
 
-test('a leader loses the store and its peers, keeps its workers and users; jobs are cancelled through the new one', async () => {
-  for (const cancelAfter of [0, 1500, 4000, 7000, 12_000]) {
-    for (const phase of [0, 500, 1000]) await isolateLeader(cancelAfter, phase);
+test('a leader loses the store and its peers, but not its workers and users; jobs are cancelled through the new leader', async () => {
+  for (const cancelDelayMs of [0, 1500, 4000, 7000, 12_000]) {
+    for (const phaseMs of [0, 500, 1000]) await isolateLeader(cancelDelayMs, phaseMs);
   }
 });
 
-async function isolateLeader(cancelAfter: number, phase: number): Promise<void> {
+async function isolateLeader(cancelDelayMs: number, phaseMs: number): Promise<void> {
   const cluster = await startCluster(6, 2);
   await cluster.submit(0, 'req-over', { tasks: 1, zone: 'east', runMs: 600_000 });
   await cluster.submit(0, 'req-long', { ...wideTasks, zone: 'east', runMs: 600_000, team: 'blue' });
   await cluster.until(
-    'all runs',
+    'all tasks run',
     () => cluster.countRunningTasks('req-over') + cluster.countRunningTasks('req-long') === 3,
   );
-  await cluster.step(phase);
-  const kept = machinesOfShard(cluster, 0, 'req-over');
-  const moved = machinesOfShard(cluster, 0, 'req-long');
-  assert.ok(kept.length > 0 && moved.length > 0 && !moved.some((machine) => kept.includes(machine)));
-  // From now on some machines of the shard reach only the old leader, some only the new one, and one reaches both.
-  cluster.cutOff(kept, [1, 2]);
-  cluster.cutOff(moved, [0]);
+  await cluster.step(phaseMs);
+  const machinesOfOld = machinesOfShard(cluster, 0, 'req-over');
+  const machinesOfNew = machinesOfShard(cluster, 0, 'req-long');
+  assert.ok(
+    machinesOfOld.length > 0 &&
+      machinesOfNew.length > 0 &&
+      !machinesOfNew.some((machine) => machinesOfOld.includes(machine)),
+  );
+  // From now on some machines of the shard reach only the old leader, some only the new leader, and one reaches both.
+  cluster.cutOff(machinesOfOld, [1, 2]);
+  cluster.cutOff(machinesOfNew, [0]);
   cluster.store.disconnectedNodes.add('n0');
   for (const node of [1, 2]) cluster.networkCuts.add(`n0|n${node}`);
-  // Nor can the new leader have them deleted.
+  // The new leader cannot have the machines deleted either.
   cluster.cloudOutage = true;
   cluster.trace('n0 is cut from the store and its peers');
-  cluster.clock.after(cancelAfter, () => cluster.cancel('req-over', 1));
+  cluster.clock.after(cancelDelayMs, () => cluster.cancel('req-over', 1));
   for (let i = 0; i < 80; i += 1) {
     if (i % 4 === 0) void cluster.request(0, 'POST', '/v2/runs/req-over/abort');
     if (i % 8 === 0)
@@ -233,9 +240,7 @@
   cluster.store.disconnectedNodes.clear();
   cluster.cloudOutage = false;
   await cluster.step(40_000);
-  cluster.assertNoViolations(
-    `cancelled ${cancelAfter} ms after the cut, ${phase} ms into a heartbeat interval`,
-  );
+  cluster.assertNoViolations(`cancelled ${cancelDelayMs} ms after the cut, heartbeat phase ${phaseMs} ms`);
   assert.equal(cluster.countRunningTasks('req-over'), 0);
   assert.equal(cluster.countRunningTasks('req-long'), 2, cluster.traceLines.join('\n'));
 }
--- a/test/leadership/failover-with-cancellations.test.ts
+++ b/test/leadership/failover-with-cancellations.test.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs are cancelled around a failover, on machines that hang or are cut off, by teams at their quota.
- * Each case is brought about by events (a commit, a start, a command on its way), over several phases, and
+ * Jobs of teams at their quota are cancelled around a failover, on machines that hang or are cut off.
+ * Each case is triggered by events (a commit, a start, a command in transit), runs through several phases, and is
  * checked against the rules of the protocol.
  */
 import assert from 'node:assert/strict';
@@ -15,13 +15,16 @@
   whenFailoverArrives,
 } from '../support/fault-injection-cluster.js';
 
-/** Both teams at their quota of 24 CPUs; as much again waits, with capacity for all of it on idle machines. */
+/**
+ * Starts a cluster with both teams at their quota of 24 CPUs; as much again waits, and idle machines could run it
+ * all.
+ */
 async function clusterWithTeamsAtQuota(): Promise<FaultInjectionCluster> {
   const cluster = await startCluster(8, 4);
   for (const team of ['red', 'blue'])
     await cluster.submit(0, `req-${team}`, { team, tasks: 12, runMs: 600_000 });
   await cluster.until(
-    'both are at their quota',
+    'both teams are at their quota',
     () => cluster.countRunningTasks('req-red') + cluster.countRunningTasks('req-blue') === 24,
   );
   for (const team of ['red', 'blue'])
@@ -31,7 +34,9 @@
   return cluster;
 }
 
-/** Ends the leader of shard 0; returns how many tasks of both teams' first jobs ran at the commit of the failover. */
+/**
+ * Stops the leader of shard 0. Returns how many tasks of both teams' first jobs ran when the failover was committed.
+ */
 async function stopLeader(
   cluster: FaultInjectionCluster,
   afterFailover: () => void = () => undefined,
@@ -49,60 +54,70 @@
 const bothCancelled = (cluster: FaultInjectionCluster): boolean =>
   ['req-red', 'req-blue'].every((job) => cluster.invariantChecker.finalState(job) === 'cancelled');
 
-const nextRunning = (cluster: FaultInjectionCluster): number =>
+const countRunningNextTasks = (cluster: FaultInjectionCluster): number =>
   cluster.countRunningTasks('req-next-red') + cluster.countRunningTasks('req-next-blue');
 
 for (const fault of ['hang', 'cut'] as const) {
-  test(`teams at their quota, cancelled tasks on machines with a ${fault}, the leader ends`, async () => {
-    for (const [phase, backAfter] of [
+  test(`teams at their quota, cancelled tasks on machines with a ${fault}, the leader stops`, async () => {
+    for (const [cancelDelayMs, recoveryDelayMs] of [
       [0, 6000],
       [700, 8000],
       [1400, 14_000],
       [2500, 30_000],
     ] as const) {
       const cluster = await clusterWithTeamsAtQuota();
-      const lost = cluster.machinesRunning('req-red').concat(cluster.machinesRunning('req-blue'));
-      injectFault(cluster, fault, lost);
-      cluster.clock.after(backAfter, () => recover(cluster, lost));
-      await cluster.step(phase);
+      const faultyMachines = cluster.machinesRunning('req-red').concat(cluster.machinesRunning('req-blue'));
+      injectFault(cluster, fault, faultyMachines);
+      cluster.clock.after(recoveryDelayMs, () => recover(cluster, faultyMachines));
+      await cluster.step(cancelDelayMs);
       for (const team of ['red', 'blue']) cluster.cancel(`req-${team}`, 1);
       await cluster.until('both are cancelled', () => bothCancelled(cluster));
       const running = await stopLeader(cluster);
-      assert.equal(running, 24, 'the tasks of the cancelled jobs were there at the failover');
+      assert.equal(running, 24, 'the tasks of the cancelled jobs still ran at the failover');
       await cluster.step(60_000);
-      cluster.assertNoViolations(`${fault} ${phase} ms before the cancellation, over after ${backAfter} ms`);
-      assert.equal(nextRunning(cluster), 24, `the quotas are used again:\n${cluster.traceLines.join('\n')}`);
+      cluster.assertNoViolations(
+        `${fault} ${cancelDelayMs} ms before the cancellation, over after ${recoveryDelayMs} ms`,
+      );
+      assert.equal(
+        countRunningNextTasks(cluster),
+        24,
+        `the quotas are used again:\n${cluster.traceLines.join('\n')}`,
+      );
     }
   });
 }
 
 for (const fault of ['hang', 'cut'] as const) {
-  test(`a team at its quota, the leader ends, machines with a ${fault}, then a cancellation`, async () => {
-    for (const [delay, backAfter] of [
+  test(`teams at their quota, the leader stops, machines with a ${fault}, then a cancellation`, async () => {
+    for (const [cancelDelayMs, recoveryDelayMs] of [
       [0, 5000],
       [10, 9000],
       [400, 14_000],
       [3000, 30_000],
     ] as const) {
       const cluster = await clusterWithTeamsAtQuota();
-      const lost = ['req-red', 'req-blue'].flatMap((job) => machinesOfShard(cluster, 0, job));
-      injectFault(cluster, fault, lost);
-      cluster.clock.after(backAfter, () => recover(cluster, lost));
+      const faultyMachines = ['req-red', 'req-blue'].flatMap((job) => machinesOfShard(cluster, 0, job));
+      injectFault(cluster, fault, faultyMachines);
+      cluster.clock.after(recoveryDelayMs, () => recover(cluster, faultyMachines));
       const cancelAll = (): void => ['req-red', 'req-blue'].forEach((job) => cluster.cancel(job, 1));
-      const running = await stopLeader(cluster, () => cluster.clock.after(delay, cancelAll));
-      assert.equal(running, 24, 'nothing had ended at the failover');
+      const running = await stopLeader(cluster, () => cluster.clock.after(cancelDelayMs, cancelAll));
+      assert.equal(running, 24, 'no task had ended at the failover');
       await cluster.step(60_000);
       assert.ok(bothCancelled(cluster));
       cluster.assertNoViolations(
-        `cancelled ${delay} ms after the failover, ${fault} over after ${backAfter} ms`,
+        `cancelled ${cancelDelayMs} ms after the failover, ${fault} over after ${recoveryDelayMs} ms`,
+      );
+      assert.equal(
+        countRunningNextTasks(cluster),
+        24,
+        `the quotas are used again:\n${cluster.traceLines.join('\n')}`,
       );
-      assert.equal(nextRunning(cluster), 24, `the quotas are used again:\n${cluster.traceLines.join('\n')}`);
     }
   });
 }
 
-test('all leaders end, a new one hears of tasks of cancelled jobs, and their machines hang', async () => {
-  for (const hangFor of [3000, 9000, 25_000]) {
+test('all leaders stop, a new leader learns of tasks of cancelled jobs, and their machines hang', async () => {
+  for (const hangMs of [3000, 9000, 25_000]) {
     const cluster = await clusterWithTeamsAtQuota();
     const holders = cluster.machinesRunning('req-red').concat(cluster.machinesRunning('req-blue'));
     injectFault(cluster, 'cut', holders);
@@ -114,37 +129,41 @@
       cluster.unheardMachines.add(machine);
       hangWhenCalled(cluster, machine, () => {
         hanging += 1;
-        cluster.clock.after(hangFor, () => recover(cluster, [machine]));
-        cluster.clock.after(hangFor, () => cluster.unheardMachines.delete(machine));
+        cluster.clock.after(hangMs, () => recover(cluster, [machine]));
+        cluster.clock.after(hangMs, () => cluster.unheardMachines.delete(machine));
       });
     }
     cluster.heal(holders);
     await cluster.start();
-    await cluster.until('all have been asked and hang', () => hanging === holders.length);
+    await cluster.until('all machines have received a command and hang', () => hanging === holders.length);
     assert.equal(cluster.countRunningTasks('req-red') + cluster.countRunningTasks('req-blue'), 24);
     await cluster.step(60_000);
-    cluster.assertNoViolations(`hanging for ${hangFor} ms`);
-    assert.equal(nextRunning(cluster), 24, `the quotas are used again:\n${cluster.traceLines.join('\n')}`);
+    cluster.assertNoViolations(`hanging for ${hangMs} ms`);
+    assert.equal(
+      countRunningNextTasks(cluster),
+      24,
+      `the quotas are used again:\n${cluster.traceLines.join('\n')}`,
+    );
   }
 });
 
-/** The machine answers the first command of a new leader, which shows what it runs, and then hangs. */
-function hangWhenCalled(cluster: FaultInjectionCluster, machine: string, act: () => void): void {
+/** Lets the machine answer the first command of a new leader, which shows its tasks, and then hang. */
+function hangWhenCalled(cluster: FaultInjectionCluster, machine: string, onHang: () => void): void {
   const worker = cluster.worker(machine);
-  const arrive = worker.receive.bind(worker);
+  const receive = worker.receive.bind(worker);
   worker.receive = (call) => {
-    const outcome = arrive(call);
+    const outcome = receive(call);
     if (call.path !== '/orders') return outcome;
-    worker.receive = arrive;
+    worker.receive = receive;
     injectFault(cluster, 'hang', [machine]);
-    act();
+    onHang();
     return outcome;
   };
 }
 
 test('a cancellation at every moment around the failover, with launches of the old leader in flight', async () => {
-  // When the cancellation is requested, and how long the failover takes until it is committed (ms).
-  for (const [asked, applied] of [
+  // When the cancellation is requested, and how long the failover takes to commit (milliseconds).
+  for (const [cancelDelayMs, commitDelayMs] of [
     [0, 0],
     [0, 4],
     [0, 8],
@@ -153,37 +172,42 @@
     [400, 0],
     [2500, 0],
   ] as const) {
-    for (const late of [1500, 4000, 9000]) await cancelAroundFailover(asked, applied, late);
+    for (const launchDelayMs of [1500, 4000, 9000])
+      await cancelAroundFailover(cancelDelayMs, commitDelayMs, launchDelayMs);
   }
 });
 
-async function cancelAroundFailover(asked: number, applied: number, late: number): Promise<void> {
+async function cancelAroundFailover(
+  cancelDelayMs: number,
+  commitDelayMs: number,
+  launchDelayMs: number,
+): Promise<void> {
   const cluster = await startCluster(4, 2);
   let delayedCommands = 0;
   cluster.commandDelayMs = (node) => {
     if (node !== 0) return null;
     delayedCommands += 1;
-    return late;
+    return launchDelayMs;
   };
   await cluster.submit(0, 'req-kept', { tasks: 4, zone: 'east', runMs: 60_000 });
   await cluster.submit(0, 'req-over', { tasks: 4, zone: 'east', runMs: 60_000 });
-  await cluster.until('launches of n0 are on their way', () => delayedCommands > 0);
+  await cluster.until('launches of n0 are in transit', () => delayedCommands > 0);
   let failedOver = false;
-  whenFailoverArrives(cluster, applied, () => {
+  whenFailoverArrives(cluster, commitDelayMs, () => {
     failedOver = true;
-    cluster.clock.after(asked, () => cluster.cancel('req-over', 1));
+    cluster.clock.after(cancelDelayMs, () => cluster.cancel('req-over', 1));
   });
   cluster.killNode(0);
-  await cluster.until('the failover is under way', () => failedOver);
+  await cluster.until('the failover is in progress', () => failedOver);
   await cluster.step(45_000);
   cluster.assertNoViolations(
-    `cancelled at ${asked} ms, failover committed after ${applied} ms, launches ${late} ms late`,
+    `cancelled at ${cancelDelayMs} ms, failover committed after ${commitDelayMs} ms, launches ${launchDelayMs} ms late`,
   );
   assert.equal(cluster.invariantChecker.finalState('req-over'), 'cancelled');
   assert.equal(cluster.countRunningTasks('req-over'), 0);
   assert.equal(
     cluster.countRunningTasks('req-kept'),
     4,
-    `what was not cancelled runs:\n${cluster.traceLines.join('\n')}`,
+    `the job that was not cancelled runs:\n${cluster.traceLines.join('\n')}`,
   );
 }
--- a/test/leadership/leadership.test.ts
+++ b/test/leadership/leadership.test.ts
@@ -1,4 +1,4 @@
-/** Requests for leadership, and what follows from the records in the store cache. */
+/** Leadership requests to the store, and the effects of shard records in the store cache. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ShardLeadership, type LeadershipContext } from '../../src/leadership/leadership.js';
@@ -40,7 +40,7 @@
 const HOME_SHARD = shardId(0);
 const PEER_SHARD = shardId(1);
 
-/** A controller with a membership lease and one peer; its requests for leadership wait until the test answers them. */
+/** A controller with a membership lease and one peer. Its leadership requests stay open until the test answers them. */
 class LeadershipFixture {
   readonly clock = new SimulatedClock();
   readonly shards = new Map<ShardId, Shard>();
@@ -61,7 +61,7 @@
     this.storeCache.loadSnapshot([], revision(0), this.clock.now());
   }
 
-  /** The store holds this now, and the cache has learnt of it. */
+  /** Writes a value to the store, and applies the change to the store cache. */
   put(key: StoreKey, value: unknown): Revision {
     this.lastRevision += 1;
     const version = revision(this.lastRevision);
@@ -115,14 +115,14 @@
   }
 }
 
-test('a controller acquires its home shard under the next fencing token, and leads it only once the store says so', async () => {
+test('a controller acquires its home shard under the next fencing token, and leads it only once the store cache shows it', async () => {
   const fixture = new LeadershipFixture();
   fixture.put(aliveKey(PEER), encodeMembership('n1-1' as Incarnation));
   const tokenVersion = fixture.put(TOKEN_KEY, encodeFencingToken(fencingToken(6)));
   await flushPromises();
   fixture.leadership.tick();
   const [request] = fixture.requests;
-  assert.ok(request && fixture.requests.length === 1, 'the shard of the peer that starts is left to it');
+  assert.ok(request && fixture.requests.length === 1, 'the shard of the starting peer is left to that peer');
   assert.deepEqual(request.conditions, [
     { key: TOKEN_KEY, version: tokenVersion },
     { key: shardKey(HOME_SHARD), version: 0 },
@@ -138,7 +138,7 @@
   assert.equal(fixture.shards.get(HOME_SHARD)?.fencingToken, 7);
 });
 
-test('while a request for a shard is under way, neither a tick nor a raise of its fencing token sends another', async () => {
+test('while a request for a shard is in progress, neither a tick nor a raise of its fencing token sends another', async () => {
   const fixture = new LeadershipFixture();
   await flushPromises();
   fixture.putLeader(HOME_SHARD, SELF, INCARNATION, fencingToken(1));
@@ -151,10 +151,10 @@
   fixture.requests[0]?.answer({ kind: 'done', revision: revision(3) });
   await flushPromises();
   void fixture.leadership.raiseFencingToken(shard);
-  assert.equal(fixture.requests.length, 2, 'the first one has ended');
+  assert.equal(fixture.requests.length, 2, 'the first request has ended');
 });
 
-test('a raised fencing token keeps the shard open; another incarnation takes the shard away', async () => {
+test('a raised fencing token keeps the shard open; a record of another incarnation closes it', async () => {
   const fixture = new LeadershipFixture();
   await flushPromises();
   fixture.putLeader(HOME_SHARD, SELF, INCARNATION, fencingToken(1));
@@ -167,7 +167,7 @@
   assert.equal(fixture.shards.size, 0, 'the same controller, but another process');
 });
 
-test('without a current store cache nothing is acquired', async () => {
+test('without a current store cache no shard is acquired', async () => {
   for (const [cacheAgeMs, requests] of [
     [61_499, 1],
     [61_500, 0],
--- a/test/leadership/membership.test.ts
+++ b/test/leadership/membership.test.ts
@@ -1,4 +1,4 @@
-/** The loop that keeps the membership lease and key, against a store that answers as each test says. */
+/** The loop that maintains the membership lease and key, against a scripted store. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Membership, type MembershipContext } from '../../src/leadership/membership.js';
@@ -17,7 +17,7 @@
 
 const TTL = millis(3000);
 
-/** A store with one lease after the other; every request takes 10 ms. */
+/** A store that grants numbered leases; every request takes 10 ms. */
 class ScriptedStore {
   readonly requests: string[] = [];
   readonly writes: Change[] = [];
@@ -95,10 +95,14 @@
   assert.equal(membership.stableSince(clock.now()), null, 'the key may be gone');
   store.renewal = 'renewed';
   await clock.advance(1000);
-  assert.equal(membership.stableSince(clock.now()), startedAt, 'the lease has been held all the time');
+  assert.equal(
+    membership.stableSince(clock.now()),
+    startedAt,
+    'the lease has been held without interruption',
+  );
 });
 
-test('after the lease has expired a new one is granted, the key is written anew, and stability begins anew', async () => {
+test('after the lease has expired a new lease is granted, the key is written again, and the stable time restarts', async () => {
   const { clock, store, membership } = startMembership();
   const startedAt = clock.now();
   await clock.advance(500);
@@ -112,7 +116,7 @@
   assert.ok(since !== null && since > startedAt + 1000, `stable since ${since}`);
 });
 
-test('a refused membership key asks for another lease; an uncertain one is written again on the same lease', async () => {
+test('after a refused write of the key a new lease is requested; after an uncertain write the key is written again', async () => {
   for (const [kind, requests] of [
     ['refused', ['grant', 'write', 'grant', 'write']],
     ['unknown', ['grant', 'write', 'renew 1', 'write']],
@@ -127,7 +131,7 @@
   }
 });
 
-test('without a lease a controller is no member, and tries again within half a second', async () => {
+test('without a lease the membership is not stable, and the next attempt follows within half a second', async () => {
   const { clock, store, membership } = startMembership((store) => (store.grants = false));
   await clock.advance(1000);
   assert.equal(membership.stableSince(clock.now()), null);
--- a/test/leadership/redirected-heartbeats.test.ts
+++ b/test/leadership/redirected-heartbeats.test.ts
@@ -1,4 +1,4 @@
-/** Machines whose heartbeats come here although another controller leads their shard. */
+/** Counts of machines whose heartbeats arrive here although another controller leads their shard. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RedirectedHeartbeats } from '../../src/leadership/redirected-heartbeats.js';
@@ -22,8 +22,12 @@
   await clock.advance(3000);
   redirected.record(shardId(1), 'm-2');
   await clock.advance(3000);
-  assert.equal(redirected.count(shardId(1), clock.now()), 2, 'six seconds are not over');
+  assert.equal(
+    redirected.count(shardId(1), clock.now()),
+    2,
+    'a heartbeat still counts after exactly six seconds',
+  );
   await clock.advance(1);
-  assert.deepEqual([...redirected.counts()], [[1, 1]], 'only the machine that was heard since');
-  assert.equal(redirected.count(shardId(0), clock.now()), 0, 'a shard without any');
+  assert.deepEqual([...redirected.counts()], [[1, 1]], 'only the machine with a later heartbeat');
+  assert.equal(redirected.count(shardId(0), clock.now()), 0, 'a shard without redirected heartbeats');
 });
--- a/test/leadership/replaced-leader-ahead-of-watch.test.ts
+++ b/test/leadership/replaced-leader-ahead-of-watch.test.ts
@@ -1,10 +1,10 @@
 /**
- * A task ran on two machines at once. A controller whose membership lease had run out while it was slow was replaced as
- * the leader of its shard, and its watch had not shown that yet. It took a submission, and its own commit entered its
- * watch cache before what had been written in between. Each of the two compared the job with its own acquisition, found
- * it newer, and concluded that no earlier leader could have started it. Their lines for the same task settled it: the
- * replaced leader's "start" has fencingToken 3, jobVersion 16, acquiredVersion 8 and completeUpTo 11, so it knew the job
- * and not the revisions 12 to 15; the successor's has fencingToken 4, jobVersion 16, acquiredVersion 15, completeUpTo 17.
+ * Guards against a task that runs on two machines at once. A slow controller's membership lease had expired, and
+ * another controller had acquired its shard, which its watch did not show yet. It accepted a job, and its own commit
+ * entered its watch cache before the changes written in between. Both leaders found the job newer than their own
+ * acquisition, concluded that no earlier leader could have started it, and both started it. Revisions in the logs of
+ * the two starts: job 16; replaced leader (token 3) acquired at 8, cache complete up to 11; successor (token 4)
+ * acquired at 15, complete up to 17.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -13,11 +13,11 @@
 import { startCluster, type FaultInjectionCluster } from '../support/fault-injection-cluster.js';
 
 const OLD_LEADER = 'n0';
-/** Longer than the test watches for a second start, shorter than the old leader's command deadline of 19 s. */
+/** Longer than the test waits for a second start, shorter than the old leader's command deadline of 19 s. */
 const WATCH_DELAY_MS = 12_000;
 
-/** Renewals of the membership lease of one controller are lost from now on. */
-function loseLeaseRenewals(cluster: FaultInjectionCluster, node: string): void {
+/** Loses all lease requests of one controller from now on. */
+function loseLeaseRequests(cluster: FaultInjectionCluster, node: string): void {
   const call = cluster.store.call.bind(cluster.store);
   cluster.store.call = async (from: string, request: Call): Promise<CallOutcome> => {
     if (from !== node || !request.path.startsWith('/leases')) return call(from, request);
@@ -26,10 +26,10 @@
   };
 }
 
-/** Shard 0 has a new leader, and the old one has not heard of it. */
-async function replaceLeaderUnseen(cluster: FaultInjectionCluster): Promise<void> {
+/** Gives shard 0 a new leader, which the old leader's watch does not show yet. */
+async function replaceLeaderUnnoticed(cluster: FaultInjectionCluster): Promise<void> {
   cluster.watchDelayMs = (node) => (node === OLD_LEADER ? WATCH_DELAY_MS : 0);
-  loseLeaseRenewals(cluster, OLD_LEADER);
+  loseLeaseRequests(cluster, OLD_LEADER);
   await cluster.until('another controller leads shard 0', () => cluster.leaderOf(0) > 0);
 }
 
@@ -40,31 +40,32 @@
   const recorded = new RecordedLines();
   const cluster = await startCluster(6, 3, 24, (node) => recorded.logOf(`n${node}`));
   cluster.cutOff(['m-0'], [1, 2]);
-  await replaceLeaderUnseen(cluster);
+  await replaceLeaderUnnoticed(cluster);
   const answer = await cluster.submit(0, 'req-late', { tasks: 2, zone: 'east', runMs: 15_000 });
-  assert.equal(answer.status, 201, 'a controller may accept jobs whatever it leads');
+  assert.equal(answer.status, 201, 'any controller may accept jobs, whichever shards it leads');
   await cluster.step(10_000);
   cluster.assertNoViolations('the replaced leader accepts a job');
   for (const start of recorded.find('start'))
     assert.ok(
       Number(start['assignedVersion']) <= Number(start['confirmedUpTo']),
-      `a start was decided by a record ahead of the watch: ${JSON.stringify(start)}`,
+      `a start was based on a record ahead of the watch: ${JSON.stringify(start)}`,
     );
   for (const task of ['req-late/0', 'req-late/1'])
     assert.equal(startsOf(cluster, task).length, 1, `${task}:\n${cluster.traceLines.join('\n')}`);
 });
 
-test('a replaced leader starts nothing on a machine that it registers before its watch shows the successor', async () => {
+test('a replaced leader starts no task on a machine that it registers before its watch shows the successor', async () => {
   const cluster = await startCluster(2, 2);
   await cluster.submit(0, 'req-full', { tasks: 8, zone: 'east', runMs: 600_000 });
-  await cluster.until('the east is full', () => cluster.countRunningTasks('req-full') === 8);
+  await cluster.until('the east zone is full', () => cluster.countRunningTasks('req-full') === 8);
   await cluster.submit(0, 'req-wait', { team: 'blue', tasks: 2, zone: 'east', runMs: 15_000 });
   await cluster.step(1000);
-  await replaceLeaderUnseen(cluster);
-  // The successor knows that nothing was started of what waits; both now get a machine that only one of them reaches.
+  await replaceLeaderUnnoticed(cluster);
+  // The successor knows that no waiting task was started. Two machines are added; the first reaches only the old
+  // leader.
   await cluster.step(1000);
-  const reachedByOld = cluster.addWorker('large', 'east');
-  cluster.cutOff([reachedByOld], [1, 2]);
+  const oldLeaderMachine = cluster.addWorker('large', 'east');
+  cluster.cutOff([oldLeaderMachine], [1, 2]);
   await cluster.step(1500);
   cluster.addWorker('large', 'east');
   await cluster.step(8000);
--- a/test/leadership/worker-reachability.test.ts
+++ b/test/leadership/worker-reachability.test.ts
@@ -1,4 +1,4 @@
-/** When a leader that hears few of its machines releases the shard. */
+/** When a leader releases a shard because most of its machines are silent. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -27,10 +27,10 @@
 /** 3.2 heartbeat intervals. */
 const SILENCE_LIMIT_MS = 8000;
 
-/** A shard with machines that were last heard so many milliseconds ago. */
-function shardHeard(...heardMsAgo: number[]): Shard {
+/** A shard with a machine for each age of its last heartbeat in milliseconds. */
+function shardWithHeartbeats(...heartbeatAgesMs: number[]): Shard {
   const shard = new Shard(SHARD, fencingToken(1), revision(1), steady(0), new Map());
-  heardMsAgo.forEach((ago, i) => {
+  heartbeatAgesMs.forEach((ageMs, i) => {
     const machine = newMachine({
       id: `m-${i}` as MachineId,
       address: `10.0.0.${i}:1` as Address,
@@ -41,7 +41,7 @@
       reconciled: true,
       registeredVersion: NO_REVISION,
     });
-    machine.lastHeartbeatAt = steady(NOW - ago);
+    machine.lastHeartbeatAt = steady(NOW - ageMs);
     shard.addMachine(machine);
   });
   return shard;
@@ -50,8 +50,8 @@
 const machineOf = (shard: Shard, index: number): Machine =>
   shard.machines.get(`m-${index}` as MachineId) ?? assert.fail(`no machine ${index}`);
 
-/** One peer, whose announcements arrive or do not, and which hears so many machines of the shard. */
-function peerHearing(redirected: number, announcementsArrive = true): ReachabilityContext {
+/** One peer that receives heartbeats of `redirected` machines, and whose announcements arrive or do not. */
+function contextWithPeer(redirected: number, announcementsArrive = true): ReachabilityContext {
   return {
     heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
     settings: { peers: [{ node: PEER } as Peer] },
@@ -60,39 +60,55 @@
   };
 }
 
-const SILENT = SILENCE_LIMIT_MS + 1;
+const SILENT_AGE_MS = SILENCE_LIMIT_MS + 1;
 
-test('a shard is released when two thirds of its machines are silent and a peer hears one of them', () => {
-  const context = peerHearing(1);
-  const silence = findUnreachableMachines(context, shardHeard(SILENT, SILENT, 0), NOW);
+test('a shard is released when two thirds of its machines are silent and a peer receives heartbeats of one of them', () => {
+  const context = contextWithPeer(1);
+  const silence = findUnreachableMachines(context, shardWithHeartbeats(SILENT_AGE_MS, SILENT_AGE_MS, 0), NOW);
   assert.deepEqual(silence, { expected: 3, silent: 2 });
-  assert.equal(findUnreachableMachines(context, shardHeard(SILENT, 0), NOW), null, 'half of them');
   assert.equal(
-    findUnreachableMachines(context, shardHeard(SILENCE_LIMIT_MS, SILENCE_LIMIT_MS), NOW),
+    findUnreachableMachines(context, shardWithHeartbeats(SILENT_AGE_MS, 0), NOW),
+    null,
+    'only half of the machines are silent',
+  );
+  assert.equal(
+    findUnreachableMachines(context, shardWithHeartbeats(SILENCE_LIMIT_MS, SILENCE_LIMIT_MS), NOW),
     null,
     'the next heartbeat may still arrive in time',
   );
-  assert.equal(findUnreachableMachines(context, shardHeard(SILENT), NOW), null, 'one machine shows nothing');
+  assert.equal(
+    findUnreachableMachines(context, shardWithHeartbeats(SILENT_AGE_MS), NOW),
+    null,
+    'a single machine proves nothing',
+  );
 });
 
-test('machines that were added just now or are being scaled in do not count', () => {
-  const shard = shardHeard(SILENT, SILENT, SILENT);
+test('machines that were just added or are being scaled in are not counted', () => {
+  const shard = shardWithHeartbeats(SILENT_AGE_MS, SILENT_AGE_MS, SILENT_AGE_MS);
   machineOf(shard, 0).scalingIn = true;
-  assert.deepEqual(findUnreachableMachines(peerHearing(1), shard, NOW), { expected: 2, silent: 2 });
-  const opened = shardHeard(SILENT, SILENT);
-  assert.equal(findUnreachableMachines(peerHearing(1), opened, steady(SILENCE_LIMIT_MS)), null);
+  assert.deepEqual(findUnreachableMachines(contextWithPeer(1), shard, NOW), { expected: 2, silent: 2 });
+  const newShard = shardWithHeartbeats(SILENT_AGE_MS, SILENT_AGE_MS);
+  assert.equal(findUnreachableMachines(contextWithPeer(1), newShard, steady(SILENCE_LIMIT_MS)), null);
 });
 
 test('a machine whose heartbeats arrive but are refused, because commands do not reach it, is not silent', () => {
-  const shard = shardHeard(SILENT, SILENT);
+  const shard = shardWithHeartbeats(SILENT_AGE_MS, SILENT_AGE_MS);
   machineOf(shard, 0).refusedUnreachableAt = NOW;
-  assert.equal(findUnreachableMachines(peerHearing(1), shard, NOW), null);
+  assert.equal(findUnreachableMachines(contextWithPeer(1), shard, NOW), null);
 });
 
-test('machines that no peer hears either are kept, unless this controller hears no peer at all', () => {
-  const shard = shardHeard(SILENT, SILENT);
-  assert.equal(findUnreachableMachines(peerHearing(0), shard, NOW), null, 'the machines are cut off');
-  assert.notEqual(findUnreachableMachines(peerHearing(0, false), shard, NOW), null, 'this controller is');
-  const alone = { ...peerHearing(1), settings: { peers: [] } };
-  assert.equal(findUnreachableMachines(alone, shard, NOW), null, 'there is nobody else to lead the shard');
+test('a shard whose machines reach no peer either is kept, unless this controller hears no peer at all', () => {
+  const shard = shardWithHeartbeats(SILENT_AGE_MS, SILENT_AGE_MS);
+  assert.equal(findUnreachableMachines(contextWithPeer(0), shard, NOW), null, 'the machines are cut off');
+  assert.notEqual(
+    findUnreachableMachines(contextWithPeer(0, false), shard, NOW),
+    null,
+    'this controller is cut off',
+  );
+  const withoutPeers = { ...contextWithPeer(1), settings: { peers: [] } };
+  assert.equal(
+    findUnreachableMachines(withoutPeers, shard, NOW),
+    null,
+    'no other controller can lead the shard',
+  );
 });
--- a/test/shards/allocation-changes.test.ts
+++ b/test/shards/allocation-changes.test.ts
@@ -1,4 +1,4 @@
-/** What becomes of a task when it is certainly not on its machine any more. */
+/** The state of a task after it is certainly no longer on its machine. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { revision, steady, type JobId } from '../../src/model/units.js';
@@ -35,7 +35,7 @@
   return job;
 }
 
-test('a released task waits again and its room is free', () => {
+test('a released task waits again and its resources are free', () => {
   const shard = shardWithJob({ assigned: [[0, 1]] });
   const machine = addMachineTo(shard, 'm-0');
   const type = shard.types.get(machine.type);
@@ -68,23 +68,23 @@
   assert.deepEqual(jobOf(shard).unaccounted.ranges(), [[0, 1]]);
 });
 
-test('a task seen on two machines stays where it is when it is gone from the other, and its stop is withdrawn', () => {
+test('a task seen on two machines keeps its allocation when it is gone from the other machine, and its stop is withdrawn', () => {
   const shard = shardWithJob({ assigned: [[0, 1]] });
-  const left = addMachineTo(shard, 'm-0');
-  const present = addMachineTo(shard, 'm-1');
-  const stopped = buildAllocation(shard, present, 0);
-  allocate(shard, present, stopped);
-  stopOrRelease(shard, present, stopped, 0);
-  const delayed = buildAllocation(shard, left, 0);
-  allocate(shard, left, delayed);
-  release(shard, left, delayed);
+  const formerMachine = addMachineTo(shard, 'm-0');
+  const currentMachine = addMachineTo(shard, 'm-1');
+  const stopped = buildAllocation(shard, currentMachine, 0);
+  allocate(shard, currentMachine, stopped);
+  stopOrRelease(shard, currentMachine, stopped, 0);
+  const delayed = buildAllocation(shard, formerMachine, 0);
+  allocate(shard, formerMachine, delayed);
+  release(shard, formerMachine, delayed);
   assert.equal(shard.allocations.get(stopped.id), stopped);
   assert.equal(stopped.stop, null);
   assert.equal(shard.stopping.size, 0);
   assert.equal(jobOf(shard).waiting.isEmpty, true);
 });
 
-test('a task that should not be on a machine takes room there and does not wait when it is gone', () => {
+test('a task that should not be on a machine uses resources there and does not wait when it is gone', () => {
   const shard = shardWithJob({ assigned: [[0, 1]] });
   const machine = addMachineTo(shard, 'm-0');
   const unassigned = buildAllocation(shard, machine, 5);
@@ -95,14 +95,14 @@
   assert.deepEqual(jobOf(shard).waiting.ranges(), [[0, 1]]);
 });
 
-test('unaccounted tasks wait as soon as every machine on which they may be is reconciled', () => {
+test('unaccounted tasks wait again as soon as every machine on which they may be is reconciled', () => {
   const shard = shardWithJob({ assigned: [[0, 2]], zone: 'east' }, true);
   const east = addMachineTo(shard, 'm-0', { reconciled: false });
   const west = addMachineTo(shard, 'm-1', { zone: 'west', reconciled: false });
   assert.equal(requeueAccountedTasks(shard), false);
   assert.deepEqual(jobOf(shard).unaccounted.ranges(), [[0, 2]]);
   shard.markReconciled(east);
-  assert.equal(requeueAccountedTasks(shard), false, 'the machine in the other zone is still missing');
+  assert.equal(requeueAccountedTasks(shard), false, 'the machine in the other zone is not reconciled yet');
   assert.deepEqual(jobOf(shard).waiting.ranges(), [[0, 2]]);
   shard.markReconciled(west);
   assert.equal(requeueAccountedTasks(shard), true);
--- a/test/shards/image-announcements.test.ts
+++ b/test/shards/image-announcements.test.ts
@@ -17,7 +17,7 @@
 const announced = (shard: Shard, count: number): string[] =>
   [...shard.nextImageAnnouncements(count)].map(({ id }) => id);
 
-test('changed machines are announced first, no more than asked for, and then all in turn', () => {
+test('changed machines are announced first, at most the requested number, and then all machines in turn', () => {
   const shard = shardWithImages(3);
   assert.deepEqual(announced(shard, 2), ['m-0', 'm-1']);
   assert.deepEqual(announced(shard, 2), ['m-2', 'm-0']);
--- a/test/shards/machine-health.test.ts
+++ b/test/shards/machine-health.test.ts
@@ -19,7 +19,7 @@
   assert.equal(isSchedulableWith({}), true);
 });
 
-test('a machine is not schedulable before it has been heard of, or while it cannot be reached', () => {
+test('a machine is not schedulable before its first message, or while it cannot be reached', () => {
   assert.equal(isSchedulableWith({ lastHeardAt: null }), false);
   assert.equal(isSchedulableWith({ unreachableSince: NOW }), false);
 });
@@ -34,12 +34,12 @@
   assert.equal(isSchedulableWith({ interruptedAt: steady(NOW + 60_000) }), false);
 });
 
-test('a quarantine ends at its time', () => {
+test('a machine is schedulable again at the end of its quarantine', () => {
   assert.equal(isSchedulableWith({ quarantinedUntil: steady(NOW + 1) }), false);
   assert.equal(isSchedulableWith({ quarantinedUntil: NOW }), true);
 });
 
-test('a machine counts as silent after two intervals of heartbeats and a second', () => {
+test('a machine is silent two heartbeat intervals and one second after its last message', () => {
   assert.equal(isSchedulableWith({ lastHeardAt: steady(NOW - 3999) }), true);
   assert.equal(isSchedulableWith({ lastHeardAt: steady(NOW - 4000) }), false);
 });
--- a/test/shards/retired-machines.test.ts
+++ b/test/shards/retired-machines.test.ts
@@ -11,12 +11,12 @@
   return retired;
 };
 
-test('a retired machine is remembered, another is not', () => {
+test('a retired machine is remembered, and another machine is not', () => {
   const retired = retire(1, 0);
   assert.deepEqual([retired.has(machine(0)), retired.has(machine(1))], [true, false]);
 });
 
-test('in a small cluster the last 5000 are remembered', () => {
+test('in a small cluster the last 5000 retired machines are remembered', () => {
   const retired = retire(5001, 10);
   assert.deepEqual(
     [0, 1, 5000].map((index) => retired.has(machine(index))),
@@ -24,7 +24,7 @@
   );
 });
 
-test('in a large cluster as many are remembered as are registered', () => {
+test('in a large cluster as many retired machines are remembered as machines are registered', () => {
   const retired = retire(6001, 6000);
   assert.deepEqual(
     [0, 1, 6000].map((index) => retired.has(machine(index))),
--- a/test/shards/running-totals.test.ts
+++ b/test/shards/running-totals.test.ts
@@ -51,7 +51,7 @@
   null,
 ];
 
-/** Each with another dominant resource. */
+/** Needs with different dominant resources. */
 const NEEDS: { readonly need: Resources; readonly dominant: ResourceKind }[] = [
   { need: { cpus: 2, gpus: 0, memoryGb: 1 }, dominant: 'cpus' },
   { need: { cpus: 1, gpus: 1, memoryGb: 1 }, dominant: 'gpus' },
@@ -62,7 +62,7 @@
 type Amounts = number[];
 
 interface Totals {
-  /** Of teams that use anything. */
+  /** Only teams with any usage. */
   readonly usageByTeam: Record<string, Amounts>;
   readonly unattributed: Amounts;
   readonly free: Record<string, Amounts>;
@@ -73,7 +73,7 @@
   readonly allocationsOfJobs: number;
 }
 
-/** Never -0, which a sum of fractions may leave. */
+/** Avoids -0, which a sum of fractions may leave. */
 const roundToMicro = (amount: number): number => Math.round(amount * 1e6) / 1e6 + 0;
 
 const amountsOf = (resources: Resources): Amounts =>
@@ -87,7 +87,7 @@
 
 const hasUnknownSize = (allocation: Allocation): boolean => allocation.spec === null;
 
-/** What allocations of known size take together. */
+/** Sum of the allocations of known size. */
 const sumOf = (allocations: readonly Allocation[]): Amounts =>
   RESOURCE_KINDS.map((kind) =>
     roundToMicro(allocations.reduce((sum, { spec }) => sum + (spec?.[kind] ?? 0), 0)),
@@ -122,7 +122,7 @@
   return Object.fromEntries(Object.entries(byTeam).map(([team, allocations]) => [team, sumOf(allocations)]));
 }
 
-/** The totals counted from what is on each machine. */
+/** Counts the totals from the allocations on each machine. */
 function recount(shard: Shard): Totals {
   const machines = [...shard.machines.values()];
   const allocations = machines.reduce((sum, machine) => sum + machine.allocations.size, 0);
@@ -137,7 +137,7 @@
   };
 }
 
-/** The totals as the shard keeps them. */
+/** Returns the totals that the shard keeps. */
 function runningTotals(shard: Shard): Totals {
   const usage = usageOf(shard);
   const usageByTeam: Record<string, Amounts> = {};
@@ -164,24 +164,24 @@
   };
 }
 
-/** The index by free capacity finds every machine on which the need fits, and of others only what it must. */
+/** The index returns every machine on which the need fits, and only machines with enough of the dominant resource. */
 function assertFindsMachinesWithFree(shard: Shard): void {
   for (const { need, dominant } of NEEDS) {
-    const found = new Set(shard.totals.machinesWithFree(need, TYPES));
+    const candidates = new Set(shard.totals.machinesWithFree(need, TYPES));
     for (const machine of shard.machines.values())
       if (fits(need, freeResources(machine, typeOf(machine))))
-        assert.ok(found.has(machine), 'no machine is left out');
-    for (const machine of found) {
-      assert.ok(shard.machines.has(machine.id), 'no machine that has left the shard');
+        assert.ok(candidates.has(machine), 'every machine on which the need fits is returned');
+    for (const machine of candidates) {
+      assert.ok(shard.machines.has(machine.id), 'no machine that has left the shard is returned');
       assert.ok(
         freeResources(machine, typeOf(machine))[dominant] > need[dominant] - 1e-6,
-        `few others, by ${dominant}`,
+        `machine with too little free of ${dominant}`,
       );
     }
   }
 }
 
-/** Changes a shard at random, the same way for the same seed. */
+/** Applies random changes to a shard, the same for the same seed. */
 class RandomChanges {
   private readonly random = seededRandom(7);
   private nextNumber = 0;
--- a/test/shards/sync.test.ts
+++ b/test/shards/sync.test.ts
@@ -1,4 +1,4 @@
-/** A shard's copies of jobs follow their records. */
+/** Updates of a shard's copies of jobs from their records. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { revision, steady, type JobId } from '../../src/model/units.js';
@@ -55,7 +55,7 @@
   assert.equal(shard.reconciled, false);
 });
 
-test('a record without unfinished tasks of the shard makes no copy', () => {
+test('a record without unfinished tasks of the shard creates no copy', () => {
   const shard = buildShard();
   sync(shard, { assigned: [[0, 4]], done: [[0, 4]] });
   assert.equal(shard.jobs.size, 0);
@@ -69,7 +69,7 @@
   assert.deepEqual(jobOf(shard).waiting.ranges(), [[0, 4]]);
 });
 
-test('tasks that are transferred to the shard wait, and those transferred away do not', () => {
+test('tasks that are transferred to the shard wait, and tasks that are transferred away do not', () => {
   const shard = buildShard();
   sync(shard, { assigned: [[0, 4]] });
   sync(shard, { assigned: [[2, 6]] }, MUCH_LATER);
@@ -94,13 +94,13 @@
   assert.equal(jobOf(shard).waiting.isEmpty, true);
   assert.deepEqual(jobOf(shard).unconfirmed.ranges(), [[0, 4]]);
   assert.equal(shard.confirmUpTo(LATER).changed, false);
-  assert.equal(jobOf(shard).waiting.isEmpty, true, 'what was written before the record is not known yet');
+  assert.equal(jobOf(shard).waiting.isEmpty, true, 'changes before the record are not known yet');
   assert.deepEqual(shard.confirmUpTo(MUCH_LATER).jobs, [jobOf(shard)]);
   assert.deepEqual(jobOf(shard).waiting.ranges(), [[0, 4]]);
   assert.equal(jobOf(shard).unconfirmed.isEmpty, true);
 });
 
-test('tasks that a record ahead of the watch adds wait for the watch, and those assigned before go on waiting', () => {
+test('tasks added by a record ahead of the watch are unconfirmed, and tasks assigned before keep waiting', () => {
   const shard = buildShard();
   sync(shard, { assigned: [[0, 2]] });
   syncJob(shard, buildJobRecord({ assigned: [[0, 4]] }), MUCH_LATER, steady(1000), false);
@@ -113,7 +113,11 @@
     steady(1000),
     false,
   );
-  assert.equal(jobOf(shard).unconfirmed.isEmpty, true, 'done or assigned elsewhere meanwhile');
+  assert.equal(
+    jobOf(shard).unconfirmed.isEmpty,
+    true,
+    'tasks done or assigned elsewhere in the meantime are removed',
+  );
   shard.confirmUpTo(revision(MUCH_LATER + 1));
   assert.deepEqual(jobOf(shard).waiting.ranges(), [[0, 2]]);
 });
