--- a/src/shards/job.ts
+++ b/src/shards/job.ts
@@ -133,22 +133,22 @@
 
 /** Returns the waiting tasks of a job as ranges of equal zone, in the order of the task indices. */
 export function waitingRuns(job: ShardJob): WaitingRun[] {
-  const runs: WaitingRun[] = [];
+  const ranges: WaitingRun[] = [];
   const { assignments } = job.record;
   let next = 0;
-  for (const [from, to] of job.waiting.ranges()) {
-    while (next < assignments.length && (assignments[next] as Assignment).to <= from) next += 1;
+  for (const [start, end] of job.waiting.ranges()) {
+    while (next < assignments.length && (assignments[next] as Assignment).to <= start) next += 1;
     for (let i = next; i < assignments.length; i += 1) {
       const assignment = assignments[i] as Assignment;
-      if (assignment.from >= to) break;
-      runs.push({
-        from: Math.max(from, assignment.from),
-        to: Math.min(to, assignment.to),
+      if (assignment.from >= end) break;
+      ranges.push({
+        from: Math.max(start, assignment.from),
+        to: Math.min(end, assignment.to),
         zone: assignment.zone,
       });
     }
   }
-  return runs;
+  return ranges;
 }
 
 /** Counts the waiting tasks of a job by required zone. */
