--- a/src/leadership/observed-situations.ts
+++ b/src/leadership/observed-situations.ts
@@ -1,8 +1,8 @@
 /**
  * Tracks how long each shard has been in its current situation (its leader, and whether leader and home controller are
- * alive), and the delay with which this controller reacts to it. The delay differs between controllers, so that one in
- * the home controller's zone usually acquires the shard before the others have sent a request. This saves store
- * requests; safety does not depend on it.
+ * alive), and the delay with which this controller reacts to it. The delay differs between controllers, so that a
+ * controller in the home controller's zone usually acquires the shard before the others have sent a request. This saves
+ * store requests; safety does not depend on it.
  */
 import type { ControllerId, ShardId, SteadyMs } from '../model/units.js';
 import type { Settings } from '../settings/settings.js';
--- a/src/shards/job.ts
+++ b/src/shards/job.ts
@@ -46,7 +46,10 @@
   readonly handingOver: RangeSet;
   /** Machines reserved for its tasks, by task index. */
   readonly reservations: Map<number, Reservation>;
-  /** Machines where tasks were preempted for a task of this job that then did not start, and when that was seen. */
+  /**
+   * Machines on which tasks were preempted for a task of this job that then did not start there, and when that was
+   * seen.
+   */
   readonly unusedPreemptions: Map<MachineId, SteadyMs>;
   /** When the job was accepted, by the clock of this process; may be before the process started. */
   readonly acceptedAt: SteadyMs;
--- a/src/shards/machine.ts
+++ b/src/shards/machine.ts
@@ -95,7 +95,8 @@
   /** When a heartbeat was last refused because answers do not reach the machine. Set by the heartbeat handler. */
   refusedUnreachableAt: SteadyMs | null;
   /**
-   * No new tasks before this time: it refused or failed tasks, or was silent. Set by reconciliation, direct commands.
+   * No new tasks before this time: it refused or failed tasks, or did not answer. Set by reconciliation and the direct
+   * commands.
    */
   quarantinedUntil: SteadyMs;
   /** The latest failures of tasks on it. Changed by reconciliation. */
--- a/src/shards/retired-machines.ts
+++ b/src/shards/retired-machines.ts
@@ -3,7 +3,7 @@
 import type { RegisteredMachines } from './registered-machines.js';
 
 /** Minimum number of remembered ids, however few machines are registered. */
-const MIN_REMEMBERED = 5000;
+const MIN_REMEMBERED_IDS = 5000;
 
 /** The most recently retired machines: as many as are registered, since all of these may be replaced at once. */
 export class RetiredMachines {
@@ -18,7 +18,7 @@
   /** Remembers a machine, and forgets the oldest remembered machine if there are too many. */
   add(id: MachineId): void {
     this.ids.add(id);
-    if (this.ids.size > Math.max(MIN_REMEMBERED, this.registered.size))
+    if (this.ids.size > Math.max(MIN_REMEMBERED_IDS, this.registered.size))
       this.ids.delete(this.ids.keys().next().value as MachineId);
   }
 }
--- a/test/leadership/failover-during-faults.test.ts
+++ b/test/leadership/failover-during-faults.test.ts
@@ -212,16 +212,16 @@
     () => cluster.countRunningTasks('req-over') + cluster.countRunningTasks('req-long') === 3,
   );
   await cluster.step(phaseMs);
-  const machinesOfOld = machinesOfShard(cluster, 0, 'req-over');
-  const machinesOfNew = machinesOfShard(cluster, 0, 'req-long');
+  const machinesOfOldLeader = machinesOfShard(cluster, 0, 'req-over');
+  const machinesOfNewLeader = machinesOfShard(cluster, 0, 'req-long');
   assert.ok(
-    machinesOfOld.length > 0 &&
-      machinesOfNew.length > 0 &&
-      !machinesOfNew.some((machine) => machinesOfOld.includes(machine)),
+    machinesOfOldLeader.length > 0 &&
+      machinesOfNewLeader.length > 0 &&
+      !machinesOfNewLeader.some((machine) => machinesOfOldLeader.includes(machine)),
   );
   // From now on some machines of the shard reach only the old leader, some only the new leader, and one reaches both.
-  cluster.cutOff(machinesOfOld, [1, 2]);
-  cluster.cutOff(machinesOfNew, [0]);
+  cluster.cutOff(machinesOfOldLeader, [1, 2]);
+  cluster.cutOff(machinesOfNewLeader, [0]);
   cluster.store.disconnectedNodes.add('n0');
   for (const node of [1, 2]) cluster.networkCuts.add(`n0|n${node}`);
   // The new leader cannot have the machines deleted either.
