--- a/src/store/cache.ts
+++ b/src/store/cache.ts
@@ -1,32 +1,32 @@
 /**
- * This controller's copy of what the key-value store holds below one prefix. It may be behind the store, and never goes
- * back: every key has the version it was read at, and facts of an older version change nothing. It sends no requests;
- * `StoreWatcher` updates it, and so does whoever reads or writes a key.
+ * This controller's cached copy of the keys below one prefix of the key-value store. The cache may lag behind the store
+ * but never goes back to an older state: each key is stored with its version, and updates with an older version are
+ * ignored. The cache sends no requests; `StoreWatcher` updates it, and so does any code that reads or writes a key.
  */
 import type { Revision, StoreKey, SteadyMs } from '../model/units.js';
 import { NO_REVISION, steady } from '../model/units.js';
 import type { Entry, WatchEvent } from './wire.js';
 
-/** Called when the cache has become complete up to a later revision, after the changes up to there. */
+/** Called when the cache has become complete up to a later revision, after `OnChange` for all changes up to it. */
 export type OnComplete = (revision: Revision) => void;
 
-/** Called for every change of the cache, once it is made; a `value` of undefined: the key was deleted. */
+/** Called after every change of the cache. A `value` of undefined means that the key was deleted. */
 export type OnChange = (key: StoreKey, value: unknown, version: Revision) => void;
 
-/** Earlier than every time of the clock: whatever asks how old the cache is finds it too old. */
+/** Earlier than any time of the clock, so that every check of the cache's age fails until the store has answered. */
 const NEVER_CONFIRMED = steady(-Infinity);
 
-/** The first two segments of a key with their slashes, like `c/live/`; an empty string for a key without them. */
+/** The first two segments of a key with their slashes, such as `c/live/`; an empty string if the key has none. */
 const groupPrefix = (key: StoreKey): string => key.slice(0, key.indexOf('/', key.indexOf('/') + 1) + 1);
 
-/** The latest known entry of every key below one prefix. */
+/** Holds the latest known entry of every key below one prefix. */
 export class StoreCache {
   private readonly entries = new Map<StoreKey, Entry>();
-  /** The same entries by group: one group is read without looking at all others. */
+  /** The same entries indexed by `groupPrefix`, so that reading one group does not scan all entries. */
   private readonly groups = new Map<string, Map<StoreKey, Entry>>();
   /**
-   * Versions of deletions that are newer than `revision`: without them, a read answered late with an older version would
-   * bring the key back.
+   * Versions of deletions that are newer than `revision` (tombstones). Without them, a late response with an older
+   * version would restore a deleted key.
    */
   private readonly deletedVersions = new Map<StoreKey, Revision>();
   private completeUpTo: Revision = NO_REVISION;
@@ -38,45 +38,48 @@
     private readonly onComplete: OnComplete = () => undefined,
   ) {}
 
-  /** Up to this revision the cache lacks no change; it may know some later ones. */
+  /** The cache contains every change up to this revision, and possibly some later changes. */
   get revision(): Revision {
     return this.completeUpTo;
   }
 
-  /** A time of this process's clock at which the store held nothing newer than `revision`. */
+  /** A time on this process's clock at which the store held nothing newer than `revision`. */
   get confirmedAt(): SteadyMs {
     return this.lastConfirmedAt;
   }
 
-  /** Whether a complete list has been loaded and watches can continue from `revision`. */
+  /** Whether a complete snapshot has been loaded and watches can continue from `revision`. */
   get loaded(): boolean {
     return this.hasSnapshot;
   }
 
-  /** The store no longer keeps the changes since `revision`: only another list completes the cache. */
+  /**
+   * Marks the cache as not loaded because the store has compacted the changes since `revision`: a new list is needed.
+   */
   invalidate(): void {
     this.hasSnapshot = false;
   }
 
-  /** The latest known entry; undefined when the key is not known to exist. */
+  /** Returns the latest known entry, or undefined if the key is not known to exist. */
   get(key: StoreKey): Entry | undefined {
     return this.entries.get(key);
   }
 
-  /** The version of the latest known entry; `NO_REVISION` when the key is not known to exist. */
+  /** Returns the version of the latest known entry, or `NO_REVISION` if the key is not known to exist. */
   version(key: StoreKey): Revision {
     return this.entries.get(key)?.version ?? NO_REVISION;
   }
 
-  /** Entries of one group; `prefix` is its two segments with the closing slash, like `c/live/`. */
+  /** Yields the entries of one group. `prefix` is two key segments with the trailing slash, such as `c/live/`. */
   *entriesUnder(prefix: string): Generator<Entry> {
     yield* this.groups.get(prefix)?.values() ?? [];
   }
 
   /**
-   * Takes in one fact, from a watch, a read, or a committed write; a `value` of undefined: the key was deleted. Facts up to
-   * `revision` change nothing, as the cache is complete up to there. This prevents: a read is sent, the key is deleted and
-   * the watch shows it, and then the read is answered and would bring the key back.
+   * Applies one update from a watch, a read or a committed write. A `value` of undefined means that the key was
+   * deleted. Updates up to `revision` are ignored because the cache is already complete up to it. This prevents: a read
+   * is sent, the key is deleted and the watch reports the deletion, and then the late answer to the read restores the
+   * key.
    */
   apply(key: StoreKey, value: unknown, version: Revision): void {
     if (version <= this.completeUpTo) return;
@@ -97,9 +100,9 @@
   }
 
   /**
-   * Takes in the events of a watch that was sent at `requestedAt` and is complete up to `revision`. Two watches may
-   * cross: events of the one answered late, up to the revision that the other has reached, are known already, also those
-   * of keys that have been deleted since.
+   * Applies the events of a watch that was sent at `requestedAt` and is complete up to `revision`. The responses of two
+   * watches may arrive out of order: events of the later response, up to the revision that the cache has reached, are
+   * already known and are skipped, also for keys that have been deleted since.
    */
   applyEvents(events: readonly WatchEvent[], revision: Revision, requestedAt: SteadyMs): void {
     const reachedRevision = this.completeUpTo;
@@ -109,13 +112,13 @@
   }
 
   /**
-   * Takes in a complete list that was requested at `requestedAt`. Keys that it lacks, and that are not newer than its
-   * revision, have been deleted.
+   * Replaces the contents with a complete list that was requested at `requestedAt`. Keys that the list lacks, and that
+   * are not newer than its revision, have been deleted.
    */
   loadSnapshot(entries: readonly Entry[], revision: Revision, requestedAt: SteadyMs): void {
-    const present = new Set(entries.map((entry) => entry.key));
+    const listedKeys = new Set(entries.map((entry) => entry.key));
     for (const entry of [...this.entries.values()]) {
-      if (!present.has(entry.key) && entry.version <= revision) this.apply(entry.key, undefined, revision);
+      if (!listedKeys.has(entry.key) && entry.version <= revision) this.apply(entry.key, undefined, revision);
     }
     for (const entry of entries) this.apply(entry.key, entry.value, entry.version);
     this.hasSnapshot = true;
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,6 +1,6 @@
 /**
- * Client of the consensus-backed key-value store. It sends each request within this controller's rate limits and says
- * of each what its caller may conclude; no method rejects. It keeps no data of the store: `StoreCache` does.
+ * Client of the consensus-backed key-value store. It sends each request within this controller's rate limits and
+ * reports what the caller may conclude from the outcome; no method rejects. It caches no data: `StoreCache` does.
  */
 import type { Call } from '../http/client.js';
 import type { Settings } from '../settings/settings.js';
@@ -42,21 +42,21 @@
 export type { Caller } from './rate-limited-sender.js';
 export type { StoreUsage } from './rate-limits.js';
 
-/** How long the answer to one attempt of a request may take. */
+/** Timeout for the response to one attempt of a request. */
 const REQUEST_TIMEOUT = millis(1500);
-/** How much longer than it may block a watch's answer may take, in milliseconds. */
+/** How much longer than its blocking time a watch may take to be answered. */
 const WATCH_RESPONSE_MARGIN_MS = 1500;
-/** Entries a page of a list; the store's own limit is the same. */
+/** Entries per page of a list; the store has the same limit. */
 const LIST_PAGE_SIZE = 1000;
 
-/** The requests to the store and their outcomes, and what other modules need to know of its rate limits. */
+/** Sends requests to the store, returns their outcomes, and exposes its rate limits to other modules. */
 export class KeyValueClient {
   private readonly limits: StoreRateLimits;
   private readonly sender: RateLimitedSender;
 
   /**
-   * `watchTransport` has connections of its own: a watch that blocks must not keep other requests from being sent.
-   * `random` is evenly distributed from 0 to below 1.
+   * `watchTransport` has separate connections, because a blocking watch must not delay other requests.
+   * `random` is uniformly distributed in [0, 1).
    */
   constructor(
     transport: Caller,
@@ -69,39 +69,39 @@
     this.sender = new RateLimitedSender(transport, this.limits, clock, random);
   }
 
-  /** How long a submission would be queued for the rate limits. */
+  /** How long a submission would currently be queued by the rate limiters. */
   get submitWait(): Millis {
     return this.limits.submitWait;
   }
 
-  /** What this controller draws of the store's limits at present, for its peers. */
+  /** This controller's current use of the store's limits, for announcements to its peers. */
   get usage(): StoreUsage {
     return this.limits.usage;
   }
 
-  /** Changes a second that are this controller's own share. */
+  /** This controller's own share of the write limit, in changes per second. */
   get writeRate(): number {
     return this.limits.writeRate;
   }
 
-  /** Requests a second that are this controller's own share. */
+  /** This controller's own share of the request limit, in requests per second. */
   get requestRate(): number {
     return this.limits.requestRate;
   }
 
-  /** Borrows what the peers, by their own word, leave of the limits. */
+  /** Borrows the part of the limits that the peers, according to their announcements, do not use. */
   borrowUnusedLimits(peerUsages: readonly StoreUsage[]): void {
     this.limits.borrowUnused(peerUsages);
   }
 
-  /** Sets how many controllers draw on the limits now, at least 1. */
+  /** Sets how many controllers share the limits now, at least 1. */
   setControllerCount(controllers: number): void {
     this.limits.setControllerCount(controllers);
   }
 
   /**
-   * Applies all changes at once if every condition holds, and otherwise none. After `unknown` the request may be carried
-   * out late: a repetition answered with `conflict` may have met its own first copy.
+   * Applies all changes atomically if every condition holds, and otherwise none. After `unknown` the request may still
+   * be applied late, so a retry answered with `conflict` may conflict with its own first attempt.
    */
   async compareAndSwap(
     conditions: readonly Condition[],
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Reads every entry below a prefix, page by page. The revision is the first page's: what changes while the others are
-   * read may be missing from the list, and a watch from the first page's revision shows it.
+   * Reads every entry below a prefix, page by page. The result has the revision of the first page: changes made while
+   * the other pages are read may be missing from the list, and a watch from that revision returns them.
    */
   async list(prefix: string): Promise<ListResult> {
     const listing = new Listing();
@@ -133,14 +133,14 @@
       const defect = listing.addPage(page);
       if (defect) return { kind: 'inconsistent', defect };
       const { entries, revision, lastRevision, pages } = listing;
-      if (!page.more && revision !== null && lastRevision !== null)
+      if (!page.hasMore && revision !== null && lastRevision !== null)
         return { kind: 'listed', entries, revision, lastRevision, pages };
     }
   }
 
   /**
-   * Waits until something below the prefix changes after the given revision, at most for `blockFor`. A refusal for the
-   * rate limit is not retried here: the watcher does so after its own pause.
+   * Waits until a key below the prefix changes after the given revision, at most for `blockFor`. A rate-limited request
+   * is not retried here: the watcher retries after its own backoff.
    */
   async watch(prefix: string, after: Revision, blockFor: Millis): Promise<WatchResult> {
     const { requests } = this.limits;
@@ -152,14 +152,14 @@
     return toWatchResult(outcome);
   }
 
-  /** Asks for a lease that expires `ttl` after its last renewal, by the store's clock. */
+  /** Requests a lease that expires `ttl` after its last renewal, on the store's clock. */
   async grantLease(ttl: Millis): Promise<LeaseGrantResult> {
     const body = encodeTtl(ttl);
     const call: Call = { method: 'POST', path: GRANT_LEASE_PATH, body, timeout: REQUEST_TIMEOUT };
     return toLeaseGrantResult(await this.sender.send(call, RequestPriority.leadership, 0));
   }
 
-  /** Starts a lease's time again. */
+  /** Renews a lease: its TTL starts again. */
   async renewLease(lease: LeaseId): Promise<LeaseRenewalResult> {
     const path = renewLeasePath(lease);
     const call: Call = { method: 'POST', path, body: {}, timeout: REQUEST_TIMEOUT };
--- a/src/store/http-status.ts
+++ b/src/store/http-status.ts
@@ -1,4 +1,4 @@
-/** The HTTP statuses that the store and the cloud answer with and that their clients tell apart. */
+/** HTTP statuses of the store and the cloud that their clients distinguish. */
 export const HttpStatus = {
   ok: 200,
   badRequest: 400,
--- a/src/store/listing.ts
+++ b/src/store/listing.ts
@@ -1,16 +1,16 @@
 /**
- * Turns the pages of a list into the state of one revision. Pages are read at several revisions: a key of a later page may
- * be newer than the absence of another key on an earlier one. Only with all changes between the first and the last page
- * does the list say what is absent.
+ * Combines the pages of a list into the state at one revision. Pages are read at different revisions, so an earlier
+ * page may lack a key that was created before an entry of a later page. A key can be taken for absent only after all
+ * changes between the revisions of the first and the last page have been applied.
  */
 import type { Revision, StoreKey } from '../model/units.js';
 import type { Entry, EntryPage, WatchEvent } from './wire.js';
 
-/** Why a page does not continue the list. */
+/** Why a page is not a valid continuation of the list. */
 export type PageDefect =
   'keys out of order' | 'revision went back' | 'ended early' | 'entry newer than its page';
 
-/** The pages of one list, in order of key. */
+/** Collects the pages of one list, in key order. */
 export class Listing {
   private readonly byKey = new Map<StoreKey, Entry>();
   private firstRevision: Revision | null = null;
@@ -18,7 +18,7 @@
   private lastKey: StoreKey | null = null;
   pages = 0;
 
-  /** Behind which key the next page begins; null: at the beginning. */
+  /** The next page starts after this key. Null means that it is the first page. */
   get after(): StoreKey | null {
     return this.lastKey;
   }
@@ -27,19 +27,19 @@
     return [...this.byKey.values()];
   }
 
-  /** At which the first page was read: up to here the list lacks nothing. */
+  /** Revision at which the first page was read: the list contains every change up to it. Null before the first page. */
   get revision(): Revision | null {
     return this.firstRevision;
   }
 
-  /** At which the last page was read: no entry is newer. */
+  /** Revision at which the last page was read: no entry is newer. Null before the first page. */
   get lastRevision(): Revision | null {
     return this.latestRevision;
   }
 
-  /** Takes in the next page; returns what is wrong with it, and then the list cannot be used. */
+  /** Adds the next page. Returns null, or the page's defect, in which case the list must be discarded. */
   addPage(page: EntryPage): PageDefect | null {
-    const defect = this.defectOf(page);
+    const defect = this.findDefect(page);
     if (defect) return defect;
     this.firstRevision ??= page.revision;
     this.latestRevision = page.revision;
@@ -49,9 +49,9 @@
     return null;
   }
 
-  private defectOf(page: EntryPage): PageDefect | null {
+  private findDefect(page: EntryPage): PageDefect | null {
     if (this.latestRevision !== null && page.revision < this.latestRevision) return 'revision went back';
-    if (page.more && page.entries.length === 0) return 'ended early';
+    if (page.hasMore && page.entries.length === 0) return 'ended early';
     let previous = this.lastKey;
     for (const { key, version } of page.entries) {
       if (previous !== null && key <= previous) return 'keys out of order';
@@ -62,7 +62,9 @@
   }
 }
 
-/** The entries as they are after the changes, which are in order of version; older ones than an entry change nothing. */
+/**
+ * Returns the entries after the changes, which are in version order. Changes that are older than an entry are ignored.
+ */
 export function applyChanges(entries: readonly Entry[], events: readonly WatchEvent[]): Entry[] {
   const byKey = new Map(entries.map((entry) => [entry.key, entry]));
   for (const { key, value, version } of events) {
--- a/src/store/outcomes.ts
+++ b/src/store/outcomes.ts
@@ -1,7 +1,7 @@
 /**
- * Outcomes of requests to the key-value store, as its client reports them. Each says what the caller may conclude: that
- * the request was carried out, that it certainly was not and never will be, or that it may have been or still may be.
- * The functions here derive an outcome from what came back over the connection; they send nothing.
+ * Outcomes of requests to the key-value store, as its client reports them. An outcome says what the caller may
+ * conclude: that the request was applied, that it was not and never will be, or that it may have been or may still be
+ * applied. The functions in this module derive outcomes from HTTP responses; they send nothing.
  */
 import type { CallOutcome } from '../http/client.js';
 import type { LeaseId, Revision, StoreKey } from '../model/units.js';
@@ -21,74 +21,74 @@
 
 /** Outcome of one compare-and-swap request. */
 export type CompareAndSwapResult =
-  /** Carried out: every change holds since this revision. */
+  /** Applied: all changes were committed at this revision. */
   | { readonly kind: 'done'; readonly revision: Revision }
-  /** Certainly not carried out: these keys do not have the version that the conditions name. */
+  /** Certainly not applied: these keys do not have the versions that the conditions require. */
   | { readonly kind: 'conflict'; readonly failed: readonly StoreKey[] }
-  /** Certainly not carried out: refused by the store, over a rate limit, or never sent. */
+  /** Certainly not applied: rejected by the store, rate-limited, or never sent. */
   | { readonly kind: 'refused' }
-  /** Maybe carried out, now or later: no answer arrived, or none that can be read. */
+  /** May have been applied or may be applied later: no readable response arrived. */
   | { readonly kind: 'unknown' };
 
-/** Outcome of reading one key. Reads change nothing, so every one may be repeated. */
+/** Outcome of reading one key. A read changes nothing, so it may always be retried. */
 export type ReadResult =
   /** The key held this entry at some moment after the request. */
   | { readonly kind: 'found'; readonly entry: Entry }
   /** The store says that the key did not exist at some moment after the request. */
   | { readonly kind: 'absent' }
-  /** Nothing is known about the key: never sent, refused, or no readable answer. */
+  /** Nothing is known about the key: the request was never sent or was refused, or no readable response arrived. */
   | { readonly kind: 'failed' };
 
-/** Outcome of listing everything below a prefix. */
+/** Outcome of listing all entries below a prefix. */
 export type ListResult =
-  /** Every entry, with the revision from which a watch sees what the list may lack. */
+  /** All entries, and the revision from which a watch returns the changes that the list may lack. */
   | {
       readonly kind: 'listed';
       readonly entries: readonly Entry[];
-      /** At which the first page was read. */
+      /** Revision at which the first page was read. */
       readonly revision: Revision;
-      /** At which the last page was read: some entries may be as new as this. */
+      /** Revision at which the last page was read: entries may be as new as this. */
       readonly lastRevision: Revision;
       readonly pages: number;
     }
-  /** Nothing is known: the pages are not those of one list. */
+  /** Nothing is known: the pages do not form one consistent list. */
   | { readonly kind: 'inconsistent'; readonly defect: PageDefect }
-  /** Nothing is known: a page was never sent, was refused, or had no readable answer. */
+  /** Nothing is known: the request for a page was never sent or was refused, or had no readable response. */
   | { readonly kind: 'failed' };
 
 /** Outcome of one watch request. */
 export type WatchResult =
-  /** Every change after the revision asked for, up to `revision`, in order of revision. */
+  /** All changes after the requested revision, up to `revision`, in revision order. */
   | ({ readonly kind: 'watched' } & WatchResponse)
-  /** The store no longer keeps the changes after the revision asked for: only a new list shows the present state. */
+  /** The store has compacted the changes after the requested revision: a new list is needed. */
   | { readonly kind: 'compacted' }
-  /** Nothing is known: never sent, refused, or no readable answer. The same watch may be repeated. */
+  /** Nothing is known: never sent, refused, or no readable response. The same watch may be retried. */
   | { readonly kind: 'failed' };
 
-/** Outcome of asking for a lease. */
+/** Outcome of requesting a lease. */
 export type LeaseGrantResult =
-  /** Carried out: the lease runs from some moment after the request. */
+  /** Granted: the lease started at some moment after the request was sent. */
   | { readonly kind: 'granted'; readonly lease: LeaseId }
-  /** Maybe carried out. A lease granted unseen holds no keys and expires by itself. */
+  /** The lease may have been granted. An unknown lease has no keys attached and expires by itself. */
   | { readonly kind: 'failed' };
 
 /** Outcome of renewing a lease. */
 export type LeaseRenewalResult =
-  /** Carried out: the lease's time starts again at some moment after the request. */
+  /** Renewed: the lease's TTL started again at some moment after the request was sent. */
   | { readonly kind: 'renewed' }
-  /** Certainly not carried out: the lease has expired, and with it the keys that were bound to it. */
+  /** Certainly not renewed: the lease has expired, and the keys attached to it have been deleted. */
   | { readonly kind: 'expired' }
-  /** Maybe carried out: the lease may still run or not, and only its last known renewal counts. */
+  /** The renewal may or may not have been applied: callers may rely on the last confirmed renewal only. */
   | { readonly kind: 'failed' };
 
-/** Statuses of a compare-and-swap that are stated not to be carried out; any other says nothing. */
-const NOT_CARRIED_OUT: readonly number[] = [
+/** Statuses with which the store guarantees that a compare-and-swap was not applied; other errors leave it unknown. */
+const NOT_APPLIED_STATUSES: readonly number[] = [
   HttpStatus.badRequest,
   HttpStatus.tooManyRequests,
   HttpStatus.serviceUnavailable,
 ];
 
-/** What the answer to a compare-and-swap means. */
+/** Interprets the response to a compare-and-swap. */
 export function toCompareAndSwapResult(outcome: CallOutcome): CompareAndSwapResult {
   if (outcome.kind === 'unknown') return { kind: 'unknown' };
   if (outcome.kind === 'unsent') return { kind: 'refused' };
@@ -100,12 +100,12 @@
     const failed = decodeConflict(outcome.body);
     return failed === null ? { kind: 'unknown' } : { kind: 'conflict', failed };
   }
-  return NOT_CARRIED_OUT.includes(outcome.status) ? { kind: 'refused' } : { kind: 'unknown' };
+  return NOT_APPLIED_STATUSES.includes(outcome.status) ? { kind: 'refused' } : { kind: 'unknown' };
 }
 
 /**
- * What the answer to a read of `key` means. A 404 without a revision comes from something other than the store, such as
- * a proxy, and an entry of another key answers another question: neither says anything about the key.
+ * Interprets the response to a read of `key`. A 404 without a revision does not come from the store but, for example,
+ * from a proxy, and an entry of another key belongs to another request: neither says anything about `key`.
  */
 export function toReadResult(outcome: CallOutcome, key: StoreKey): ReadResult {
   if (outcome.kind !== 'answer') return { kind: 'failed' };
@@ -115,13 +115,13 @@
   return entry && entry.key === key ? { kind: 'found', entry } : { kind: 'failed' };
 }
 
-/** One page of a list; `null` when nothing is known: never sent, refused, or no readable answer. */
+/** Returns one page of a list, or null if the request was never sent or refused, or had no readable response. */
 export function toEntryPage(outcome: CallOutcome): EntryPage | null {
   if (outcome.kind !== 'answer' || outcome.status !== HttpStatus.ok) return null;
   return decodePage(outcome.body);
 }
 
-/** What the answer to a watch means. */
+/** Interprets the response to a watch. */
 export function toWatchResult(outcome: CallOutcome): WatchResult {
   if (outcome.kind !== 'answer') return { kind: 'failed' };
   if (outcome.status === HttpStatus.gone) return { kind: 'compacted' };
@@ -129,20 +129,20 @@
   return response ? { kind: 'watched', ...response } : { kind: 'failed' };
 }
 
-/** What the answer to a request for a lease means. */
+/** Interprets the response to a lease request. */
 export function toLeaseGrantResult(outcome: CallOutcome): LeaseGrantResult {
   const answered = outcome.kind === 'answer' && outcome.status === HttpStatus.ok;
   const lease = answered ? decodeLease(outcome.body) : null;
   return lease === null ? { kind: 'failed' } : { kind: 'granted', lease };
 }
 
-/** What the answer to the renewal of a lease means. */
+/** Interprets the response to a lease renewal. */
 export function toLeaseRenewalResult(outcome: CallOutcome): LeaseRenewalResult {
   if (outcome.kind !== 'answer') return { kind: 'failed' };
   if (outcome.status === HttpStatus.ok) return { kind: 'renewed' };
   return { kind: outcome.status === HttpStatus.notFound ? 'expired' : 'failed' };
 }
 
-/** Whether the other side refused a request for its rate limit: certainly not carried out, and worth a retry. */
+/** Whether the server rejected the request for its rate limit: it was certainly not applied and may be retried. */
 export const isRateLimited = (outcome: CallOutcome): boolean =>
   outcome.kind === 'answer' && outcome.status === HttpStatus.tooManyRequests;
--- a/src/store/rate-limited-sender.ts
+++ b/src/store/rate-limited-sender.ts
@@ -1,7 +1,8 @@
 /**
- * Sends requests to the store within this controller's rate limits, and again when the store refuses them for a limit
- * all the same. Relies on the store's word that a request answered with 429 was not carried out; every other outcome,
- * above all one that may have been carried out, is left to the caller to repeat or not.
+ * Sends requests to the store within this controller's rate limits, and retries requests that the store rejects for a
+ * limit nevertheless. Relies on the store's guarantee that a request answered with 429 was not applied. Any other
+ * outcome, in particular that of a request that may have been applied, is returned to the caller, who decides whether
+ * to retry.
  */
 import type { Call, CallOutcome } from '../http/client.js';
 import type { Clock, Millis } from '../model/units.js';
@@ -11,31 +12,32 @@
 import type { StoreRateLimits } from './rate-limits.js';
 import { sleep } from './sleep.js';
 
-/** A transport that carries out one call. It never rejects: failures are outcomes. */
+/** A transport that sends one HTTP call. The promise never rejects: failures are outcomes. */
 export interface Caller {
   call(call: Call): Promise<CallOutcome>;
 }
 
-/** How long a request may be queued for the rate limits, over all its attempts. */
+/** How long a request may wait for the rate limiters in total, over all its attempts. */
 export const QUEUE_TIMEOUT = millis(1200);
 const MAX_RETRIES = 4;
-/** The pause before a retry: at least the first, and at random up to the second longer. */
+/** The delay before a retry is the minimum plus a random part of the jitter. */
 const MIN_RETRY_DELAY_MS = 50;
 const RETRY_JITTER_MS = 150;
 
-/** Queues, sends and after a 429 sends again the requests of one client. */
+/** Queues and sends the requests of one client, and retries them after a 429. */
 export class RateLimitedSender {
   constructor(
     private readonly transport: Caller,
     private readonly limits: StoreRateLimits,
     private readonly clock: Clock,
-    /** Evenly distributed from 0 to below 1. */
+    /** Uniformly distributed in [0, 1). */
     private readonly random: () => number,
   ) {}
 
   /**
-   * The outcome of the last attempt. `writes` is the number of keys that the request changes; 0 for one that changes
-   * none. `unsent`: it had no turn in time, or no connection came about.
+   * Sends the request and returns the outcome of the last attempt. `writes` is the number of keys that the request
+   * changes, 0 for a read. The outcome is `unsent` if the rate limiters did not admit the request in time or no
+   * connection was made.
    */
   async send(call: Call, priority: RequestPriority, writes: number): Promise<CallOutcome> {
     const { requests, writes: writeLimiter } = this.limits;
--- a/src/store/rate-limiter.ts
+++ b/src/store/rate-limiter.ts
@@ -1,39 +1,39 @@
 /**
- * A token bucket with request priorities, for this controller's share of a rate limit that all controllers draw on. It
- * relies on a clock only: `StoreRateLimits` and the cloud's client decide on the rates.
+ * A token bucket with request priorities, for this controller's share of a rate limit that all controllers share. The
+ * limiter depends only on a clock: `StoreRateLimits` and the cloud client set the rates.
  */
 import type { Clock, Millis, SteadyMs } from '../model/units.js';
 import { millis, plus } from '../model/units.js';
 
-/** How urgent a request is. A lower number is served first; equal ones in the order of their arrival. */
+/** Request priorities. A lower number is served first; requests of equal priority are served in arrival order. */
 export const RequestPriority = {
-  /** Membership, failover, the watch: without these nothing may be commanded. */
+  /** Membership, failover and the watch: without them the controller may not send commands. */
   leadership: 0,
-  /** Cancellations, which have a deadline for their tasks' end. */
+  /** Cancellations, whose tasks must end before a deadline. */
   cancellation: 1,
-  /** Submissions and lookups of jobs, for whose answer a user waits; machines to be rented. */
+  /** Job submissions and lookups, for which a user waits, and machine rentals. */
   submission: 2,
   /** Final states of jobs, and the registration of machines. */
   finalState: 3,
   /** Transfers of tasks, machines and quota between shards; the cluster clock; lists of machines. */
   handOver: 4,
-  /** Progress of jobs, which the next write of the same job replaces; instance types. */
+  /** Job progress, which the next write of the same job replaces, and instance types. */
   progress: 5,
 } as const;
-/** One of the priorities above. */
+/** A value of `RequestPriority`. */
 export type RequestPriority = (typeof RequestPriority)[keyof typeof RequestPriority];
 
 interface QueuedRequest {
   readonly cost: number;
   readonly priority: RequestPriority;
-  readonly resolve: (granted: boolean) => void;
+  readonly resolve: (admitted: boolean) => void;
   readonly deadline: SteadyMs;
 }
 
 const MAX_QUEUED_REQUESTS = 2000;
 /**
- * The share of a full bucket that a request must leave. This prevents: background writes empty the bucket, and a
- * cancellation or a failover that comes then waits for the next tokens.
+ * The fraction of a full bucket that a request must leave in it. This prevents: background writes empty the bucket, and
+ * a subsequent cancellation or failover has to wait for new tokens.
  */
 const RESERVED_BURST_SHARES: Readonly<Record<RequestPriority, number>> = {
   [RequestPriority.leadership]: 0,
@@ -43,14 +43,14 @@
   [RequestPriority.handOver]: 0.45,
   [RequestPriority.progress]: 0.55,
 };
-/** The time constant of the exponential average of what is spent. */
+/** Time constant of the exponential moving average of the spent tokens. */
 const USAGE_AVERAGING_MS = 2000;
-/** How often the queue is looked through while anything waits in it. */
+/** How often the queue is processed while it is not empty. */
 const DISPATCH_INTERVAL = millis(10);
-/** After a refusal by the other side: how many seconds' worth of tokens must come in before anything is spent. */
+/** After the server rejected a request: seconds of refill before the next token can be spent. */
 const PENALTY_S = 0.1;
 
-/** Grants costs at a given rate, the most urgent first, and refuses at once what could not have its turn in time. */
+/** Admits requests at a given rate, by priority, and refuses immediately those that could not be admitted in time. */
 export class RateLimiter {
   private tokens: number;
   private refilledAt: SteadyMs;
@@ -61,9 +61,9 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Costs a second. */
+    /** Tokens per second. */
     private rate: number,
-    /** What a full bucket holds at least, however low the rate. */
+    /** Minimum capacity of the bucket in tokens, however low the rate. */
     private readonly minBurst: number,
   ) {
     this.tokens = this.burst;
@@ -71,21 +71,27 @@
     this.recentCostAt = this.refilledAt;
   }
 
-  /** What a full bucket holds, one second's worth: all controllers' bursts together are what the other side allows. */
+  /**
+   * Capacity of the bucket: the tokens of one second, so that the bursts of all controllers add up to the server's
+   * limit.
+   */
   private get burst(): number {
     return Math.max(this.minBurst, this.rate);
   }
 
-  /** Sets the rate, in costs a second; what came in so far did so at the earlier rate. */
+  /** Sets the rate in tokens per second. The time up to now is refilled at the previous rate. */
   setRate(rate: number): void {
     this.refill();
     this.rate = rate;
   }
 
-  /** Costs a second of late; what is queued counts in full, so that peers do not borrow what is needed here. */
+  /**
+   * Recent use in tokens per second, plus the cost of all queued requests, so that peers do not borrow what is needed
+   * here.
+   */
   get usagePerSecond(): number {
-    const waiting = this.queue.reduce((sum, request) => sum + request.cost, 0);
-    return this.decayedCost() / (USAGE_AVERAGING_MS / 1000) + waiting;
+    const queuedCost = this.queue.reduce((sum, request) => sum + request.cost, 0);
+    return this.decayedCost() / (USAGE_AVERAGING_MS / 1000) + queuedCost;
   }
 
   private spend(cost: number): void {
@@ -99,8 +105,8 @@
   }
 
   /**
-   * Resolves true once the cost is spent, false when the queue timeout passes first, which is foreseen where it can be: a
-   * request that cannot have its turn in time is refused at once, not after waiting. Nothing is spent when false.
+   * Resolves to true once the tokens are spent, and to false if the queue timeout would pass first. Where this can be
+   * predicted, the request is refused immediately and not after waiting. A refused request spends no tokens.
    */
   acquire(cost: number, priority: RequestPriority, queueTimeout: Millis): Promise<boolean> {
     this.refill();
@@ -123,15 +129,15 @@
     });
   }
 
-  /** How long a request of this cost and priority would be queued, if nothing more urgent came in the meantime. */
+  /** Estimates how long a request would be queued if no request of a higher priority arrived in the meantime. */
   estimateWait(cost: number, priority: RequestPriority): Millis {
     this.refill();
-    let ahead = Math.min(cost + this.reserveFor(priority), this.burst) - this.tokens;
-    for (const queued of this.queue) if (queued.priority <= priority) ahead += queued.cost;
-    return millis(Math.max(0, (ahead / this.rate) * 1000));
+    let missingTokens = Math.min(cost + this.reserveFor(priority), this.burst) - this.tokens;
+    for (const queued of this.queue) if (queued.priority <= priority) missingTokens += queued.cost;
+    return millis(Math.max(0, (missingTokens / this.rate) * 1000));
   }
 
-  /** The other side refused a request for its rate limit: spends nothing for a moment. */
+  /** Records that the server rejected a request for its rate limit: admits nothing for a short time. */
   penalize(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0) - this.rate * PENALTY_S;
@@ -147,7 +153,7 @@
     return this.tokens >= Math.min(cost + this.reserveFor(priority), this.burst);
   }
 
-  /** What a request of this priority must leave in the bucket. */
+  /** The number of tokens that a request of this priority must leave in the bucket. */
   private reserveFor(priority: RequestPriority): number {
     return this.burst * RESERVED_BURST_SHARES[priority];
   }
@@ -160,7 +166,9 @@
     });
   }
 
-  /** Grants what can be afforded, the most urgent first, and refuses what has reached its deadline. */
+  /**
+   * Admits queued requests by priority while there are tokens, and refuses requests that have reached their deadline.
+   */
   private dispatch(): void {
     this.refill();
     const now = this.clock.now();
--- a/src/store/rate-limits.ts
+++ b/src/store/rate-limits.ts
@@ -1,37 +1,39 @@
 /**
- * This controller's use of the store's two rate limits, for requests and for changes. The limits hold for all
- * controllers together: each has an equal share, borrows what its peers say they leave unused, and lowers its shares
- * once the store's refusals show that lower limits, announced in the settings, have come into force.
+ * This controller's use of the store's two rate limits, for requests and for changes. The limits apply to all
+ * controllers together: each controller has an equal share, borrows what its peers announce as unused, and lowers its
+ * share once the store's rejections show that the lower limits from the settings have come into force.
  */
 import type { Settings } from '../settings/settings.js';
 import type { Clock, Millis, SteadyMs } from '../model/units.js';
 import { millis } from '../model/units.js';
 import { RateLimiter, RequestPriority } from './rate-limiter.js';
 
-/** What a controller draws of the store's limits: requests and changes a second. */
+/** A controller's use of the store's limits, in requests and changes per second. */
 export interface StoreUsage {
   readonly requests: number;
   readonly writes: number;
 }
 
-/** The store counts its limits by another clock than this one: not all of them is used. */
+/** Usable fraction of each limit; the rest is a margin because the store measures its limits on another clock. */
 const USABLE_LIMIT_SHARE = 0.9;
-/** The largest share of a whole limit that one controller may borrow up to. */
+/** The largest fraction of a whole limit that one controller may use through borrowing. */
 const MAX_BORROWED_SHARE = 0.5;
-/** Peers' use is told late and may have grown since: it is counted with this factor. */
+/** Factor applied to the announced use of peers, which is out of date and may have grown since. */
 const PEER_USAGE_FACTOR = 1.2;
-/** Requests or changes that may always be sent at once: enough for a failover or the end of a job. */
+/** Minimum burst in requests or changes: enough for a failover or the end of a job. */
 const MIN_BURST = 3;
 
-/** So many refusals for a limit, each within this time of the one before, show that the lower limits are in force. */
+/**
+ * The lower limits are in force after this many rate-limit rejections, each within the interval of the previous one.
+ */
 const REFUSALS_SHOWING_LOWER_LIMITS = 3;
 const MAX_REFUSAL_INTERVAL_MS = 3000;
 
-/** The rate limiters for requests and for changes, and the rates at which they are refilled. */
+/** Holds the rate limiters for requests and for changes, and sets their rates. */
 export class StoreRateLimits {
-  /** Each request costs one, whatever it does. */
+  /** Every request costs one token. */
   readonly requests: RateLimiter;
-  /** Each key put or deleted costs one, beside its request. */
+  /** Every key put or deleted costs one token, in addition to the token of its request. */
   readonly writes: RateLimiter;
   private controllers: number;
   private lowerLimitsInForce = false;
@@ -47,22 +49,22 @@
     this.writes = new RateLimiter(clock, this.writeRate, MIN_BURST);
   }
 
-  /** Requests a second that are this controller's own share. */
+  /** This controller's own share of the request limit, in requests per second. */
   get requestRate(): number {
     return (this.requestLimit * USABLE_LIMIT_SHARE) / this.controllers;
   }
 
-  /** Changes a second that are this controller's own share. */
+  /** This controller's own share of the write limit, in changes per second. */
   get writeRate(): number {
     return (this.writeLimit * USABLE_LIMIT_SHARE) / this.controllers;
   }
 
-  /** What this controller draws of the limits at present, for its peers. */
+  /** This controller's current use of the limits, for announcements to its peers. */
   get usage(): StoreUsage {
     return { requests: this.requests.usagePerSecond, writes: this.writes.usagePerSecond };
   }
 
-  /** How long a submission, which is one request with one change, would be queued. */
+  /** How long a submission, which is one request with one change, would currently be queued. */
   get submitWait(): Millis {
     return millis(
       Math.max(
@@ -72,14 +74,16 @@
     );
   }
 
-  /** Sets how many controllers draw on the limits now; what was borrowed is given back. */
+  /** Sets how many controllers share the limits now, and ends borrowing. */
   setControllerCount(controllers: number): void {
     this.controllers = controllers;
     this.requests.setRate(this.requestRate);
     this.writes.setRate(this.writeRate);
   }
 
-  /** Borrows what the peers, by their own word, leave of the limits: never less than the own share is used. */
+  /**
+   * Borrows the part of the limits that the peers do not use. The rates never fall below this controller's own share.
+   */
   borrowUnused(peerUsages: readonly StoreUsage[]): void {
     const peerRequests = peerUsages.reduce((total, usage) => total + usage.requests, 0);
     this.requests.setRate(rateWithBorrowing(this.requestLimit, this.requestRate, peerRequests));
@@ -87,7 +91,9 @@
     this.writes.setRate(rateWithBorrowing(this.writeLimit, this.writeRate, peerWrites));
   }
 
-  /** The store refused a request for its rate limit, which `limiter` keeps: spends nothing more of it for a moment. */
+  /**
+   * Records that the store rejected a request for the limit that `limiter` enforces, and pauses that limiter briefly.
+   */
   recordRefusal(limiter: RateLimiter): void {
     this.countRefusal();
     if (!this.lowerLimitsInForce && this.recentRefusals >= REFUSALS_SHOWING_LOWER_LIMITS) {
@@ -99,8 +105,8 @@
 
   private countRefusal(): void {
     const now = this.clock.now();
-    const followsAnother = this.lastRefusalAt !== null && now - this.lastRefusalAt < MAX_REFUSAL_INTERVAL_MS;
-    this.recentRefusals = followsAnother ? this.recentRefusals + 1 : 1;
+    const isRepeated = this.lastRefusalAt !== null && now - this.lastRefusalAt < MAX_REFUSAL_INTERVAL_MS;
+    this.recentRefusals = isRepeated ? this.recentRefusals + 1 : 1;
     this.lastRefusalAt = now;
   }
 
@@ -113,7 +119,7 @@
   }
 }
 
-/** The rate for one controller when its peers use `usedByPeers` of a limit; all of them a second. */
+/** Returns one controller's rate when its peers use `usedByPeers` of a limit. All amounts are per second. */
 function rateWithBorrowing(limit: number, ownShare: number, usedByPeers: number): number {
   const unused = limit * USABLE_LIMIT_SHARE - usedByPeers * PEER_USAGE_FACTOR;
   return Math.max(ownShare, Math.min(limit * MAX_BORROWED_SHARE, unused));
--- a/src/store/watcher.ts
+++ b/src/store/watcher.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the watch cache current: one list, then one watch after another, and a new list when the store no longer keeps
- * the changes since the cache's revision. It relies on the client for the rate limits and paces itself beyond them.
+ * Keeps the watch cache current: loads a list, then sends one watch after another, and loads a new list when the store
+ * has compacted the changes since the cache's revision. The client enforces the rate limits; the watcher adds its own
+ * pacing.
  */
 import type { Log } from '../logging/log.js';
 import type { Clock, Millis } from '../model/units.js';
@@ -11,39 +12,39 @@
 import type { ListResult } from './outcomes.js';
 import { sleep } from './sleep.js';
 
-/** The pause after a failure doubles from the first to the second; each is drawn from half to one and a half times it. */
+/** The backoff doubles after each failure from the minimum to the maximum, with a jitter factor from 0.5 to 1.5. */
 const MIN_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 1000;
 const MIN_BACKOFF_JITTER = 0.5;
 const NO_DELAY = millis(0);
 
-/** How often the changes between the pages of a list are asked for before the list is read again. */
+/** How many times the changes between the pages of a list are requested before the list is read again. */
 const MAX_COMPLETION_ATTEMPTS = 10;
 
 type Snapshot = Extract<ListResult, { kind: 'listed' }>;
 type CompleteSnapshot = Pick<Snapshot, 'entries' | 'revision'>;
 
-/** Fills one cache from one prefix of the store, for as long as the process runs. */
+/** Keeps one cache in sync with one prefix of the store, for as long as the process runs. */
 export class StoreWatcher {
   private backoffMs = 0;
-  /** False until the store first answers, and while it does not answer this controller. */
+  /** Whether the store answers this controller; false until the first response. */
   healthy = false;
 
   constructor(
     private readonly client: Pick<KeyValueClient, 'list' | 'watch'>,
     private readonly cache: StoreCache,
     private readonly prefix: string,
-    /** How long a watch may wait in the store for a change. */
+    /** How long a watch may block in the store until a change occurs. */
     private readonly blockFor: Millis,
-    /** The pause after a watch that brought changes: bounds the requests that a busy store costs. */
+    /** The delay after a watch that returned changes; limits the request rate when the store changes often. */
     private readonly minInterval: Millis,
     private readonly clock: Clock,
-    /** Evenly distributed from 0 to below 1. */
+    /** Uniformly distributed in [0, 1). */
     private readonly random: () => number,
     private readonly log: Log,
   ) {}
 
-  /** Lists and watches without end; every failure is followed by a pause and another attempt. */
+  /** Lists and watches in an endless loop; retries failures after a backoff. */
   async run(): Promise<never> {
     for (;;) {
       const delay = this.cache.loaded ? await this.watchOnce() : await this.loadOnce();
@@ -52,20 +53,20 @@
   }
 
   /**
-   * Brings the cache up to now without waiting for a change. False: the store did not show that the cache is current,
-   * and the cache is as it was.
+   * Brings the cache up to date without waiting for a change. Returns false if the store did not confirm that the cache
+   * is current; the cache is unchanged then.
    */
   async refresh(): Promise<boolean> {
     if (!this.cache.loaded) return false;
     const requestedAt = this.clock.now();
     const result = await this.client.watch(this.prefix, this.cache.revision, NO_DELAY);
-    // The run loop may have found the cache's revision compacted in the meantime: events alone cannot complete it then.
+    // If the run loop has found the cache's revision compacted in the meantime, events alone cannot complete the cache.
     if (result.kind !== 'watched' || !this.cache.loaded) return false;
     this.cache.applyEvents(result.events, result.revision, requestedAt);
     return true;
   }
 
-  /** Loads the whole list; how long to wait before the next request. */
+  /** Loads the whole list. Returns the delay before the next request. */
   private async loadOnce(): Promise<Millis> {
     const requestedAt = this.clock.now();
     const snapshot = await this.client.list(this.prefix);
@@ -82,11 +83,11 @@
   }
 
   /**
-   * The list as of one revision: with the changes made while its pages were read. null: they are not known, and the pages
-   * alone do not say what is absent.
+   * Returns the list at one revision, with the changes that were made while its pages were read. Returns null if these
+   * changes are not known: the pages alone do not show which keys are absent.
    *
-   * Prevents: a page shows that this process leads a shard, an earlier one lacks a job of the shard, and the job is taken
-   * for one that has ended.
+   * Prevents: a page shows that this process leads a shard, an earlier page lacks a job of the shard, and the job is
+   * assumed to have ended.
    */
   private async completeSnapshot(snapshot: Snapshot): Promise<CompleteSnapshot | null> {
     const { entries, revision, lastRevision } = snapshot;
@@ -101,7 +102,7 @@
     return null;
   }
 
-  /** Applies one watch; how long to wait before the next request. */
+  /** Sends one watch and applies its events. Returns the delay before the next request. */
   private async watchOnce(): Promise<Millis> {
     const requestedAt = this.clock.now();
     const result = await this.client.watch(this.prefix, this.cache.revision, this.blockFor);
@@ -125,7 +126,7 @@
     this.healthy = true;
   }
 
-  /** How long to wait before the next request. */
+  /** Records that a request failed. Returns the delay before the next request. */
   private recordFailure(): Millis {
     if (this.healthy) this.log.info('store does not answer');
     this.healthy = false;
--- a/src/store/wire.ts
+++ b/src/store/wire.ts
@@ -1,50 +1,48 @@
 /**
- * Maps requests to the key-value store and its answers to the types of the code: the only module that knows the store's
- * paths and field names. Decoders return null for whatever does not have the documented form; nothing here is sent.
+ * Encodes requests to the key-value store and decodes its responses. This is the only module that knows the store's
+ * paths and field names. Decoders return null for a body that does not have the documented form. The module sends
+ * nothing.
  */
 import * as v from 'valibot';
 import type { LeaseId, Millis, Revision, StoreKey } from '../model/units.js';
 
-/** A key with its value and the revision at which it was last put. */
+/** A key, its value, and the revision of the last write to it. */
 export interface Entry {
   readonly key: StoreKey;
   readonly value: unknown;
   readonly version: Revision;
 }
 
-/** A key must have exactly this version for a compare-and-swap to be carried out. */
+/** Precondition of a compare-and-swap: the key must have exactly this version. */
 export interface Condition {
   readonly key: StoreKey;
-  /** `NO_REVISION`: the key must not exist. */
+  /** `NO_REVISION` means that the key must not exist. */
   readonly version: Revision;
 }
 
-/**
- * One change of a compare-and-swap. `put` sets a key, which with a `lease` is deleted when that expires; `delete` deletes
- * it.
- */
+/** One change of a compare-and-swap. A key that was put with a `lease` is deleted when the lease expires. */
 export type Change =
   | { readonly op: 'put'; readonly key: StoreKey; readonly value: unknown; readonly lease?: LeaseId }
   | { readonly op: 'delete'; readonly key: StoreKey };
 
-/** One change that a watch saw; `version` is the revision that it made. */
+/** One change reported by a watch; `version` is the revision of the change. */
 export interface WatchEvent {
   readonly key: StoreKey;
-  /** undefined: the key was deleted. */
+  /** Undefined if the key was deleted. */
   readonly value: unknown;
   readonly version: Revision;
 }
 
-/** One page of a list, in order of key. */
+/** One page of a list, in key order. */
 export interface EntryPage {
   readonly entries: readonly Entry[];
-  /** Whether further entries follow the last one here. */
-  readonly more: boolean;
+  /** Whether more entries follow the last entry of this page. */
+  readonly hasMore: boolean;
   /** The store's revision when the page was read. */
   readonly revision: Revision;
 }
 
-/** The changes that a watch saw, in order of version, complete up to `revision`. */
+/** The changes reported by a watch, in version order and complete up to `revision`. */
 export interface WatchResponse {
   readonly events: readonly WatchEvent[];
   readonly revision: Revision;
@@ -52,7 +50,7 @@
 
 /** Path of compare-and-swap requests. */
 export const COMPARE_AND_SWAP_PATH = '/txn';
-/** Path of requests for a lease. */
+/** Path of lease requests. */
 export const GRANT_LEASE_PATH = '/leases';
 
 const wholeNumber = v.pipe(v.number(), v.safeInteger(), v.minValue(0));
@@ -81,8 +79,8 @@
   ),
 });
 
-/** The body if it has the form of the schema, otherwise null. */
-function read<S extends v.GenericSchema>(schema: S, body: unknown): v.InferOutput<S> | null {
+/** Returns the parsed body, or null if it does not match the schema. */
+function parseBody<S extends v.GenericSchema>(schema: S, body: unknown): v.InferOutput<S> | null {
   const result = v.safeParse(schema, body);
   return result.success ? result.output : null;
 }
@@ -93,21 +91,23 @@
   version: raw.entry as Revision,
 });
 
-/** Path of one key; its slashes stay as they are. */
+/** Path of one key; slashes in the key are not escaped. */
 export const keyPath = (key: StoreKey): string => `/kv/${encodeURIComponent(key).replaceAll('%2F', '/')}`;
 
-/** Path of one page below a prefix: at most `limit` entries behind the key `after`, or from the first one for null. */
+/** Path of one page below a prefix: at most `limit` entries after the key `after`, or from the first entry if null. */
 export const listPath = (prefix: string, after: string | null, limit: number): string =>
   `/kv?under=${encodeURIComponent(prefix)}${after === null ? '' : `&from=${encodeURIComponent(after)}`}&most=${limit}`;
 
-/** Path of a watch below a prefix, for changes after a revision; it is answered after `blockFor` without any. */
+/**
+ * Path of a watch for changes below a prefix after a revision. Without changes, the store responds after `blockFor`.
+ */
 export const watchPath = (prefix: string, after: Revision, blockFor: Millis): string =>
   `/follow?under=${encodeURIComponent(prefix)}&from=${after}&blockMs=${blockFor}`;
 
-/** Path for the renewal of a lease. */
+/** Path of the renewal of a lease. */
 export const renewLeasePath = (lease: LeaseId): string => `/leases/${lease}/renew`;
 
-/** The body of a compare-and-swap; one without changes only checks its conditions. */
+/** Encodes the body of a compare-and-swap. Without changes, the request only checks the conditions. */
 export const encodeCompareAndSwap = (
   conditions: readonly Condition[],
   changes: readonly Change[],
@@ -122,41 +122,45 @@
   return { put: key, data: value, ...(lease === undefined ? {} : { mooring: lease }) };
 }
 
-/** The body of a request for a lease that expires `ttl` after its last renewal. */
+/** Encodes the body of a request for a lease that expires `ttl` after its last renewal. */
 export const encodeTtl = (ttl: Millis): unknown => ({ ttlMs: ttl });
 
-/** The entry that a read answers with. */
+/** Decodes the response to a read of one key. */
 export function decodeEntry(body: unknown): Entry | null {
-  const raw = read(entrySchema, body);
+  const raw = parseBody(entrySchema, body);
   return raw && toEntry(raw);
 }
 
-/** One page of a list. */
+/** Decodes one page of a list. */
 export function decodePage(body: unknown): EntryPage | null {
-  const raw = read(pageSchema, body);
+  const raw = parseBody(pageSchema, body);
   return (
-    raw && { entries: raw.entries.map(toEntry), more: raw.hasNext ?? false, revision: raw.ledger as Revision }
+    raw && {
+      entries: raw.entries.map(toEntry),
+      hasMore: raw.hasNext ?? false,
+      revision: raw.ledger as Revision,
+    }
   );
 }
 
-/** The revision of a committed compare-and-swap, or the one at which a key was found absent. */
+/** Decodes the revision at which a compare-and-swap was committed, or at which a key was found absent. */
 export function decodeRevision(body: unknown): Revision | null {
-  return (read(revisionSchema, body)?.ledger as Revision | undefined) ?? null;
+  return (parseBody(revisionSchema, body)?.ledger as Revision | undefined) ?? null;
 }
 
-/** The keys whose conditions did not hold. */
+/** Decodes the keys whose conditions did not hold. */
 export function decodeConflict(body: unknown): StoreKey[] | null {
-  return (read(conflictSchema, body)?.failed as StoreKey[] | undefined) ?? null;
+  return (parseBody(conflictSchema, body)?.failed as StoreKey[] | undefined) ?? null;
 }
 
-/** The lease that was granted. */
+/** Decodes the granted lease. */
 export function decodeLease(body: unknown): LeaseId | null {
-  return (read(leaseSchema, body)?.mooring as LeaseId | undefined) ?? null;
+  return (parseBody(leaseSchema, body)?.mooring as LeaseId | undefined) ?? null;
 }
 
-/** The changes that a watch is answered with, brought into the order of their versions. */
+/** Decodes the response to a watch and sorts its changes by version. */
 export function decodeWatchResponse(body: unknown): WatchResponse | null {
-  const raw = read(watchResponseSchema, body);
+  const raw = parseBody(watchResponseSchema, body);
   if (!raw) return null;
   const events: WatchEvent[] = [];
   for (const change of raw.news ?? []) {
