--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -1,4 +1,4 @@
-/** Composes the capacity announcements of a controller, and applies those of its peers to `Core`. */
+/** Builds the capacity announcements of this controller, and applies the announcements of its peers to `Core`. */
 import type { Core } from '../core.js';
 import { activeJobKey } from '../jobs/codec.js';
 import { add, addTo, fits, scale, ZERO, type MutableResources, type Resources } from '../model/resources.js';
@@ -19,14 +19,14 @@
 import type { FreeCapacity } from '../peers/free-capacity.js';
 import { reserveCapacity } from './peer-ranking.js';
 
-/** Machines whose cached images one announcement lists. */
+/** Maximum number of machines whose cached images one announcement lists. */
 const MAX_MACHINES_WITH_IMAGE_HINTS = 12;
 
-/** Machines with the same key count as one entry of an announcement. */
+/** Grouping key: machines with the same key share one entry of an announcement. */
 const machineShapeKey = (machine: Machine, free: Resources): string =>
   `${machine.type}/${machine.zone}/${machine.spot}/${free.cpus.toFixed(2)}/${free.gpus.toFixed(2)}/${free.memoryGb.toFixed(2)}`;
 
-/** What a shard that is led here has free now, less what its own queue is about to take. */
+/** Returns the free capacity of a shard led by this controller, minus the capacity that its own queue will use. */
 export function freeCapacityOf(core: Core, shard: Shard): FreeCapacity {
   const now = core.clock.now();
   const context = { now, heartbeatIntervalMs: core.heartbeatIntervalMs };
@@ -45,19 +45,22 @@
     expiresAt: plus(now, core.tuning.announcementExpiry),
     machines: [...shapes.values()],
   };
-  const capacity = freeAtMost(shard, freeCapacity);
-  // Jobs that wait for quota take no capacity meanwhile, and neither do jobs in back-off; a task takes some only in its
-  // required zone.
+  const maxCapacity = maxAvailableCapacity(shard, freeCapacity);
+  // Jobs that wait for quota or are in backoff use no capacity meanwhile. A task uses capacity in its required zone
+  // only.
   for (const job of shard.queue) {
     if (shard.teamsBlockedByQuota.has(job.spec.team) || now < job.backoffUntil) continue;
-    if (isOversizedGang(job, capacity)) continue;
+    if (isOversizedGang(job, maxCapacity)) continue;
     for (const [zone, count] of waitingByZone(job)) reserveCapacity(freeCapacity, job.spec, zone, count);
   }
   return freeCapacity;
 }
 
-/** What may become free in the shard, at most: what is, what tasks use that are not critical, and what may be in use. */
-function freeAtMost(shard: Shard, { machines }: FreeCapacity): Resources {
+/**
+ * Upper bound of the capacity that may become free in the shard: the free capacity, the capacity used by preemptible
+ * tasks, and the capacity of which it is not known whether it is in use.
+ */
+function maxAvailableCapacity(shard: Shard, { machines }: FreeCapacity): Resources {
   const capacity: MutableResources = { ...shard.totals.unaccountedCapacity(shard.types) };
   for (const shape of machines) addTo(capacity, shape, shape.count);
   addTo(capacity, shard.totals.preemptibleUsage);
@@ -65,21 +68,24 @@
 }
 
 /**
- * All members of a gang start at once: one that needs more than may become free takes nothing meanwhile, unless machines
- * are reserved for it. One that only waits for room to become free does: smaller tasks would take each piece before it.
+ * All members of a gang start at once. A gang that needs more than `maxCapacity` therefore uses no capacity for now,
+ * unless machines are reserved for it. A gang that only waits for capacity to become free does count: otherwise smaller
+ * tasks would take each freed piece before it.
  */
-function isOversizedGang(job: ShardJob, capacity: Resources): boolean {
+function isOversizedGang(job: ShardJob, maxCapacity: Resources): boolean {
   if (!job.gangHistory || job.reservations.size > 0) return false;
-  return !fits(scale(job.spec, job.waiting.size), capacity);
+  return !fits(scale(job.spec, job.waiting.size), maxCapacity);
 }
 
-/** By image: what critical tasks could use at once on machines that hold it, by preemption if need be. */
+/**
+ * Returns, by image, the capacity that critical tasks can use at once on machines that cache it, including preemption.
+ */
 export function capacityByImage(core: Core, shard: Shard): Map<ImageId, Resources> {
   const capacities = new Map<ImageId, Resources>();
   const context = { now: core.clock.now(), heartbeatIntervalMs: core.heartbeatIntervalMs };
-  for (const [image, holders] of shard.totals.imageHolders()) {
+  for (const [image, machines] of shard.totals.imageHolders()) {
     const capacity: MutableResources = { ...ZERO };
-    for (const machine of holders) {
+    for (const machine of machines) {
       if (!machine.spot && isSchedulable(machine, context))
         addTo(capacity, add(freeResources(machine, core.types.get(machine.type)), machine.preemptible));
     }
@@ -88,7 +94,7 @@
   return capacities;
 }
 
-/** Updates the free capacity of the shards led here, for announcements and for the assignment of new jobs. */
+/** Updates the free capacity of the shards led by this controller, for announcements and for assigning new jobs. */
 export function refreshFreeCapacity(core: Core): void {
   for (const shard of core.shards.values()) {
     core.freeCapacity.set(shard.id, freeCapacityOf(core, shard));
@@ -96,13 +102,16 @@
   }
 }
 
-/** Cached images of some machines, for the next leader of the shard: new ones first, then the rest in turn. */
+/**
+ * Cached images of some machines, for the shard's next leader: machines with changed images first, then the rest in
+ * rotation.
+ */
 function imageHints(shard: Shard): Map<MachineId, CachedImages> {
   const machines = [...shard.nextImageAnnouncements(MAX_MACHINES_WITH_IMAGE_HINTS)];
   return new Map(machines.map((machine) => [machine.id, [...machine.images]]));
 }
 
-/** The zone of a shard's controller. */
+/** Returns the zone of a shard's controller. */
 export const zoneForShard = (core: Core, shard: ShardId): ZoneId =>
   core.settings.shards.find((configured) => configured.shard === shard)?.zone ?? core.settings.zone;
 
@@ -112,7 +121,7 @@
   );
 }
 
-/** Running tasks by job, in all shards that this controller leads. */
+/** Counts running tasks by job in all shards that this controller leads. */
 function countRunningTasks(core: Core): Map<JobId, number> {
   const running = new Map<JobId, number>();
   for (const shard of core.shards.values()) {
@@ -125,7 +134,7 @@
   return running;
 }
 
-/** What this controller announces now. */
+/** Builds the current announcement of this controller. */
 export function composeAnnouncement(
   core: Core,
   unusedQuotaOf: (shard: Shard) => Map<TeamId, Resources>,
@@ -159,8 +168,8 @@
   };
 }
 
-/** Remembers what a peer says of itself and of its shards, until the announcement expires. */
-function learnAnnouncement(core: Core, announcement: CapacityAnnouncement): void {
+/** Records the state that a peer announced for itself and its shards, until the announcement expires. */
+function applyAnnouncement(core: Core, announcement: CapacityAnnouncement): void {
   const now = core.clock.now();
   core.peers.set(announcement.node, {
     heardAt: now,
@@ -172,12 +181,13 @@
   });
   for (const [machine, shard] of announcement.rentedMachines) core.intendedShards.set(machine, shard);
   const expires = plus(now, core.tuning.announcementExpiry);
-  // During a failover two controllers may take themselves for the leader: what is led here is known better here.
+  // During a failover two controllers may both believe that they lead a shard. For a shard led by this controller, its
+  // own state is authoritative.
   for (const capacity of announcement.shards)
-    if (!core.shards.has(capacity.shard)) learnShardCapacity(core, capacity, expires);
+    if (!core.shards.has(capacity.shard)) applyShardCapacity(core, capacity, expires);
 }
 
-function learnShardCapacity(core: Core, capacity: ShardCapacity, expires: SteadyMs): void {
+function applyShardCapacity(core: Core, capacity: ShardCapacity, expires: SteadyMs): void {
   const { shard, used, unusedQuota } = capacity;
   for (const [machine, images] of capacity.cachedImages) core.imageHints.set(machine, images);
   core.criticalCapacityByImage.set(shard, capacity.criticalCapacity);
@@ -192,23 +202,26 @@
 }
 
 /**
- * Applies a committed cancellation without waiting for the watch, since the store may answer the peer and not this
- * controller. It is applied like the result of an own write; a late copy is older than the watch cache and changes
- * nothing.
+ * Applies a committed cancellation without waiting for the watch, because the store may be reachable for the peer and
+ * not for this controller. It is applied like the result of this controller's own write; a late duplicate is older than
+ * the watch cache and is ignored.
  */
-function learnCancellation(core: Core, { job, version }: CancellationNotice): void {
+function applyCancellation(core: Core, { job, version }: CancellationNotice): void {
   void core.exclusive(() => core.storeCache.apply(activeJobKey(job), undefined, version));
 }
 
-/** Applies a peer's message; returns a request for quota or machines to the caller; null: none, or an invalid message. */
+/**
+ * Applies a peer's announcement or cancellation notice and returns null. Returns a request for quota or machines for
+ * the caller to handle. An invalid message is ignored.
+ */
 export function receiveMessage(core: Core, sent: unknown): QuotaTransferRequest | MachineRequest | null {
   const message = decodePeerMessage(sent);
   switch (message?.kind) {
     case 'capacityAnnouncement':
-      learnAnnouncement(core, message);
+      applyAnnouncement(core, message);
       return null;
     case 'cancellationNotice':
-      learnCancellation(core, message);
+      applyCancellation(core, message);
       return null;
     default:
       return message;
--- a/src/overflow/assignment.ts
+++ b/src/overflow/assignment.ts
@@ -1,6 +1,6 @@
 /**
- * Assigns the tasks of a new job to shards, and those of a constrained job to zones. Pure but for the free capacity that
- * it takes off what peers have announced.
+ * Assigns the tasks of a new job to shards, and the tasks of a constrained job to zones. The only side effect is that
+ * assigned capacity is subtracted from the announced free capacity.
  */
 import type { InstanceType } from '../cloud/wire.js';
 import { NO_ZONE, type Assignment } from '../jobs/record.js';
@@ -12,7 +12,7 @@
 import type { FreeCapacity } from '../peers/free-capacity.js';
 import { taskCapacity, reserveCapacity, rankPeers } from './peer-ranking.js';
 
-/** What an assignment reads. */
+/** Inputs of an assignment. */
 export interface AssignmentContext {
   readonly now: SteadyMs;
   /** The shard of the controller that accepted the job. */
@@ -21,9 +21,9 @@
   readonly shards: readonly { shard: ShardId; zone: ZoneId }[];
   readonly zones: readonly ZoneId[];
   readonly types: readonly InstanceType[];
-  /** Free capacity of every shard, as announced; the assignment takes off it what it uses. */
+  /** Announced free capacity of every shard; an assignment subtracts the capacity that it uses. */
   readonly freeCapacity: ReadonlyMap<ShardId, FreeCapacity>;
-  /** By shard and image: what critical tasks could use at once on machines that hold the image. */
+  /** By shard and image: the capacity that critical tasks can use at once on machines that cache the image. */
   readonly imageCapacity: ReadonlyMap<ShardId, ReadonlyMap<ImageId, Resources>>;
   readonly random: Random;
 }
@@ -39,8 +39,8 @@
   context.imageCapacity.get(shard)?.get(spec.image) ?? ZERO;
 
 /**
- * The shard on which critical tasks start at once because machines there hold their image: the home shard if it can
- * take all, else by zone, then by capacity. null: there is none, or the job is not critical.
+ * Finds a shard where `count` critical tasks can start at once on machines that cache their image: the home shard if
+ * possible, else by zone, then by capacity. Returns null if there is none or the job is not critical.
  */
 function shardWithImage(
   context: AssignmentContext,
@@ -66,7 +66,7 @@
   return candidates[0]?.shard ?? null;
 }
 
-/** Critical tasks go where their image is: to one shard if it can take all, else to several by what each could start. */
+/** Assigns critical tasks to one shard whose machines cache their image, or to several by what each can start. */
 function assignByImage(context: AssignmentContext, spec: JobSpec): Assignment[] {
   const singleShard = shardWithImage(context, spec, null, spec.tasks);
   if (singleShard !== null) return [{ from: 0, to: spec.tasks, shard: singleShard, zone: null }];
@@ -85,38 +85,38 @@
   const assignments: Assignment[] = [];
   let nextTask = 0;
   for (const { shard } of nearestFirst) {
-    const to = Math.min(spec.tasks, nextTask + taskSlots(shard));
-    if (to > nextTask) assignments.push({ from: nextTask, to, shard, zone: null });
-    nextTask = to;
+    const end = Math.min(spec.tasks, nextTask + taskSlots(shard));
+    if (end > nextTask) assignments.push({ from: nextTask, to: end, shard, zone: null });
+    nextTask = end;
   }
   return assignments;
 }
 
-/** The shard for tasks in a zone: the home shard if it is there and can take all, else the best peer there. */
+/** Chooses the shard for tasks in a zone: one with the image, else the home shard if it fits, else the best peer. */
 function shardForZone(context: AssignmentContext, spec: JobSpec, zone: ZoneId, count: number): ShardId {
   const withImage = shardWithImage(context, spec, zone, count);
   if (withImage !== null) return withImage;
   const homeCapacity = context.freeCapacity.get(context.homeShard);
   if (context.homeZone === zone && homeCapacity && taskCapacity(homeCapacity, spec, zone) >= count)
     return context.homeShard;
-  const best = rankPeers(context.freeCapacity.values(), zone, spec, zone, context.now, context.random)[0];
-  if (best) return best.freeCapacity.shard;
+  const bestPeer = rankPeers(context.freeCapacity.values(), zone, spec, zone, context.now, context.random)[0];
+  if (bestPeer) return bestPeer.freeCapacity.shard;
   if (context.homeZone === zone) return context.homeShard;
   return context.shards.find((candidate) => candidate.zone === zone)?.shard ?? context.homeShard;
 }
 
-/** Assigns a range of tasks to a zone, and reserves the capacity on the shard chosen for it. */
+/** Assigns the tasks from `start` to before `end` to a zone, and reserves capacity on the chosen shard. */
 function assignToZone(
   context: AssignmentContext,
   spec: JobSpec,
-  from: number,
-  to: number,
+  start: number,
+  end: number,
   zone: ZoneId,
 ): Assignment {
-  const shard = shardForZone(context, spec, zone, to - from);
+  const shard = shardForZone(context, spec, zone, end - start);
   const freeCapacity = context.freeCapacity.get(shard);
-  if (freeCapacity) reserveCapacity(freeCapacity, spec, zone, to - from);
-  return { from, to, shard, zone };
+  if (freeCapacity) reserveCapacity(freeCapacity, spec, zone, end - start);
+  return { from: start, to: end, shard, zone };
 }
 
 const zonesByCapacity = (context: AssignmentContext, spec: JobSpec, zones: readonly ZoneId[]): ZoneId[] =>
@@ -124,7 +124,7 @@
     (first, second) => capacityInZone(context, spec, second) - capacityInZone(context, spec, first),
   );
 
-/** At most half of the tasks, rounded up, in one zone: fixed for each task, so that any subset may run at any time. */
+/** Assigns at most half of the tasks, rounded up, to a zone. Each task's zone is fixed, so that any subset may run. */
 function assignAcrossZones(
   context: AssignmentContext,
   spec: JobSpec,
@@ -136,16 +136,16 @@
   const assignments: Assignment[] = [];
   let nextTask = 0;
   for (const zone of zonesInOrder) {
-    const to = Math.min(spec.tasks, nextTask + tasksPerZone);
-    if (to > nextTask) assignments.push(assignToZone(context, spec, nextTask, to, zone));
-    nextTask = to;
+    const end = Math.min(spec.tasks, nextTask + tasksPerZone);
+    if (end > nextTask) assignments.push(assignToZone(context, spec, nextTask, end, zone));
+    nextTask = end;
   }
   if (nextTask < spec.tasks)
     assignments.push({ from: nextTask, to: spec.tasks, shard: context.homeShard, zone: NO_ZONE });
   return assignments;
 }
 
-/** To the home shard; what exceeds its free capacity overflows to ranked peers, and stays at home if they have none. */
+/** Fills the home shard, then peers by rank, up to their free capacity. Tasks without capacity stay on the home shard. */
 function assignWithOverflow(context: AssignmentContext, spec: JobSpec): Assignment[] {
   const assignments = assignByImage(context, spec);
   let nextTask = assignments.at(-1)?.to ?? 0;
@@ -157,9 +157,9 @@
   if (homeTasks > 0)
     assignments.push({ from: nextTask, to: nextTask + homeTasks, shard: context.homeShard, zone: null });
   nextTask += homeTasks;
-  const others = [...context.freeCapacity.values()].filter((peer) => peer.shard !== context.homeShard);
+  const peers = [...context.freeCapacity.values()].filter((peer) => peer.shard !== context.homeShard);
   for (const { freeCapacity, capacity } of rankPeers(
-    others,
+    peers,
     context.homeZone,
     spec,
     null,
@@ -167,17 +167,17 @@
     context.random,
   )) {
     if (nextTask >= spec.tasks) break;
-    const to = Math.min(spec.tasks, nextTask + capacity);
-    reserveCapacity(freeCapacity, spec, null, to - nextTask);
-    assignments.push({ from: nextTask, to, shard: freeCapacity.shard, zone: null });
-    nextTask = to;
+    const end = Math.min(spec.tasks, nextTask + capacity);
+    reserveCapacity(freeCapacity, spec, null, end - nextTask);
+    assignments.push({ from: nextTask, to: end, shard: freeCapacity.shard, zone: null });
+    nextTask = end;
   }
   if (nextTask < spec.tasks)
     assignments.push({ from: nextTask, to: spec.tasks, shard: context.homeShard, zone: null });
   return assignments;
 }
 
-/** A gang goes to one shard: the home shard if it has capacity for all members, else the best peer that has. */
+/** Assigns a gang to one shard: the home shard if it has capacity for all members, else the best peer that does. */
 function assignGang(context: AssignmentContext, spec: JobSpec): Assignment {
   const homeCapacity = context.freeCapacity.get(context.homeShard);
   const rankedPeers = rankPeers(
@@ -188,17 +188,18 @@
     context.now,
     context.random,
   );
-  const fitting = rankedPeers.find((peer) => peer.capacity >= spec.tasks);
-  const staysHome = !homeCapacity || taskCapacity(homeCapacity, spec, spec.zone) >= spec.tasks || !fitting;
+  const fittingPeer = rankedPeers.find((peer) => peer.capacity >= spec.tasks);
+  const staysHome =
+    !homeCapacity || taskCapacity(homeCapacity, spec, spec.zone) >= spec.tasks || !fittingPeer;
   return {
     from: 0,
     to: spec.tasks,
-    shard: staysHome ? context.homeShard : fitting.freeCapacity.shard,
+    shard: staysHome ? context.homeShard : fittingPeer.freeCapacity.shard,
     zone: spec.zone,
   };
 }
 
-/** Zones in which some instance type can take a task; all zones while none is known. */
+/** Returns the zones in which some instance type can run a task, or all zones if no such zone is known. */
 export function eligibleZones(
   spec: JobSpec,
   zones: readonly ZoneId[],
@@ -212,17 +213,17 @@
   return eligible.length > 0 ? eligible : zones;
 }
 
-/** The shard of each task of a new job, and its required zone if the job is constrained; covers all tasks in order. */
+/** Assigns each task of a new job to a shard, and to a zone if the job is constrained. Covers all tasks in order. */
 export function assignJob(spec: JobSpec, context: AssignmentContext): Assignment[] {
   const zones = eligibleZones(spec, spec.zone === null ? context.zones : [spec.zone], context.types);
-  // A job that must be in one zone and spread can never run as a whole: half of it in one zone violates neither.
+  // A job that must be both in one zone and spread never runs completely: half of it in one zone satisfies both.
   if (spec.spread && spec.tasks > 1) {
     const assignments = assignAcrossZones(
       context,
       spec,
       spec.oneZone ? zonesByCapacity(context, spec, zones).slice(0, 1) : zones,
     );
-    // A gang has one leader, also where its members are in several zones.
+    // A gang belongs to one shard, also if its members are in several zones.
     return spec.kind === 'gang'
       ? assignments.map((assignment) => ({ ...assignment, shard: context.homeShard }))
       : assignments;
--- a/src/overflow/machine-transfer.ts
+++ b/src/overflow/machine-transfer.ts
@@ -1,7 +1,8 @@
 /**
- * Transfers machines between shards for a gang that no shard can hold: its shard asks a peer, and the peer's leader
- * transfers machines that have become empty, each by one compare-and-swap. A transferred machine holds no task, and no
- * command that could still start one is on its way to it, so its new leader treats it as a new machine.
+ * Transfers machines between shards for a gang that is too large for any shard. The gang's shard asks a peer, and the
+ * leader of the peer's shard drains machines and transfers the empty ones, each with one compare-and-swap. A
+ * transferred machine has no task, and no command that could still start a task is in flight, so its new leader treats
+ * it as a new machine.
  */
 import type { Core } from '../core.js';
 import { fits, isZero, taskSlots, subtract } from '../model/resources.js';
@@ -17,34 +18,37 @@
 import { zoneForShard } from './announcement.js';
 import { readAfterConflict } from './read-after-conflict.js';
 
-/** Between two requests of a shard. */
+/** Minimum interval between two requests of a shard. */
 const REQUEST_INTERVAL_MS = 2000;
-/** One peer is asked for this long before the next one is. */
+/** How long one peer is asked before the next peer is asked. */
 const PEER_TURN_MS = 20_000;
-/** Without another request a cordoned machine takes tasks again after this time. */
+/** A machine that was cordoned for a request is uncordoned after this time without another request. */
 const CORDON_TTL = millis(6000);
 
-/** Machines for the shard that asks: empty ones are transferred now, the others take no more tasks until they are. */
+/** Machines for the requesting shard: empty ones are transferred now, the others are cordoned until they are empty. */
 export interface TransferChoice {
   readonly empty: readonly Machine[];
   readonly draining: readonly Machine[];
 }
 
-/** No task is on the machine, and no command that may still be carried out there is unacknowledged. */
+/** Whether no task is on the machine and no command is in flight that the machine may still execute. */
 const isEmpty = (machine: Machine): boolean =>
   machine.allocations.size === 0 && machine.exitedTasks.size === 0 && !machine.directRequestInFlight;
 
-/** Such a machine is not cordoned: critical tasks are not preempted and may run for good. */
+/** Machines with critical tasks are not cordoned: critical tasks are not preempted and may run indefinitely. */
 const runsCriticalWork = (machine: Machine): boolean => !isZero(subtract(machine.used, machine.preemptible));
 
-/** Pure: which machines of the shard suit the request, cordoned ones first, then those with the least in use. */
+/**
+ * Selects suitable machines of the shard for a request: cordoned ones first, then those with the least CPUs in use.
+ * Pure.
+ */
 export function chooseTransfer(
   shard: Shard,
   request: MachineRequest,
   core: Pick<Core, 'types' | 'heartbeatIntervalMs'>,
   now: SteadyMs,
 ): TransferChoice {
-  const suits = (machine: Machine): boolean => {
+  const isSuitable = (machine: Machine): boolean => {
     if (machine.zone !== request.zone || (machine.spot && !request.spot) || machine.unknownSizeCount > 0)
       return false;
     if (request.types !== null && !request.types.includes(machine.type)) return false;
@@ -55,33 +59,33 @@
       ) && !runsCriticalWork(machine)
     );
   };
-  const suitable = [...shard.machines.values()].filter(suits);
+  const suitable = [...shard.machines.values()].filter(isSuitable);
   suitable.sort(
     (first, second) => Number(second.draining) - Number(first.draining) || first.used.cpus - second.used.cpus,
   );
   const chosen: Machine[] = [];
-  let missing = request.tasks;
+  let missingTasks = request.tasks;
   for (const machine of suitable) {
-    if (missing <= 0) break;
+    if (missingTasks <= 0) break;
     const capacity = core.types.get(machine.type);
     if (!capacity || !fits(request, capacity)) continue;
-    missing -= taskSlots(capacity, request);
+    missingTasks -= taskSlots(capacity, request);
     chosen.push(machine);
   }
   return { empty: chosen.filter(isEmpty), draining: chosen.filter((machine) => !isEmpty(machine)) };
 }
 
-/** Asks peers for machines, and gives them machines of the shards led here. */
+/** Requests machines from peers, and transfers machines of the shards led by this controller to peers. */
 export class MachineTransferService {
   private readonly requestedAt = new Map<ShardId, SteadyMs>();
-  /** When a shard led here last had such a gang. */
+  /** When a shard led by this controller last had an oversized gang. */
   private readonly oversizedGangSeenAt = new Map<ShardId, SteadyMs>();
-  /** Machines drained for a request; others that are draining are left alone. */
+  /** Machines cordoned for a request. Machines that are draining for another reason are not touched. */
   private readonly cordonedUntil = new Map<Machine, SteadyMs>();
 
   constructor(private readonly core: Core) {}
 
-  /** The shard has a gang that it cannot hold: asks one peer of its zone after another. */
+  /** Requests machines for a gang that is too large for the shard, from one peer of its zone after another. */
   request(shard: Shard, gang: OversizedGang): void {
     const { core } = this;
     const now = core.clock.now();
@@ -108,7 +112,7 @@
     }
   }
 
-  /** Another shard asks one that is led here for machines. */
+  /** Handles another shard's request for machines of a shard that this controller leads. */
   handleRequest(request: MachineRequest): void {
     const { core } = this;
     const now = core.clock.now();
@@ -126,21 +130,24 @@
     }
   }
 
-  /** Of two shards with such a gang the one with the lower number is served first: neither must drain for the other. */
+  /**
+   * Of two shards with oversized gangs, the one with the lower number has precedence, so that they do not drain for
+   * each other.
+   */
   private hasPrecedence(shard: Shard, request: MachineRequest, now: SteadyMs): boolean {
     const seenAt = this.oversizedGangSeenAt.get(shard.id);
     const hasOversizedGang = seenAt !== undefined && now - seenAt < CORDON_TTL;
     return hasOversizedGang && shard.id < request.from;
   }
 
-  /** The machine takes no more tasks until the cordon expires. */
+  /** Stops the machine from accepting tasks until the cordon expires. */
   private cordon(machine: Machine, now: SteadyMs): void {
     if (machine.draining && !this.cordonedUntil.has(machine)) return;
     machine.draining = true;
     this.cordonedUntil.set(machine, plus(now, CORDON_TTL));
   }
 
-  /** Cordoned machines that no shard asks for any more take tasks again. */
+  /** Uncordons machines that are no longer requested by any shard. */
   expireCordons(): void {
     const now = this.core.clock.now();
     for (const [machine, until] of this.cordonedUntil) {
@@ -151,8 +158,8 @@
   }
 
   /**
-   * The machine stays cordoned until the outcome of the write is certain: a task started meanwhile would be on a machine
-   * that already belongs to another leader.
+   * Transfers the machine to the receiving shard. It stays cordoned until the outcome of the write is certain: a task
+   * started meanwhile could be on a machine that already belongs to another leader.
    */
   private async transfer(shard: Shard, machine: Machine, receivingShard: ShardId): Promise<void> {
     const { core } = this;
@@ -170,12 +177,15 @@
     );
     if (result.kind === 'done')
       await core.exclusive(() => core.storeCache.apply(key, value, result.revision));
-    else if (result.kind === 'refused' || (await this.isStillOwn(shard, machine)))
+    else if (result.kind === 'refused' || (await this.stillBelongsTo(shard, machine)))
       await core.exclusive(() => (machine.draining = false));
   }
 
-  /** After a conflict: an earlier copy of the write may have given the machine away. */
-  private async isStillOwn(shard: Shard, machine: Machine): Promise<boolean> {
+  /**
+   * Whether the machine still belongs to the shard after a conflict: an earlier attempt of the write may have
+   * transferred it.
+   */
+  private async stillBelongsTo(shard: Shard, machine: Machine): Promise<boolean> {
     const entry = await readAfterConflict(this.core, machineKey(machine.id));
     const record = entry && decodeMachineRecord(entry.value);
     return record?.shard === shard.id;
--- a/src/overflow/peer-ranking.ts
+++ b/src/overflow/peer-ranking.ts
@@ -1,4 +1,4 @@
-/** Ranks peers by the free capacity that they have announced, and keeps account of what is promised of it. Pure. */
+/** Ranks peers by their announced free capacity, and subtracts capacity that has been assigned. No I/O. */
 import type { JobSpec } from '../jobs/spec.js';
 import { fits, scale, taskSlots, subtract } from '../model/resources.js';
 import { mayRunOn } from '../model/constraints.js';
@@ -15,7 +15,7 @@
       mayRunOn(spec, machines.type, machines.zone, machines.spot, zone),
   );
 
-/** How many such tasks fit into the free capacity, in one zone if one is required. */
+/** Returns how many tasks of the job fit into the free capacity, in the required zone if there is one. */
 export function taskCapacity(freeCapacity: FreeCapacity, spec: JobSpec, zone: ZoneId | null): number {
   let tasks = 0;
   for (const machine of fittingMachines(freeCapacity, spec, zone))
@@ -23,7 +23,7 @@
   return tasks;
 }
 
-/** Of the machines of a shape, so many get tasks each, and are of another shape from then on. */
+/** Subtracts the resources of `tasksPerMachine` tasks from `machines` machines of a shape, which form a new shape. */
 function subtractTasks(
   freeCapacity: FreeCapacity,
   shape: FreeMachines,
@@ -36,38 +36,40 @@
   freeCapacity.machines.push({ ...shape, ...subtract(shape, scale(spec, tasksPerMachine)), count: machines });
 }
 
-/** Takes `count` tasks off the free capacity, so that the next transfer does not count on it again. */
+/**
+ * Subtracts the resources of `count` tasks from the free capacity, so that the next assignment does not use them again.
+ */
 export function reserveCapacity(
   freeCapacity: FreeCapacity,
   spec: JobSpec,
   zone: ZoneId | null,
   count: number,
 ): void {
-  let left = count;
+  let remainingTasks = count;
   for (const machine of fittingMachines(freeCapacity, spec, zone)) {
-    if (left <= 0) return;
+    if (remainingTasks <= 0) return;
     const tasksPerMachine = taskSlots(machine, spec);
-    const fullMachines = Math.min(machine.count, Math.floor(left / tasksPerMachine));
+    const fullMachines = Math.min(machine.count, Math.floor(remainingTasks / tasksPerMachine));
     subtractTasks(freeCapacity, machine, spec, tasksPerMachine, fullMachines);
-    left -= fullMachines * tasksPerMachine;
-    if (left > 0 && machine.count > 0) {
-      subtractTasks(freeCapacity, machine, spec, left, 1);
-      left = 0;
+    remainingTasks -= fullMachines * tasksPerMachine;
+    if (remainingTasks > 0 && machine.count > 0) {
+      subtractTasks(freeCapacity, machine, spec, remainingTasks, 1);
+      remainingTasks = 0;
     }
   }
 }
 
-const DRAW_RANGE = 1 << 20;
+const TIE_BREAKER_RANGE = 1 << 20;
 
-/** A peer and how many of the tasks it has capacity for. */
+/** A peer's free capacity, and the number of tasks that fit into it. */
 export interface RankedPeer {
   readonly freeCapacity: FreeCapacity;
   readonly capacity: number;
 }
 
 /**
- * Peers with unexpired announcements and capacity for such a task: those of `fromZone` first, then those with most
- * capacity, and equal ones in random order. Draws one random number for each unexpired peer.
+ * Returns the peers with an unexpired announcement and capacity for a task of the job. Peers in `fromZone` come first,
+ * then peers with more capacity; ties are in random order. Draws one random number for each unexpired peer.
  */
 export function rankPeers(
   freeCapacities: Iterable<FreeCapacity>,
@@ -82,7 +84,7 @@
     .map((freeCapacity) => ({
       freeCapacity,
       capacity: taskCapacity(freeCapacity, spec, zone),
-      draw: random(DRAW_RANGE),
+      tieBreaker: random(TIE_BREAKER_RANGE),
     }))
     .filter((peer) => peer.capacity > 0);
   const zoneDistance = (peer: FreeCapacity): number => (peer.zone === fromZone ? 0 : 1);
@@ -90,6 +92,6 @@
     (first, second) =>
       zoneDistance(first.freeCapacity) - zoneDistance(second.freeCapacity) ||
       second.capacity - first.capacity ||
-      first.draw - second.draw,
+      first.tieBreaker - second.tieBreaker,
   );
 }
--- a/src/overflow/read-after-conflict.ts
+++ b/src/overflow/read-after-conflict.ts
@@ -1,6 +1,7 @@
 /**
- * What the store holds after a write met a conflict: the cache is older than the store, or an earlier copy of the same write
- * was carried out and its answer lost. Nothing may be decided before one of the two is known.
+ * Reads a key after a conflicting write. Either the cache is behind the store, or an earlier attempt of the same write
+ * was applied and its response lost. The caller must not decide anything before it is known which of the two is the
+ * case.
  */
 import type { Core } from '../core.js';
 import { RequestPriority } from '../store/rate-limiter.js';
@@ -9,7 +10,9 @@
 
 const READ_RETRY_DELAY = millis(200);
 
-/** Reads until the store answers, and brings the cache up to that. null: the key does not exist. */
+/**
+ * Retries the read until the store answers, and applies the entry to the cache. Returns null if the key does not exist.
+ */
 export async function readAfterConflict(
   core: Pick<Core, 'exclusive' | 'sleep' | 'store' | 'storeCache'>,
   key: StoreKey,
--- a/src/overflow/task-transfer.ts
+++ b/src/overflow/task-transfer.ts
@@ -1,5 +1,5 @@
 /**
- * Transfers waiting tasks to a shard that has announced free capacity, by one compare-and-swap of the job's record.
+ * Transfers waiting tasks to a shard that has announced free capacity, with one compare-and-swap of the job's record.
  * Only tasks that are certainly on no machine are transferred.
  */
 import type { Core } from '../core.js';
@@ -17,13 +17,15 @@
 import type { FreeCapacity } from '../peers/free-capacity.js';
 import { reserveCapacity, rankPeers } from './peer-ranking.js';
 
-/** Tasks stay this long on a receiving shard before they may move on: stale announcements must not make them wander. */
+/**
+ * Minimum time on a receiving shard before another transfer, so that stale announcements do not move tasks repeatedly.
+ */
 const TRANSFER_DELAY_MS = 800;
 const CRITICAL_TRANSFER_DELAY_MS = 2000;
-/** Tasks that have just arrived wait for a scheduling cycle of their own shard first. */
+/** Tasks that have just arrived first wait for a scheduling cycle of their own shard. */
 const MIN_WAIT_MS = 30;
 
-/** Decision: these tasks move to the receiving shard. */
+/** The decision to move tasks to the receiving shard. */
 export interface TaskTransfer {
   readonly job: ShardJob;
   readonly tasks: RangeSet;
@@ -32,11 +34,14 @@
   readonly record: unknown;
 }
 
-/** As JSON: the zone without machines ('') is not the same as any zone (null). */
+/** Key for jobs with equal requirements. JSON distinguishes the zone without machines ('') from any zone (null). */
 const requirementsKey = (spec: JobSpec, zone: ZoneId | null): string =>
   JSON.stringify([spec.cpus, spec.gpus, spec.memoryGb, spec.spot, spec.zone, zone, spec.types]);
 
-/** The first transfer that is possible, or null. Pure but for the capacity that it reserves at the receiving shard. */
+/**
+ * Returns the first possible transfer, or null. The only side effect is that it reserves capacity on the receiving
+ * shard.
+ */
 export function chooseTaskTransfer(
   core: Core,
   shard: Shard,
@@ -44,7 +49,7 @@
   now: SteadyMs,
 ): TaskTransfer | null {
   const peers = [...core.freeCapacity.values()].filter((peer) => peer.shard !== shard.id);
-  // What no peer had capacity for is not searched again for other jobs that need the same.
+  // Requirements for which no peer has capacity; other jobs with the same requirements skip the search.
   const unfittingRequirements = new Set<string>();
   for (const entry of unplaced) {
     const { job } = entry;
@@ -63,7 +68,7 @@
   return null;
 }
 
-/** For tasks of one job that wait for one zone: a peer with capacity there, or else another zone. */
+/** Chooses a peer with capacity for the job's tasks that wait for one zone, or else another zone for them. */
 function chooseTransferForZone(
   core: Core,
   shard: Shard,
@@ -85,7 +90,7 @@
   const candidates = gang || indices === 'all' ? [...job.waiting] : indices;
   const indicesInZone = candidates.filter((index) => requiredZone(job, index) === zone);
   const peer = gang ? rankedPeers.find((ranked) => ranked.capacity >= job.spec.tasks) : rankedPeers[0];
-  // A gang is transferred as a whole: none of its members may be on a machine here.
+  // A gang is transferred as a whole: none of its members may be on a machine of this shard.
   if (!peer || (gang && indicesInZone.length < job.spec.tasks)) return null;
   const count = Math.min(peer.capacity, indicesInZone.length);
   const tasks = RangeSet.of(indicesInZone.slice(0, count).map((index) => [index, index + 1] as const));
@@ -96,7 +101,7 @@
   return { job, tasks, receivingShard, record };
 }
 
-/** Moves tasks to another zone after they have waited for capacity in theirs and no shard has any there. */
+/** Chooses another zone for tasks that have waited for capacity in `fromZone` while no shard has any there. */
 function reassignZone(
   core: Core,
   shard: Shard,
@@ -120,7 +125,9 @@
   return { job, tasks: reassignment.tasks, receivingShard: reassignment.shard, record };
 }
 
-/** The job's record with the tasks assigned to the shard and zone; null: it would exceed the store's limit of a value. */
+/**
+ * Encodes the job's record with the tasks reassigned, or returns null if it would exceed the store's value size limit.
+ */
 function encodeReassignedRecord(
   core: Core,
   job: ShardJob,
@@ -129,23 +136,24 @@
   zone: ZoneId | null,
 ): unknown {
   const record = encodeRecord(reassign(job.record, tasks, receivingShard, () => zone));
-  // Such a job stays on its shard, and must not keep others from being transferred.
+  // A job whose record would be too large stays on its shard, and must not block the transfer of other jobs.
   return Buffer.byteLength(JSON.stringify(record)) > core.settings.maxValueBytes ? null : record;
 }
 
-/** Transfers tasks of the shards led here, one transfer of a shard at a time. */
+/** Transfers tasks of the shards led by this controller, with at most one transfer in progress per shard. */
 export class TaskTransferService {
   private readonly transferringShards = new Set<Shard['id']>();
 
   constructor(private readonly core: Core) {}
 
-  /** Starts a transfer of tasks that a scheduling cycle could not place, if one is possible. */
+  /** Starts a transfer of tasks that a scheduling cycle could not place, if possible. */
   transferUnplaced(shard: Shard, unplaced: readonly UnplacedTasks[]): void {
     if (this.transferringShards.has(shard.id) || !shard.reconciled) return;
     const choice = chooseTaskTransfer(this.core, shard, unplaced, this.core.clock.now());
     if (!choice) return;
     this.transferringShards.add(shard.id);
-    // Never rejects: a refused write is an outcome. Whatever it is, the shard's next cycle schedules what stayed.
+    // Never rejects: a refused write is an outcome. The shard's next cycle schedules the tasks that were not
+    // transferred.
     void this.transfer(shard, choice).finally(() => {
       this.transferringShards.delete(shard.id);
       this.core.requestCycle();
@@ -153,7 +161,8 @@
   }
 
   /**
-   * The tasks stop waiting before the write is sent: started here afterwards, they could run on the receiving shard too.
+   * Writes the transfer. The tasks are removed from the waiting set before the write is sent: tasks started here
+   * afterwards could also run on the receiving shard.
    */
   private async transfer(shard: Shard, { job, tasks, receivingShard, record }: TaskTransfer): Promise<void> {
     const { core } = this;
@@ -175,17 +184,19 @@
     await core.exclusive(() => this.requeueOwnTasks(shard, job));
   }
 
-  /** Tasks that the record still assigns to this shard wait again; an applied transfer has assigned them elsewhere. */
+  /**
+   * Requeues the tasks that the record still assigns to this shard, which is the case if the transfer was not applied.
+   */
   private requeueOwnTasks(shard: Shard, job: ShardJob): void {
     if (shard.jobs.get(job.id) !== job) return;
     for (const index of job.handingOver) {
       const isAssignedHere = job.record.assignments.some(
-        ({ shard: assigned, from, to }) => assigned === shard.id && from <= index && index < to,
+        ({ shard: assignedShard, from, to }) => assignedShard === shard.id && from <= index && index < to,
       );
       if (isAssignedHere && !job.record.done.has(index) && !job.finished.has(index)) job.waiting.add(index);
     }
     job.handingOver.removeAll(job.handingOver.clone());
-    // A cycle during the transfer may have dropped the job from the queue, as one without waiting tasks.
+    // A scheduling cycle during the transfer may have removed the job from the queue because it had no waiting tasks.
     shard.queue.add(job);
   }
 }
