--- a/src/quota/codec.ts
+++ b/src/quota/codec.ts
@@ -1,6 +1,7 @@
 /**
- * Maps shard quotas to the record that the store keeps for a team, and names its key. Versions of the software read each
- * other's records during an upgrade: the key and the field names stay as they are here, whatever the code calls them.
+ * Encodes and decodes a team's shard quotas as the record in the store, and defines its key. During an upgrade,
+ * different versions of the software read each other's records, so the key and the field names must not change even if
+ * the code uses other names.
  */
 import * as v from 'valibot';
 import type { Team } from '../settings/settings.js';
@@ -10,21 +11,21 @@
 /** Prefix of the records of all teams' quotas. */
 export const QUOTA_PREFIX = 'c/quota/';
 
-/** Where the quotas of a team's shards stand in the store. */
+/** Key of the record that holds the quotas of all shards for a team. */
 export const quotaKey = (team: TeamId): StoreKey => `${QUOTA_PREFIX}${encodeURIComponent(team)}` as StoreKey;
 
 const quotaRecordSchema = v.object({
-  /** The team's quota of CPUs and GPUs when the record was written. */
+  /** The team's quota of CPUs and GPUs at the time when the record was written. */
   max: v.tuple([v.number(), v.number()]),
   /** By shard. */
   cpus: v.array(v.number()),
   gpus: v.array(v.number()),
 });
 
-/** JSON has no infinity: what is unlimited is written as 0, as in the settings. */
+/** JSON has no infinity, so an unlimited amount is written as 0, as in the settings. */
 const encodeAmount = (amount: number): number => (amount === Infinity ? 0 : amount);
 
-/** The value of `quotaKey`. */
+/** Encodes the value of `quotaKey`. */
 export function encodeQuotas(team: Team, quotas: ShardQuotas): unknown {
   return {
     max: [encodeAmount(team.quota.cpus), encodeAmount(team.quota.gpus)],
@@ -34,7 +35,7 @@
 }
 
 /**
- * The quotas in the value of `quotaKey`. Even quotas when there is no readable record, or when it was written for
+ * Decodes the value of `quotaKey`. Returns even quotas if there is no readable record, or if the record was written for
  * another quota of the team or another number of shards.
  */
 export function decodeQuotas(value: unknown, team: Team, shardCount: number): ShardQuotas {
--- a/src/quota/dependencies.ts
+++ b/src/quota/dependencies.ts
@@ -1,6 +1,6 @@
 /**
- * What the quota slice uses of the rest of the controller, as narrow interfaces. The controller passes its own objects:
- * nothing in this folder depends on the class that holds them all.
+ * Narrow interfaces for the parts of the controller that the quota modules use. The controller passes its own objects,
+ * so that nothing in this folder depends on the class that holds them.
  */
 import type { Resources } from '../model/resources.js';
 import type { Clock, ControllerId, Millis, ShardId, SteadyMs, TeamId } from '../model/units.js';
@@ -17,34 +17,34 @@
   readonly shards: readonly { readonly shard: ShardId }[];
 }
 
-/** What the records of quotas are read from: this controller's copy of the store, which may be behind it. */
+/** The source of quota records: the settings and this controller's cache, which may lag behind the store. */
 export interface QuotaRecords {
   readonly settings: QuotaSettings;
   readonly storeCache: Pick<StoreCache, 'get' | 'version'>;
 }
 
-/** The shards that this controller leads, and what peers have announced about theirs. */
+/** The shards that this controller leads, and the announcements of peers for theirs. */
 export interface ShardDirectory {
   /** Shards led by this controller. */
   readonly shards: Pick<ReadonlyMap<ShardId, Shard>, 'get' | 'has'>;
-  /** What the leaders of other shards announced last: hints that may be stale or missing. */
+  /** The latest announcements of the leaders of other shards: hints that may be stale or missing. */
   readonly shardAnnouncements: {
     get(
       shard: ShardId,
     ): { readonly expiresAt: SteadyMs; readonly unusedQuota: ReadonlyMap<TeamId, Resources> } | undefined;
   };
-  /** What the store is known to hold of a shard: its leader. */
+  /** The shard's record as known from the store, with its leader. */
   shardRecord(shard: ShardId): { readonly leader: ControllerId | null } | null;
 }
 
-/** What requesting quota from another shard uses of the controller. */
+/** Dependencies for requesting quota from another shard. */
 export interface QuotaRequesterContext extends ShardDirectory {
   readonly settings: QuotaSettings;
   readonly clock: Pick<Clock, 'now'>;
   readonly peerTransport: Pick<PeerTransport, 'send'>;
 }
 
-/** What answering another shard's request uses of the controller. */
+/** Dependencies for answering another shard's request. */
 export interface QuotaResponderContext {
   readonly settings: QuotaSettings;
   readonly clock: Pick<Clock, 'now'>;
@@ -52,22 +52,22 @@
   readonly shards: ShardDirectory['shards'];
   readonly store: Pick<KeyValueClient, 'get'>;
   readonly storeCache: Pick<StoreCache, 'version' | 'apply'>;
-  /** The condition under which a leader's write may apply: it still leads the shard. */
+  /** Returns the condition for a leader's writes, which holds while this controller leads the shard. */
   leaderCondition(shard: Shard): Condition;
-  /** Repeats a write until its outcome is certain; a conflict may hide that an earlier copy was applied. */
+  /** Retries a write until its outcome is certain. After a conflict, an earlier attempt may have been applied. */
   compareAndSwapUntilCertain(
     conditions: Condition[],
     changes: Change[],
     priority: RequestPriority,
   ): Promise<Exclude<CompareAndSwapResult, { kind: 'unknown' }>>;
-  /** Runs a short change of shared state under the lock, without I/O. */
+  /** Runs a short change of shared state, without I/O, under the lock. */
   exclusive<T>(work: () => T): Promise<T>;
   sleep(delay: Millis): Promise<void>;
   /** Requests a scheduling cycle soon. */
   readonly requestCycle: () => void;
 }
 
-/** What the quota service uses of the controller. */
+/** Dependencies of the quota service. */
 export interface QuotaTransferContext extends QuotaRecords, QuotaRequesterContext, QuotaResponderContext {
   readonly storeCache: Pick<StoreCache, 'get' | 'version' | 'apply'>;
 }
--- a/src/quota/guaranteed-jobs.ts
+++ b/src/quota/guaranteed-jobs.ts
@@ -1,6 +1,6 @@
 /**
- * Which jobs are within their team's guaranteed quota: those that fit into it together with the team's earlier
- * unfinished jobs. It follows from the job records and the settings alone, so every controller comes to the same answer.
+ * Determines which jobs are within their team's guaranteed quota: those that fit into it together with the team's
+ * earlier unfinished jobs. The result depends only on the job records and the settings, so all controllers agree on it.
  */
 import type { JobRecord } from '../jobs/record.js';
 import { addTo, fits, mapResources, ZERO, type MutableResources } from '../model/resources.js';
@@ -10,25 +10,30 @@
 
 const LIMITED_KINDS = ['cpus', 'gpus'] as const satisfies readonly LimitedKind[];
 
-/** A job that requests only resources without a guarantee is not; one that requests none is, if the team has any. */
+/**
+ * Whether the job requests a resource for which the team has a guarantee. A job that requests no limited resource at
+ * all counts if the team has any guarantee.
+ */
 function requestsGuaranteedResources({ spec }: JobRecord, { guaranteed }: Team): boolean {
   if (LIMITED_KINDS.every((kind) => spec[kind] === 0))
     return LIMITED_KINDS.some((kind) => guaranteed[kind] > 0);
   return LIMITED_KINDS.some((kind) => guaranteed[kind] > 0 && spec[kind] > 0);
 }
 
-/** In the order in which the jobs were accepted, near enough, and the same on every controller. */
+/** Orders jobs approximately by acceptance. The order is the same on every controller. */
 const byAcceptance = (a: JobRecord, b: JobRecord): number =>
   a.acceptedRevision - b.acceptedRevision || (a.spec.id < b.spec.id ? -1 : 1);
 
-/** The guaranteed jobs of one team. A guarantee of 0 means that there is none; the resource is not counted. */
+/**
+ * Returns the guaranteed jobs of one team. A guarantee of 0 means that there is none: the resource is not counted.
+ */
 export function selectGuaranteedJobs(records: readonly JobRecord[], team: Team): Set<JobId> {
   const guaranteedJobs = new Set<JobId>();
-  const counted = mapResources((kind) => team.guaranteed[kind] || Infinity);
+  const guarantee = mapResources((kind) => team.guaranteed[kind] || Infinity);
   const sum: MutableResources = { ...ZERO };
   for (const record of [...records].sort(byAcceptance)) {
     addTo(sum, record.spec, record.spec.tasks - record.done.size);
-    if (fits(sum, counted) && requestsGuaranteedResources(record, team)) guaranteedJobs.add(record.spec.id);
+    if (fits(sum, guarantee) && requestsGuaranteedResources(record, team)) guaranteedJobs.add(record.spec.id);
   }
   return guaranteedJobs;
 }
@@ -36,18 +41,20 @@
 /** The active jobs of one team. */
 interface TeamJobs {
   readonly records: Map<JobId, JobRecord>;
-  /** null: not known since the last change. */
+  /** Null if not computed since the last change of the team's jobs. */
   guaranteedJobs: ReadonlySet<JobId> | null;
 }
 
-/** Follows the active jobs team by team; a change costs the next question about its team one pass over the team's jobs. */
+/**
+ * Tracks the active jobs by team. After a change, the next lookup for the team recomputes the set from all its jobs.
+ */
 export class GuaranteedJobs {
   private readonly jobsByTeam = new Map<TeamId, TeamJobs>();
   private readonly teamByJob = new Map<JobId, TeamId>();
 
   constructor(private readonly teams: ReadonlyMap<TeamId, Team>) {}
 
-  /** A job's record has changed; null: the job has ended. */
+  /** Records a changed job record. Null means that the job has ended. */
   update(id: JobId, record: JobRecord | null): void {
     const teamId = record?.spec.team ?? this.teamByJob.get(id);
     if (teamId === undefined) return;
@@ -63,14 +70,14 @@
   }
 
   private jobsOf(team: TeamId): TeamJobs {
-    const known = this.jobsByTeam.get(team);
-    if (known) return known;
+    const existing = this.jobsByTeam.get(team);
+    if (existing) return existing;
     const teamJobs: TeamJobs = { records: new Map(), guaranteedJobs: null };
     this.jobsByTeam.set(team, teamJobs);
     return teamJobs;
   }
 
-  /** Is the job guaranteed? Jobs that are not active and jobs of unknown teams are not. */
+  /** Whether the job is guaranteed. Returns false for jobs that are not active and for jobs of unknown teams. */
   has(id: JobId): boolean {
     const teamId = this.teamByJob.get(id);
     if (teamId === undefined) return false;
--- a/src/quota/idle-remainders.ts
+++ b/src/quota/idle-remainders.ts
@@ -1,6 +1,7 @@
 /**
- * Which remainders of a team's quota a shard gives away: what it has left is too little for any of its waiting tasks, and
- * has been for some time. Earlier would be too early: one of its own tasks may end and make the remainder useful here.
+ * Decides which remainders of a team's quota a shard gives away: the unused quota must have been too small for any of
+ * the shard's waiting tasks for some time. The delay is needed because one of the shard's own tasks may end and make
+ * the remainder usable there.
  */
 import type { QuotaTransferRequest } from '../peers/messages.js';
 import { ZERO, type Resources } from '../model/resources.js';
@@ -10,20 +11,20 @@
 import { shardTeamKey, type ShardTeamKey } from './quota-ledger.js';
 import { fitsAnyTask, mayTransferRemainder } from './quota-remainder.js';
 
-/** For how long a remainder is idle before it is given away, in milliseconds. */
+/** How long a remainder must be idle before it is given away. */
 const MIN_IDLE_MS = 5000;
 
-/** Follows since when remainders are idle, as found by the requests for them. */
+/** Tracks since when remainders have been idle; they are checked when they are requested. */
 export class IdleRemainders {
   private readonly idleSince = new Map<ShardTeamKey, SteadyMs>();
 
   constructor(private readonly demand: QuotaDemand) {}
 
-  /** What the shard gives of its remainder in answer to the request. */
+  /** Returns the part of its remainder that the shard gives in answer to the request. */
   transferable(shard: Shard, request: QuotaTransferRequest, now: SteadyMs): Resources {
     const key = shardTeamKey(shard.id, request.team);
     const remaining = this.demand.remaining(shard, request.team);
-    if (this.isUseful(shard, request, remaining)) {
+    if (this.isNeeded(shard, request, remaining)) {
       this.idleSince.delete(key);
       return ZERO;
     }
@@ -35,8 +36,8 @@
     return this.demand.transferable(shard, request.team, request, ZERO);
   }
 
-  /** The shard may need the remainder itself. */
-  private isUseful(shard: Shard, { team }: QuotaTransferRequest, remaining: Resources): boolean {
+  /** Whether the shard may need the remainder itself. */
+  private isNeeded(shard: Shard, { team }: QuotaTransferRequest, remaining: Resources): boolean {
     if (shard.quotaReservations.has(team) || !shard.reconciled) return true;
     return fitsAnyTask(remaining, this.demand.waitingTasks(shard, team));
   }
--- a/src/quota/quota-demand.ts
+++ b/src/quota/quota-demand.ts
@@ -1,6 +1,6 @@
 /**
- * What a shard led by this controller uses of a team's quota, what its waiting tasks need of it, and what is left for
- * other shards. Reads the shard and the quota ledger, changes nothing.
+ * Computes how much of a team's quota a shard led by this controller uses, how much its waiting tasks need, and how
+ * much is left for other shards. Reads the shard and the quota ledger; changes nothing.
  */
 import {
   add,
@@ -20,19 +20,19 @@
 import { transferableQuota } from './shard-quota.js';
 
 /**
- * Of what a team uses on a shard, or of an even share of its quota: as much may find free capacity before quota that
- * was given away could be requested back.
+ * Fraction of a team's usage on a shard, or of an even share of its quota if that is larger, that is kept while tasks
+ * wait for capacity: this much may become schedulable before quota that was given away could be requested back.
  */
 const NEAR_TERM_FRACTION = 0.1;
 
-/** Compares shards' use and demand with their quotas. */
+/** Compares the usage and demand of shards with their quotas. */
 export class QuotaDemand {
   constructor(
     private readonly context: { readonly settings: QuotaSettings },
     private readonly ledger: Pick<QuotaLedger, 'shardQuota'>,
   ) {}
 
-  /** What the team's waiting tasks could use soon, and at least what is reserved for one of them. */
+  /** Returns the quota that the team's waiting tasks could use soon, at least the amount reserved for one of them. */
   demand(shard: Shard, team: TeamId): Resources {
     const nearTerm = this.nearTermDemand(shard, team);
     const reservation = shard.quotaReservations.get(team);
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Where the tasks wait for capacity, little of their demand counts: the quota would wait idle with them while another
-   * shard may have capacity and no quota.
+   * While the tasks wait for capacity, only a small part of their demand counts: otherwise the quota would be idle here
+   * while another shard may have capacity and no quota.
    */
   private nearTermDemand(shard: Shard, team: TeamId): Resources {
     const demand = this.waitingDemand(shard, team);
@@ -68,47 +68,47 @@
     return jobs.filter((job) => job.spec.team === team && job.waiting.size + job.unaccounted.size > 0);
   }
 
-  /** By waiting job of the team, the least that it needs to start. */
+  /** Returns, for each waiting job of the team, the minimum resources that it needs to start. */
   waitingTasks(shard: Shard, team: TeamId): Resources[] {
     return this.waitingJobs(shard, team).map(minimumToStart);
   }
 
-  /** The quota of the whole team. */
+  /** Returns the quota of the whole team. */
   teamQuota(team: TeamId): Resources {
     return this.context.settings.teams.get(team)?.quota ?? ZERO;
   }
 
-  /** What the shard has left of its quota; what is unlimited stays so, whatever is used. */
+  /** Returns the unused part of the shard's quota. An unlimited resource stays unlimited whatever is used. */
   remaining(shard: Shard, team: TeamId): Resources {
     const quota = this.ledger.shardQuota(shard.id, team);
     const used = this.used(shard, team);
     return mapResources((kind) => (quota[kind] === Infinity ? Infinity : quota[kind] - used[kind]));
   }
 
-  /** What the shard uses, counting as the team's what may be used by any team. */
+  /** Returns the usage of the shard. Usage that cannot be attributed to a team counts as this team's. */
   private used(shard: Shard, team: TeamId): Resources {
     const usage = usageOf(shard);
     return add(usage.byTeam.get(team) ?? ZERO, usage.unattributed);
   }
 
-  /** What is missing in the shard's quota for the amount that is reserved for one task. */
+  /** Returns the quota that the shard lacks for the amount that is reserved for one task. */
   missingForReservation(shard: Shard, team: TeamId, reservation: Resources): Resources {
     const used = shard.totals.usageByTeam.get(team) ?? ZERO;
     const remaining = subtract(this.ledger.shardQuota(shard.id, team), used);
     return mapResources((kind) => Math.max(0, reservation[kind] - remaining[kind]));
   }
 
-  /** Of what the team's tasks wait for, the limited resources of which the shard's quota has too little left. */
+  /** Returns the part of `waiting` in limited resources of which the shard has too little quota left. */
   shortfall(shard: Shard, team: TeamId, waiting: Resources): Resources {
     const quota = this.ledger.shardQuota(shard.id, team);
     const remaining = subtract(quota, this.used(shard, team));
     const limited = mapResources((kind) => (quota[kind] === Infinity ? 0 : waiting[kind]));
     const short = mapResources((kind) => (limited[kind] > remaining[kind] ? limited[kind] : 0));
-    // Capacity that is reserved for some of the tasks counts as well, and is in no sum yet.
+    // If no resource appears short, all are: capacity reserved for some of the tasks counts as well, and is in no sum yet.
     return isZero(short) ? limited : short;
   }
 
-  /** What the shard can give of the requested amount after `ownDemand` is kept for its own tasks. */
+  /** Returns how much of the requested amount the shard can give while it keeps `ownDemand` for its own tasks. */
   transferable(
     shard: Shard,
     team: TeamId,
@@ -123,7 +123,7 @@
     );
   }
 
-  /** Whole units that the shard could give, by team, for its leader's announcements. */
+  /** Returns, by team, the whole units that the shard could give, for its leader's announcements. */
   unusedQuota(shard: Shard): Map<TeamId, Resources> {
     const unused = new Map<TeamId, Resources>();
     for (const team of this.context.settings.teams.keys()) {
--- a/src/quota/quota-remainder.ts
+++ b/src/quota/quota-remainder.ts
@@ -1,20 +1,21 @@
 /**
- * Remainders of a team's quota: what a shard has left of its quota when that is too little for any of its waiting tasks.
- * They would be idle on several shards while together they were enough for a task. Pure.
+ * Remainders of a team's quota: unused quota of a shard that is too small for any of its waiting tasks. Without
+ * transfers, remainders would be idle on several shards although together they are enough for a task. Pure.
  *
- * A remainder goes to a shard with a lower number whatever it comes to, and to one with a higher number only if it
- * completes the quota of a task there. So remainders that are too small even together do not go back and forth.
+ * A remainder may always be transferred to a shard with a lower number, and to a shard with a higher number only if it
+ * completes the quota of a task there. This prevents: remainders that are too small even together move back and forth.
  */
 import { fits, mapResources, RESOURCE_KINDS, type Resources } from '../model/resources.js';
 import type { ShardId } from '../model/units.js';
 
-/** Is what remains enough for one of the tasks? */
+/** Whether the remaining quota is enough for one of the tasks. */
 export const fitsAnyTask = (remaining: Resources, tasks: readonly Resources[]): boolean =>
   tasks.some((task) => fits(task, remaining));
 
 /**
- * What is missing for the task that comes closest to fitting, by the largest fraction of the team's quota. null: one
- * fits, none waits, or machines of unknown size may be using more than there is.
+ * Returns the quota that is missing for the task that is closest to fitting, which is the task with the smallest
+ * maximum of missing amounts as fractions of the team's quota. Returns null if a task fits, no task waits, or machines
+ * of unknown size may be using more than the quota.
  */
 export function missingForClosestTask(
   remaining: Resources,
@@ -33,7 +34,7 @@
   return closest && closest.fraction < Infinity ? closest.missing : null;
 }
 
-/** May a remainder go from one shard to another, which misses so much for one task? */
+/** Whether a remainder may be transferred to a shard that lacks `missing` for one task. */
 export const mayTransferRemainder = (
   fromShard: ShardId,
   toShard: ShardId,
--- a/src/quota/service-assignments.ts
+++ b/src/quota/service-assignments.ts
@@ -1,6 +1,7 @@
 /**
- * What services are assigned to each shard, by team. A service does not end by itself: quota that it uses comes back only
- * when its user cancels it. Followed from the job records, so that it is known of shards that other controllers lead.
+ * Tracks the resources of the services that are assigned to each shard, by team. A service does not end by itself: the
+ * quota that it uses is released only when its user cancels it. The data comes from the job records, so that it also
+ * covers shards that other controllers lead.
  */
 import type { JobRecord } from '../jobs/record.js';
 import { add, mapResources, scale, subtract, ZERO, type Resources } from '../model/resources.js';
@@ -8,22 +9,22 @@
 
 type ResourcesByShard = Map<ShardId, Resources>;
 
-/** Follows the active services; a change costs one pass over the assignments of its record. */
+/** Tracks the active services. An update is linear in the number of assignments in the job's record. */
 export class ServiceAssignments {
   private readonly assignedByTeam = new Map<TeamId, ResourcesByShard>();
   private readonly records = new Map<JobId, JobRecord>();
 
-  /** A job's record has changed; null: the job has ended. */
+  /** Records a changed job record. Null means that the job has ended. */
   update(id: JobId, record: JobRecord | null): void {
     const previous = this.records.get(id);
-    if (previous) this.count(previous, subtract);
+    if (previous) this.applyAssignments(previous, subtract);
     this.records.delete(id);
     if (record?.spec.kind !== 'service') return;
-    this.count(record, add);
+    this.applyAssignments(record, add);
     this.records.set(id, record);
   }
 
-  private count({ spec, assignments }: JobRecord, combine: typeof add): void {
+  private applyAssignments({ spec, assignments }: JobRecord, combine: typeof add): void {
     const byShard = this.assignedByTeam.get(spec.team) ?? new Map<ShardId, Resources>();
     this.assignedByTeam.set(spec.team, byShard);
     for (const { from, to, shard } of assignments)
@@ -31,14 +32,14 @@
   }
 
   /**
-   * What services of the team may use on the shards other than `own`, at most: no more than is assigned there, and no more
-   * than the team uses there.
-   * @param usedOn what the team uses on a shard, by its announcements
+   * Returns an upper bound of the team's use by services on the shards other than `ownShard`: on each shard, at most
+   * the resources assigned to services there and at most the team's usage there.
+   * @param usedOn returns the announced usage of the team on a shard
    */
-  usageOutside(team: TeamId, own: ShardId, usedOn: (shard: ShardId) => Resources): Resources {
+  usageOutside(team: TeamId, ownShard: ShardId, usedOn: (shard: ShardId) => Resources): Resources {
     let total = ZERO;
     for (const [shard, assigned] of this.assignedByTeam.get(team) ?? []) {
-      if (shard === own) continue;
+      if (shard === ownShard) continue;
       const used = usedOn(shard);
       total = add(
         total,
--- a/src/quota/shard-quota.ts
+++ b/src/quota/shard-quota.ts
@@ -1,13 +1,14 @@
 /**
- * How a team's quota is divided among the shards. Each shard starts the team's tasks within its own share only, so the
- * quota holds without any shard knowing what the others run. Pure: the record of the shares is mapped in `codec.ts`.
+ * Divides a team's quota among the shards. Each shard starts the team's tasks within its own quota only, so that the
+ * team's quota is enforced without any shard knowing what the others run. Pure; `codec.ts` encodes and decodes the
+ * record.
  */
 import { add, mapResources, subtract, UNLIMITED, type Resources } from '../model/resources.js';
 import type { Team } from '../settings/settings.js';
 import type { ShardId } from '../model/units.js';
 
 /**
- * One team's quota by shard. The amounts never add up to more than the team's quota; of an unlimited resource every
+ * One team's quota by shard. The amounts never add up to more than the team's quota. For an unlimited resource, every
  * shard has an infinite amount.
  */
 export type ShardQuotas = readonly Resources[];
@@ -15,7 +16,7 @@
 /** The resources that a team's quota can limit. Memory has no quota yet. */
 export type LimitedKind = 'cpus' | 'gpus';
 
-/** `total` in `shardCount` amounts that are whole units, but for a fraction of one unit in `total` itself. */
+/** Splits `total` into `shardCount` amounts of whole units; a fractional part of `total` goes to one of them. */
 function splitEvenly(total: number, shardCount: number): number[] {
   const perShard = Math.floor(total / shardCount);
   const remainder = total - perShard * shardCount;
@@ -25,7 +26,7 @@
   );
 }
 
-/** Quotas by shard from amounts by resource. What is unlimited follows from the team's quota, not from the amounts. */
+/** Builds quotas by shard from amounts by resource. The team's quota, not the amounts, determines what is unlimited. */
 export function shardQuotasFrom(
   team: Team,
   shardCount: number,
@@ -40,11 +41,11 @@
   }));
 }
 
-/** The division before any transfer: all shards have the same. */
+/** Returns the initial division, in which all shards have equal quotas. */
 export const evenQuotas = (team: Team, shardCount: number): ShardQuotas =>
   shardQuotasFrom(team, shardCount, (kind) => splitEvenly(team.quota[kind], shardCount));
 
-/** The quotas after `amount` has gone from one shard to another; their sum stays the same. */
+/** Returns the quotas after `amount` has been moved from one shard to another. The sum stays the same. */
 export function moveQuota(quotas: ShardQuotas, from: ShardId, to: ShardId, amount: Resources): ShardQuotas {
   return quotas.map((quota, shard) => {
     if (shard === from) return subtract(quota, amount);
@@ -53,8 +54,8 @@
 }
 
 /**
- * What a shard can give of its quota when another requests some: never what it uses or what its own tasks wait for, and
- * nothing of an unlimited resource, of which the other has no less.
+ * Returns how much of the requested quota a shard can give: never quota that it uses or that its own tasks wait for,
+ * and nothing of an unlimited resource, which the requesting shard has without limit as well.
  */
 export function transferableQuota(
   quota: Resources,
--- a/src/quota/transfer-requester.ts
+++ b/src/quota/transfer-requester.ts
@@ -1,6 +1,6 @@
 /**
- * Chooses whom a shard asks for quota that its waiting tasks lack, and sends the requests. A request is a hint: if it is
- * lost, the next scheduling cycle in which the tasks still wait makes another.
+ * Chooses the shards from which a shard requests quota for its waiting tasks, and sends the requests. A request is only
+ * a hint: if it is lost, the next scheduling cycle in which the tasks still wait sends another.
  */
 import { encodePeerMessage } from '../peers/codec.js';
 import type { QuotaTransferPurpose, QuotaTransferRequest } from '../peers/messages.js';
@@ -12,12 +12,12 @@
 import { shardTeamKey, type ShardTeamKey } from './quota-ledger.js';
 import { missingForClosestTask } from './quota-remainder.js';
 
-/** Between two requests of a shard for a team, in milliseconds. */
+/** Minimum interval between two requests of a shard for a team. */
 const REQUEST_INTERVAL_MS = 250;
-/** Between two requests of a shard for the remainders of a team's quota, in milliseconds. */
+/** Minimum interval between two requests of a shard for the remainders of a team's quota. */
 const REMAINDER_REQUEST_INTERVAL_MS = 1000;
 
-/** When a shard last sent a request for a team. */
+/** The time of the last request by shard and team. */
 type RequestTimes = Map<ShardTeamKey, SteadyMs>;
 
 function requestedWithin(times: RequestTimes, key: ShardTeamKey, now: SteadyMs, intervalMs: number): boolean {
@@ -33,13 +33,14 @@
   constructor(
     private readonly context: QuotaRequesterContext,
     private readonly demand: QuotaDemand,
-    /** Takes a request to a shard that this controller leads itself. */
+    /** Handles a request to a shard that this controller leads itself. */
     private readonly handleLocally: (request: QuotaTransferRequest) => void,
   ) {}
 
   /**
-   * Tasks of the team that need `waiting` in all wait for quota in the shard: requests what is short from the shard
-   * that has most of it unused, or the remainders of all others when none has any.
+   * Requests quota for the team's tasks in the shard that wait for it and need `waiting` in total. The shortfall is
+   * requested from the shard with the most unused quota, or as remainders from all other shards if none has unused
+   * quota.
    */
   requestQuota(shard: Shard, team: TeamId, waiting: Resources): void {
     const now = this.context.clock.now();
@@ -49,30 +50,30 @@
     if (reservation) this.requestForReservation(shard, team, reservation, now);
     const amount = this.demand.shortfall(shard, team, waiting);
     if (isZero(amount)) return;
-    const giver = this.shardWithMostUnused(shard.id, team, amount, now);
-    if (giver !== null) {
+    const donor = this.shardWithMostUnused(shard.id, team, amount, now);
+    if (donor !== null) {
       this.requestTimes.set(key, now);
-      this.send(shard.id, giver, team, amount, 'waiting');
+      this.send(shard.id, donor, team, amount, 'waiting');
     } else if (!reservation) this.requestRemainders(shard, team, now);
   }
 
-  /** null: no other shard is known to have anything of it unused. */
+  /** Returns the other shard with the most unused quota, or null if none is known to have any. */
   private shardWithMostUnused(
-    asker: ShardId,
+    requester: ShardId,
     team: TeamId,
     amount: Resources,
     now: SteadyMs,
   ): ShardId | null {
-    let best: { readonly shard: ShardId; readonly ratio: number } | null = null;
+    let donor: { readonly shard: ShardId; readonly ratio: number } | null = null;
     for (const { shard } of this.context.settings.shards) {
-      if (shard === asker) continue;
+      if (shard === requester) continue;
       const ratio = fittingRatio(this.unusedQuota(shard, team, now), amount);
-      if (ratio > 0 && (!best || ratio > best.ratio)) best = { shard, ratio };
+      if (ratio > 0 && (!donor || ratio > donor.ratio)) donor = { shard, ratio };
     }
-    return best?.shard ?? null;
+    return donor?.shard ?? null;
   }
 
-  /** Computed for a shard that this controller leads, and otherwise as announced. */
+  /** Returns a shard's unused quota: computed if this controller leads the shard, otherwise as announced. */
   private unusedQuota(shardId: ShardId, team: TeamId, now: SteadyMs): Resources {
     const shard = this.context.shards.get(shardId);
     if (shard) return this.demand.transferable(shard, team, UNLIMITED);
@@ -80,7 +81,7 @@
     return announcement && announcement.expiresAt > now ? (announcement.unusedQuota.get(team) ?? ZERO) : ZERO;
   }
 
-  /** Requests what one task lacks from every other shard: each may have an amount that is too small for any task. */
+  /** Requests the quota that one task lacks from every other shard: each may have an amount too small for any task. */
   private requestForReservation(shard: Shard, team: TeamId, reservation: Resources, now: SteadyMs): void {
     const missing = this.demand.missingForReservation(shard, team, reservation);
     if (RESOURCE_KINDS.every((kind) => missing[kind] <= 0)) return;
@@ -88,7 +89,7 @@
     this.sendToAllOthers(shard.id, team, missing, 'reservation');
   }
 
-  /** No shard has announced unused quota: requests from every other what it can start nothing with. */
+  /** Requests the remainders of all other shards, because no shard has announced unused quota. */
   private requestRemainders(shard: Shard, team: TeamId, now: SteadyMs): void {
     const key = shardTeamKey(shard.id, team);
     if (requestedWithin(this.remainderRequestTimes, key, now, REMAINDER_REQUEST_INTERVAL_MS)) return;
--- a/src/quota/transfer-responder.ts
+++ b/src/quota/transfer-responder.ts
@@ -1,6 +1,6 @@
 /**
- * Answers a request for quota by giving what a shard of this controller does not use. The transfer is one conditional
- * write to the record that holds all quotas of the team, so nothing is given twice and the sum never grows. Relies on the
+ * Answers requests for quota with unused quota of this controller's shards. A transfer is one compare-and-swap of the
+ * record that holds all quotas of the team, so that no amount is given twice and the sum never grows. Relies on the
  * quota ledger, which subtracts the amount before the write is sent.
  */
 import type { QuotaTransferRequest } from '../peers/messages.js';
@@ -16,14 +16,14 @@
 import type { QuotaLedger, VersionedQuotas } from './quota-ledger.js';
 import { moveQuota } from './shard-quota.js';
 
-/** How often the record is read again after a conflict, until it shows a newer version. */
+/** Maximum number of reads of the record after a conflict, until it shows a newer version. */
 const MAX_REREADS = 300;
 const REREAD_INTERVAL = millis(100);
 
-/** A request that can be answered, with what the answer rests on. */
+/** A planned transfer: the request and the state that the plan is based on. */
 interface Transfer {
   readonly request: QuotaTransferRequest;
-  /** The shard that gives. */
+  /** The donor shard. */
   readonly shard: Shard;
   readonly team: Team;
   readonly current: VersionedQuotas;
@@ -42,13 +42,15 @@
     this.idleRemainders = new IdleRemainders(demand);
   }
 
-  /** Gives what is unused of the requested amount, if this controller leads the shard; otherwise does nothing. */
+  /**
+   * Transfers the unused part of the requested amount if this controller leads the donor shard; otherwise does nothing.
+   */
   async handleRequest(request: QuotaTransferRequest): Promise<void> {
     const transfer = this.planTransfer(request);
     if (transfer) await this.execute(transfer);
   }
 
-  /** null: nothing is to be given. */
+  /** Returns the transfer that answers the request, or null if nothing can be given. */
   private planTransfer(request: QuotaTransferRequest): Transfer | null {
     const shard = this.context.shards.get(request.to);
     const team = this.context.settings.teams.get(request.team);
@@ -67,14 +69,17 @@
     return this.demand.transferable(shard, request.team, request, this.ownDemand(shard, request));
   }
 
-  /** Of two shards that reserve quota for the same team, the one with the lower number goes first. */
+  /**
+   * Returns the quota that the shard keeps for its own tasks. Of two shards that reserve quota for the same team, the
+   * one with the lower number has precedence.
+   */
   private ownDemand(shard: Shard, request: QuotaTransferRequest): Resources {
     if (request.purpose !== 'reservation') return this.demand.demand(shard, request.team);
     const ownReservation = request.from < shard.id ? undefined : shard.quotaReservations.get(request.team);
     return ownReservation ?? ZERO;
   }
 
-  /** One write, on condition that the quotas are still those it was planned on and this controller leads the shard. */
+  /** Writes the transfer on the condition that the quotas are unchanged and this controller still leads the shard. */
   private async execute({ request, shard, team, current, amount }: Transfer): Promise<void> {
     const { context, ledger } = this;
     ledger.beginTransfer(request.to, request.team, amount);
@@ -88,8 +93,8 @@
     await context.exclusive(() => {
       if (result.kind === 'done') context.storeCache.apply(key, value, result.revision);
     });
-    // After a conflict an earlier copy of the write may have been applied: until this controller sees a newer record,
-    // the amount stays subtracted, or tasks would be started here with quota that the other shard has.
+    // After a conflict, an earlier attempt of the write may have been applied. The amount stays subtracted until this
+    // controller sees a newer record: otherwise tasks would be started here with quota that the other shard has.
     if (result.kind === 'conflict') await this.awaitNewerQuota(key, current.version, shard);
     ledger.endTransfer(request.to, request.team);
     context.log.debug(
@@ -99,7 +104,10 @@
     context.requestCycle();
   }
 
-  /** Returns once a newer record is seen, the record did not change after all, or the shard is no longer led here. */
+  /**
+   * Waits until the cache has a newer record, the record proves unchanged, or this controller no longer leads the
+   * shard.
+   */
   private async awaitNewerQuota(key: StoreKey, version: Revision, shard: Shard): Promise<void> {
     const { context } = this;
     for (let reread = 0; reread < MAX_REREADS; reread += 1) {
--- a/src/quota/transfer-service.ts
+++ b/src/quota/transfer-service.ts
@@ -1,7 +1,7 @@
 /**
- * Moves unused quota to the shards where the team's tasks wait: the service that the scheduler and the controller see.
- * What a shard may use is kept by the ledger, what it needs and can spare is computed by the demand, and the requester
- * and the responder are the two sides of a transfer.
+ * Moves unused quota to the shards where the team's tasks wait. This is the interface for the scheduler and the
+ * controller: the ledger holds the quota that a shard may use, `QuotaDemand` computes what it needs and can give, and
+ * the requester and the responder are the two sides of a transfer.
  */
 import type { QuotaTransferRequest } from '../peers/messages.js';
 import type { Resources } from '../model/resources.js';
@@ -13,7 +13,7 @@
 import { QuotaTransferRequester } from './transfer-requester.js';
 import { QuotaTransferResponder } from './transfer-responder.js';
 
-/** Quotas of the shards that this controller leads, and their transfers from and to other shards. */
+/** Manages the quotas of the shards that this controller leads, and quota transfers from and to other shards. */
 export class QuotaTransferService {
   private readonly ledger: QuotaLedger;
   private readonly demand: QuotaDemand;
@@ -24,7 +24,7 @@
     this.ledger = new QuotaLedger(context);
     this.demand = new QuotaDemand(context, this.ledger);
     this.responder = new QuotaTransferResponder(context, this.ledger, this.demand);
-    // Nobody waits for a transfer: the scheduling cycle that it requests at its end shows what it came to.
+    // The transfer is not awaited: it requests a scheduling cycle at its end, which uses the new quota.
     this.requester = new QuotaTransferRequester(
       context,
       this.demand,
@@ -32,22 +32,24 @@
     );
   }
 
-  /** What a shard of this controller may use for a team: its quota less what it is giving away. */
+  /** Returns the quota that a shard of this controller may use for a team: its quota minus a pending transfer. */
   shardQuota(shard: ShardId, team: TeamId): Resources {
     return this.ledger.shardQuota(shard, team);
   }
 
-  /** Whole units that a shard of this controller could give, by team, for the announcements. */
+  /** Returns, by team, the whole units that a shard of this controller could give, for the announcements. */
   unusedQuota(shard: Shard): Map<TeamId, Resources> {
     return this.demand.unusedQuota(shard);
   }
 
-  /** Tasks of the team that need `waiting` in all wait for quota in the shard: requests some from other shards. */
+  /**
+   * Requests quota from other shards for the team's tasks that wait for it in the shard and need `waiting` in total.
+   */
   requestQuota(shard: Shard, team: TeamId, waiting: Resources): void {
     this.requester.requestQuota(shard, team, waiting);
   }
 
-  /** Another shard requests quota: gives what is unused, if this controller leads the shard that is asked. */
+  /** Handles another shard's request for quota: transfers unused quota if this controller leads the donor shard. */
   handleRequest(request: QuotaTransferRequest): Promise<void> {
     return this.responder.handleRequest(request);
   }
