--- a/src/overflow/assignment.ts
+++ b/src/overflow/assignment.ts
@@ -145,7 +145,7 @@
   return assignments;
 }
 
-/** Fills the home shard, then peers by rank, up to their free capacity. Tasks without capacity stay on the home shard. */
+/** Fills the home shard, then peers by rank, up to their free capacity. Other tasks stay on the home shard. */
 function assignWithOverflow(context: AssignmentContext, spec: JobSpec): Assignment[] {
   const assignments = assignByImage(context, spec);
   let nextTask = assignments.at(-1)?.to ?? 0;
--- a/src/peers/announcement-codec.ts
+++ b/src/peers/announcement-codec.ts
@@ -1,7 +1,7 @@
 /**
- * Maps the announcement of a controller's state and capacity to what goes over the connection: the only module that
- * knows its names there. Two versions read each other's announcements during an upgrade, so what a later version adds is
- * optional and ignored by earlier ones.
+ * Encodes and decodes the announcement of a controller's state and capacity. This is the only module that knows the
+ * names on the wire. During an upgrade, two versions read each other's announcements, so fields that a later version
+ * adds are optional and are ignored by earlier versions.
  */
 import * as v from 'valibot';
 import type { Resources } from '../model/resources.js';
@@ -18,14 +18,14 @@
 } from '../model/units.js';
 import type { CachedImages, CapacityAnnouncement, FreeMachines, ShardCapacity } from './messages.js';
 
-/** An amount or a count by key. */
-const numbers = v.record(v.string(), v.number());
+/** Amounts or counts by key. */
+const numberByKey = v.record(v.string(), v.number());
 
-/** GPUs and GB of memory by key, sent beside the CPUs, which are all that earlier versions know. */
-const gpusAndMemory = v.record(v.string(), v.tuple([v.number(), v.number()]));
+/** GPUs and GB of memory by key, sent in addition to the CPUs, because earlier versions only know CPUs. */
+const gpusAndMemoryByKey = v.record(v.string(), v.tuple([v.number(), v.number()]));
 
-/** Instance type, zone, spot, free CPUs, GPUs and GB of memory, and how many machines have this much free. */
-const freeMachines = v.tuple([
+/** Instance type, zone, spot, free CPUs, GPUs and GB of memory, and the number of machines with this much free. */
+const freeMachinesSchema = v.tuple([
   v.string(),
   v.string(),
   v.boolean(),
@@ -35,40 +35,43 @@
   v.number(),
 ]);
 
-/** The capacity of one shard: amounts are CPUs by key, with the rest of the same amounts in `besides`. */
-const shardCapacity = v.object({
+/** The capacity of one shard. Amounts are CPUs by key; `besides` has the GPUs and memory of the same amounts. */
+const shardCapacitySchema = v.object({
   part: v.number(),
-  machines: v.array(freeMachines),
-  used: numbers,
-  spare: numbers,
+  machines: v.array(freeMachinesSchema),
+  used: numberByKey,
+  spare: numberByKey,
   images: v.record(v.string(), v.array(v.tuple([v.string(), v.number()]))),
-  ready: numbers,
-  besides: v.optional(v.object({ used: gpusAndMemory, spare: gpusAndMemory, ready: gpusAndMemory }), {
-    used: {},
-    spare: {},
-    ready: {},
-  }),
+  ready: numberByKey,
+  besides: v.optional(
+    v.object({ used: gpusAndMemoryByKey, spare: gpusAndMemoryByKey, ready: gpusAndMemoryByKey }),
+    {
+      used: {},
+      spare: {},
+      ready: {},
+    },
+  ),
 });
 
-/** The form of an announcement as it is sent. */
+/** Wire format of an announcement. */
 export const announcementSchema = v.object({
   kind: v.literal('news'),
   node: v.string(),
   incarnation: v.string(),
   stateOk: v.boolean(),
   use: v.object({ requests: v.number(), writes: v.number() }),
-  running: numbers,
-  strays: numbers,
-  rented: numbers,
-  parts: v.array(shardCapacity),
+  running: numberByKey,
+  strays: numberByKey,
+  rented: numberByKey,
+  parts: v.array(shardCapacitySchema),
 });
 
 type SentAnnouncement = v.InferOutput<typeof announcementSchema>;
-type SentShardCapacity = v.InferOutput<typeof shardCapacity>;
-type SentFreeMachines = v.InferOutput<typeof freeMachines>;
-type GpusAndMemory = v.InferOutput<typeof gpusAndMemory>;
+type SentShardCapacity = v.InferOutput<typeof shardCapacitySchema>;
+type SentFreeMachines = v.InferOutput<typeof freeMachinesSchema>;
+type GpusAndMemory = v.InferOutput<typeof gpusAndMemoryByKey>;
 
-/** The announcement as it is sent. */
+/** Encodes an announcement for the wire. */
 export function encodeAnnouncement(announcement: CapacityAnnouncement): SentAnnouncement {
   return {
     kind: 'news',
@@ -108,17 +111,17 @@
   return [free.type, free.zone, free.spot, free.cpus, free.gpus, free.memoryGb, free.count];
 }
 
-/** The CPUs of each amount. */
+/** Encodes the CPUs of each amount. */
 function encodeCpus(amounts: ReadonlyMap<string, Resources>): Record<string, number> {
   return Object.fromEntries([...amounts].map(([key, amount]) => [key, amount.cpus]));
 }
 
-/** What each amount has beside its CPUs. */
+/** Encodes the GPUs and memory of each amount. */
 function encodeGpusAndMemory(amounts: ReadonlyMap<string, Resources>): GpusAndMemory {
   return Object.fromEntries([...amounts].map(([key, { gpus, memoryGb }]) => [key, [gpus, memoryGb]]));
 }
 
-/** The announcement that was sent. */
+/** Decodes an announcement from the wire. */
 export function decodeAnnouncement(sent: SentAnnouncement): CapacityAnnouncement {
   return {
     kind: 'capacityAnnouncement',
@@ -154,13 +157,13 @@
   return { type: type as InstanceTypeId, zone: zone as ZoneId, spot, cpus, gpus, memoryGb, count };
 }
 
-/** Amounts whose GPUs and memory an earlier version did not send have none of them. */
+/** Joins CPUs with GPUs and memory by key. GPUs and memory default to 0 because earlier versions do not send them. */
 function joinResources<K extends string>(
   cpusByKey: Record<string, number>,
-  others: GpusAndMemory,
+  gpusAndMemory: GpusAndMemory,
 ): Map<K, Resources> {
   const join = ([key, cpus]: [string, number]): [K, Resources] => {
-    const [gpus, memoryGb] = others[key] ?? [0, 0];
+    const [gpus, memoryGb] = gpusAndMemory[key] ?? [0, 0];
     return [key as K, { cpus, gpus, memoryGb }];
   };
   return new Map(Object.entries(cpusByKey).map(join));
--- a/src/peers/codec.ts
+++ b/src/peers/codec.ts
@@ -1,6 +1,6 @@
 /**
- * Maps any message between controllers to what goes over the connection and back. During an upgrade two versions talk to
- * each other: kinds and fields there keep their names, which only this module and the codecs of the messages know.
+ * Encodes and decodes all messages between controllers. During an upgrade, two versions exchange messages, so kinds and
+ * fields keep their names on the wire, which only this module and the codecs of the messages know.
  */
 import * as v from 'valibot';
 import { announcementSchema, decodeAnnouncement, encodeAnnouncement } from './announcement-codec.js';
@@ -26,7 +26,7 @@
 
 type SentMessage = v.InferOutput<typeof peerMessageSchema>;
 
-/** The message as it is sent. */
+/** Encodes a message for the wire. */
 export function encodePeerMessage(message: PeerMessage): SentMessage {
   switch (message.kind) {
     case 'capacityAnnouncement':
@@ -40,7 +40,7 @@
   }
 }
 
-/** The message that was sent; null when this version does not understand it. Unknown fields are ignored. */
+/** Decodes a message. Returns null if this version does not understand it; unknown fields are ignored. */
 export function decodePeerMessage(sent: unknown): PeerMessage | null {
   const result = v.safeParse(peerMessageSchema, sent);
   if (!result.success) return null;
--- a/src/peers/free-capacity.ts
+++ b/src/peers/free-capacity.ts
@@ -1,12 +1,12 @@
-/** The free capacity of one shard, as its leader announced it or as the leader itself counts it. */
+/** The free capacity of one shard, as announced by its leader or as computed by the leader itself. */
 import type { ShardId, SteadyMs, ZoneId } from '../model/units.js';
 import type { FreeMachines } from './messages.js';
 
-/** What a shard has free until `expiresAt`. */
+/** The free capacity of a shard, valid until `expiresAt`. */
 export interface FreeCapacity {
   readonly shard: ShardId;
   readonly zone: ZoneId;
   readonly expiresAt: SteadyMs;
-  /** As far as this controller knows: what it assigns to the shard is subtracted until the next announcement. */
+  /** Free machines as known to this controller, minus the capacity that it has assigned since the last announcement. */
   readonly machines: FreeMachines[];
 }
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -1,6 +1,6 @@
 /**
- * Messages that controllers send each other, as the code uses them. They are hints: nothing unsafe may follow when one
- * is lost, late, duplicated or sent by an earlier incarnation. `codec.ts` maps them to what goes over the connection.
+ * Messages between controllers, in decoded form; `codec.ts` maps them to the wire format. Messages are only hints: a
+ * message that is lost, late, duplicated or sent by an earlier incarnation must not cause anything unsafe.
  */
 import type { Resources } from '../model/resources.js';
 import type {
@@ -21,28 +21,28 @@
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
-  /** How many machines have this much free. */
+  /** Number of machines with this amount free. */
   count: number;
 }
 
-/** What a controller draws of the store's rate limits: requests and changes a second. */
+/** A controller's use of the store's rate limits, in requests and changes per second. */
 export interface RateUsage {
   readonly requests: number;
   readonly writes: number;
 }
 
-/** The images of one machine and their sizes in GB, the least recently used first. */
+/** The cached images of one machine with their sizes in GB, least recently used first. */
 export type CachedImages = readonly (readonly [ImageId, number])[];
 
-/** What the leader of a shard tells its peers about it. */
+/** The part of an announcement about one shard, sent by its leader. */
 export interface ShardCapacity {
   readonly shard: ShardId;
   readonly freeMachines: readonly FreeMachines[];
-  /** What each team's tasks use in the shard. */
+  /** Resources used in the shard, by team. */
   readonly used: ReadonlyMap<TeamId, Resources>;
-  /** What the shard can give of each team's quota. */
+  /** Quota that the shard could transfer, by team. */
   readonly unusedQuota: ReadonlyMap<TeamId, Resources>;
-  /** What critical tasks could have at once on machines that hold an image, others being preempted. */
+  /** By image: the capacity that critical tasks can use at once on machines that cache it, including preemption. */
   readonly criticalCapacity: ReadonlyMap<ImageId, Resources>;
   readonly cachedImages: ReadonlyMap<MachineId, CachedImages>;
 }
@@ -57,21 +57,24 @@
   readonly rateUsage: RateUsage;
   /** Running tasks by job. */
   readonly runningTasks: ReadonlyMap<JobId, number>;
-  /** How many machines of each shard send their heartbeats to the sender, as the shard's leader does not answer them. */
+  /**
+   * By shard, the machines that send their heartbeats to the sender because the shard's leader does not answer them.
+   */
   readonly redirectedHeartbeats: ReadonlyMap<ShardId, number>;
-  /** Machines that the sender has rented and that are not registered yet, with the shard that they are meant for. */
+  /** Machines that the sender has rented and that are not registered yet, with their intended shard. */
   readonly rentedMachines: ReadonlyMap<MachineId, ShardId>;
   readonly shards: readonly ShardCapacity[];
 }
 
 /**
- * Why quota is asked for, which decides what the shard that is asked keeps. `waiting`: for pending tasks; it keeps what its
- * own pending tasks need. `reservation`: for a task that has been pending too long; it keeps nothing for its own pending
- * tasks. `remainder`: for one task, from an amount that is too small for any task of its own.
+ * The reason for a quota request, which determines what the donor shard keeps. `waiting`: for pending tasks; the donor
+ * keeps the quota that its own pending tasks need. `reservation`: for a task that has been pending too long; the donor
+ * keeps no quota for its own pending tasks. `remainder`: for one task; the donor gives an amount that is too small for
+ * any of its own tasks.
  */
 export type QuotaTransferPurpose = 'waiting' | 'reservation' | 'remainder';
 
-/** A shard asks another for an amount of that one's quota of a team. */
+/** A request of one shard to another for an amount of that shard's quota for a team. */
 export interface QuotaTransferRequest extends Resources {
   readonly kind: 'quotaTransferRequest';
   readonly from: ShardId;
@@ -80,7 +83,7 @@
   readonly purpose: QuotaTransferPurpose;
 }
 
-/** A cancellation that its sender has seen committed, at this revision of the store. */
+/** A cancellation that the sender has seen committed at revision `version` of the store. */
 export interface CancellationNotice {
   readonly kind: 'cancellationNotice';
   readonly job: JobId;
@@ -88,18 +91,18 @@
 }
 
 /**
- * A shard asks another for machines, since one of its gangs is larger than the shard: the resources of one task, the
- * machines on which it may run, and the number of tasks that cannot be placed.
+ * A request of one shard for another shard's machines, sent because a gang is too large for the requesting shard.
+ * Contains the resources of one task, the machines on which it may run, and the number of tasks that cannot be placed.
  */
 export interface MachineRequest extends Resources {
   readonly kind: 'machineRequest';
   readonly from: ShardId;
   readonly to: ShardId;
   readonly tasks: number;
-  /** The instance types on which a task may run; null: any. */
+  /** The instance types on which a task may run. Null means any. */
   readonly types: readonly InstanceTypeId[] | null;
   readonly zone: ZoneId;
-  /** Spot machines are allowed. */
+  /** Whether spot machines are allowed. */
   readonly spot: boolean;
 }
 
--- a/src/peers/peer-directory.ts
+++ b/src/peers/peer-directory.ts
@@ -1,26 +1,26 @@
 /**
- * What the other controllers announced last. All of it are hints: an announcement may be lost or late, so nothing here
- * permits a command or a write.
+ * The latest announcements of the other controllers. They are only hints: an announcement may be lost or late, so they
+ * must never authorize a command or a write.
  */
 import type { Resources } from '../model/resources.js';
 import type { ControllerId, Incarnation, JobId, Millis, ShardId, SteadyMs, TeamId } from '../model/units.js';
 import type { RateUsage } from './messages.js';
 
-/** What a peer last announced about itself. */
+/** A peer's latest announcement about itself. */
 export interface PeerStatus {
   /** When the announcement arrived, on this process's clock. */
   readonly heardAt: SteadyMs;
   readonly incarnation: Incarnation;
   /** Whether the store answered the peer. */
   readonly storeHealthy: boolean;
-  /** Requests and writes per second that the peer sends to the store. */
+  /** The peer's use of the store's rate limits, per second. */
   readonly storeUsage: RateUsage;
   readonly runningTasks: ReadonlyMap<JobId, number>;
-  /** Machines that sent their heartbeats to the peer because the leader of their shard does not answer them. */
+  /** By shard, the machines that send their heartbeats to the peer because the shard's leader does not answer them. */
   readonly redirectedHeartbeats: ReadonlyMap<ShardId, number>;
 }
 
-/** What the leader of a shard last announced about the teams in it. */
+/** The latest announcement of a shard's leader about the teams in the shard. */
 export interface ShardAnnouncement {
   readonly expiresAt: SteadyMs;
   /** Resources in use, by team. */
@@ -29,7 +29,7 @@
   readonly unusedQuota: ReadonlyMap<TeamId, Resources>;
 }
 
-/** The last status of every peer that was ever heard. */
+/** Holds the latest status of every peer that has sent an announcement. */
 export class PeerDirectory {
   private readonly statuses = new Map<ControllerId, PeerStatus>();
 
@@ -37,12 +37,12 @@
     return this.statuses.get(peer);
   }
 
-  /** Replaces what the peer announced before. */
+  /** Replaces the peer's previous status. */
   set(peer: ControllerId, status: PeerStatus): void {
     this.statuses.set(peer, status);
   }
 
-  /** Every status, however old. */
+  /** Returns the status of all peers, regardless of age. */
   values(): Iterable<PeerStatus> {
     return this.statuses.values();
   }
@@ -53,7 +53,7 @@
     return status !== undefined && now - status.heardAt < within;
   }
 
-  /** The peers whose last announcement arrived less than `within` ago. */
+  /** Returns the status of the peers whose last announcement arrived less than `within` ago. */
   allHeardWithin(within: Millis, now: SteadyMs): PeerStatus[] {
     return [...this.statuses.values()].filter((status) => now - status.heardAt < within);
   }
--- a/src/peers/peer-transport.ts
+++ b/src/peers/peer-transport.ts
@@ -1,7 +1,7 @@
 /**
- * Transport of messages between controllers: msgpack in frames with a length, over one outgoing connection a peer. It
- * gives no guarantee and reports no outcome: its users send hints only, from which nothing unsafe may follow when one is
- * lost, late, duplicated or sent by an earlier incarnation.
+ * Transport of messages between controllers: length-prefixed msgpack frames over one outgoing connection per peer.
+ * Delivery is not guaranteed and not reported. It is used for hints only: a message that is lost, late, duplicated or
+ * sent by an earlier incarnation must not cause anything unsafe.
  */
 import { connect, createServer, type Socket } from 'node:net';
 import { Packr } from 'msgpackr';
@@ -9,33 +9,35 @@
 import type { Address, ControllerId } from '../model/units.js';
 import { parseAddress } from '../http/server.js';
 
-/** Length of a frame's header, an unsigned big-endian number: the length of the message behind it, in bytes. */
+/** Size of the frame header, an unsigned big-endian integer that holds the length of the message in bytes. */
 const FRAME_HEADER_BYTES = 4;
-/** Largest message in bytes, without the header. */
+/** Maximum size of a message, without the header. */
 const MAX_FRAME_BYTES = 1024 * 1024;
-/** What may be unsent in a socket, in bytes; further messages to that peer are dropped. */
+/** Maximum amount of unsent data in a socket; further messages to that peer are dropped. */
 const MAX_UNSENT_BYTES = 4 * MAX_FRAME_BYTES;
-/** How long after the end of a connection the peer is dialled again. */
+/** Delay before the peer is dialed again after its connection has closed. */
 const RECONNECT_DELAY_MS = 500;
 const DIAL_TIMEOUT_MS = 1500;
 const MAX_INCOMING_CONNECTIONS = 32;
-/** Maps are sent as plain objects, and without msgpackr's own records: any msgpack library reads the messages. */
+/**
+ * Encodes maps as plain objects and disables msgpackr's record extension, so that any msgpack library can decode them.
+ */
 const packr = new Packr({ useRecords: false, mapsAsObjects: true });
 
-/** A peer announced a frame beyond the largest one: the stream cannot be read any further. */
+/** Thrown if a frame header declares a message larger than the maximum. The stream cannot be read any further. */
 class FrameTooLargeError extends Error {
   constructor() {
     super('frame too large');
   }
 }
 
-/** Cuts a byte stream into frames and unpacks their messages; one reader for each connection. */
+/** Splits a byte stream into frames and decodes their messages. Each connection needs its own reader. */
 export class FrameReader {
   private buffer = Buffer.alloc(0);
 
   /**
-   * The messages that these bytes complete, in order. Throws `FrameTooLargeError`, or msgpackr's error for a message that
-   * cannot be unpacked; the stream is of no use then.
+   * Appends received bytes and returns the messages that they complete, in order. Throws `FrameTooLargeError`, or
+   * msgpackr's error if a message cannot be decoded; the stream must be closed then.
    */
   push(data: Buffer): unknown[] {
     this.buffer = Buffer.concat([this.buffer, data]);
@@ -52,7 +54,7 @@
   }
 }
 
-/** The frame of one message. */
+/** Encodes one message as a frame. */
 export function frame(message: unknown): Buffer {
   const body = packr.pack(message);
   const header = Buffer.alloc(FRAME_HEADER_BYTES);
@@ -60,7 +62,7 @@
   return Buffer.concat([header, body]);
 }
 
-/** The connection to one peer, dialled again whenever it ends, for as long as the process runs. */
+/** The connection to one peer. It is reestablished whenever it closes, for as long as the process runs. */
 class OutgoingConnection {
   private socket: Socket | null = null;
   private connected = false;
@@ -70,7 +72,7 @@
     this.dial();
   }
 
-  /** Sends the frame, or drops it when the peer is not connected or reads too slowly. */
+  /** Sends the frame, or drops it if the peer is not connected or reads too slowly. */
   send(bytes: Buffer): void {
     if (this.connected && this.socket && this.socket.writableLength < MAX_UNSENT_BYTES)
       this.socket.write(bytes);
@@ -85,7 +87,7 @@
       this.connected = true;
     });
     socket.on('error', () => socket.destroy());
-    // Peers send nothing on this connection; without a reader its end would not be noticed.
+    // Peers send no data on this connection, but without a `data` listener its end would not be detected.
     socket.on('data', () => undefined);
     socket.on('close', () => {
       clearTimeout(dialTimer);
@@ -102,17 +104,17 @@
   }
 }
 
-/** Sends messages to peers, without any guarantee that they arrive. */
+/** Sends messages to peers without delivery guarantee. */
 export interface PeerTransport {
-  /** To one peer; does nothing for a controller that is not a peer. */
+  /** Sends a message to one peer. Does nothing if the controller is not a peer. */
   send(to: ControllerId, message: unknown): void;
-  /** To all peers. */
+  /** Sends a message to all peers. */
   broadcast(message: unknown): void;
 }
 
 /**
- * Listens for peers and dials them. `receive` gets every message of any of them, unchecked and synchronously; an error
- * that it throws ends the connection on which the message came. Listener and connections last as long as the process.
+ * Listens for connections of peers and dials all peers. `receive` is called synchronously with every message, which is
+ * not validated; if it throws, the connection is closed. The listener and the connections last as long as the process.
  */
 export function openPeerTransport(
   listen: Address,
--- a/src/peers/request-codec.ts
+++ b/src/peers/request-codec.ts
@@ -1,7 +1,7 @@
 /**
- * Maps the messages about one job, quota or gang, which are the requests between shards and the notices of cancellation,
- * to what goes over the connection: the only module that knows their names there. Two versions talk to each other during
- * an upgrade, so what a later version adds is optional and ignored by earlier ones.
+ * Encodes and decodes the requests between shards for quota and machines, and the notices of cancellation. This is the
+ * only module that knows their names on the wire. During an upgrade, two versions exchange messages, so fields that a
+ * later version adds are optional and are ignored by earlier versions.
  */
 import * as v from 'valibot';
 import type { InstanceTypeId, JobId, Revision, ShardId, TeamId, ZoneId } from '../model/units.js';
@@ -12,7 +12,7 @@
   QuotaTransferRequest,
 } from './messages.js';
 
-/** The form of a request for quota as it is sent. */
+/** Wire format of a quota request. */
 export const quotaTransferRequestSchema = v.object({
   kind: v.literal('ask'),
   from: v.number(),
@@ -24,14 +24,14 @@
   purpose: v.optional(v.picklist(['waiting', 'gather', 'remainder']), 'waiting'),
 });
 
-/** The form of a notice of cancellation as it is sent. */
+/** Wire format of a cancellation notice. */
 export const cancellationNoticeSchema = v.object({
   kind: v.literal('cancelled'),
   job: v.string(),
   version: v.number(),
 });
 
-/** The form of a request for machines as it is sent. Versions that do not know this message ignore it. */
+/** Wire format of a machine request. Versions that do not know this message ignore it. */
 export const machineRequestSchema = v.object({
   kind: v.literal('machines'),
   from: v.number(),
@@ -49,7 +49,7 @@
 type SentCancellationNotice = v.InferOutput<typeof cancellationNoticeSchema>;
 type SentMachineRequest = v.InferOutput<typeof machineRequestSchema>;
 
-/** Purposes of quota transfers as they are sent, and back. */
+/** Maps the purposes of quota transfers to their names on the wire, and back. */
 const SENT_PURPOSE = {
   waiting: 'waiting',
   reservation: 'gather',
@@ -62,13 +62,13 @@
   remainder: 'remainder',
 } as const satisfies Record<SentQuotaTransferRequest['purpose'], QuotaTransferPurpose>;
 
-/** The request as it is sent. */
+/** Encodes a quota request for the wire. */
 export function encodeQuotaTransferRequest(request: QuotaTransferRequest): SentQuotaTransferRequest {
   const { from, to, team, cpus, gpus, memoryGb } = request;
   return { kind: 'ask', from, to, team, cpus, gpus, memoryGb, purpose: SENT_PURPOSE[request.purpose] };
 }
 
-/** The request that was sent. */
+/** Decodes a quota request from the wire. */
 export function decodeQuotaTransferRequest(sent: SentQuotaTransferRequest): QuotaTransferRequest {
   const { cpus, gpus, memoryGb } = sent;
   return {
@@ -83,24 +83,24 @@
   };
 }
 
-/** The notice as it is sent. */
+/** Encodes a cancellation notice for the wire. */
 export function encodeCancellationNotice(notice: CancellationNotice): SentCancellationNotice {
   return { kind: 'cancelled', job: notice.job, version: notice.version };
 }
 
-/** The notice that was sent. */
+/** Decodes a cancellation notice from the wire. */
 export function decodeCancellationNotice(sent: SentCancellationNotice): CancellationNotice {
   return { kind: 'cancellationNotice', job: sent.job as JobId, version: sent.version as Revision };
 }
 
-/** The request as it is sent. */
+/** Encodes a machine request for the wire. */
 export function encodeMachineRequest(request: MachineRequest): SentMachineRequest {
   const { from, to, cpus, gpus, memoryGb, tasks, zone, spot } = request;
   const types = request.types === null ? null : [...request.types];
   return { kind: 'machines', from, to, cpus, gpus, memoryGb, tasks, types, spot, zone };
 }
 
-/** The request that was sent. */
+/** Decodes a machine request from the wire. */
 export function decodeMachineRequest(sent: SentMachineRequest): MachineRequest {
   const { cpus, gpus, memoryGb, tasks, spot } = sent;
   return {
