--- a/test/overflow/machine-transfer.test.ts
+++ b/test/overflow/machine-transfer.test.ts
@@ -1,10 +1,11 @@
 /**
- * A machine that may belong to another shard takes no task of its former one.
+ * A shard must not start tasks on a machine that may already belong to another shard.
  *
- * What happens: the answer to the transfer of a machine is lost, and its repetition meets the first copy, which was
- * carried out: conflict. The giver took the machine back until its watch showed the record, and could start a task there;
- * when the record came, the machine was dropped with what was on it, and the task started a second time elsewhere. Known
- * from docs/incidents/2026-12-ran-twice-at-size.md ("Found beside it, not mended"), shown here at the decision.
+ * Guards against: the response to a machine transfer is lost, and the retry conflicts with the first attempt, which was
+ * applied. The donor shard uncordoned the machine until its watch showed the record, and could start a task on it. When
+ * the record arrived, the machine was removed together with its tasks, and the task was started a second time
+ * elsewhere. See docs/incidents/2026-12-ran-twice-at-size.md ("Found beside it, not mended"); this test covers the
+ * decision alone.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -34,8 +35,11 @@
   spot: false,
 } as unknown as MachineRequest;
 
-/** A shard led here that is asked for its only machine; the repeated write meets a conflict, and then `reads` follow. */
-async function giveAfterLostAnswer(
+/**
+ * Requests the only machine of a shard led by this controller. The write ends in a conflict, and `reads` are returned
+ * after it.
+ */
+async function transferWithLostResponse(
   reads: ReadResult[],
 ): Promise<{ machine: Machine; shard: Shard; applied: unknown[] }> {
   const shard = buildShard();
@@ -63,7 +67,7 @@
   } as unknown as Core;
   new MachineTransferService(core).handleRequest(REQUEST);
   assert.equal(machine.draining, true);
-  for (let turn = 0; turn < 10; turn += 1) await flushPromises();
+  for (let round = 0; round < 10; round += 1) await flushPromises();
   return { machine, shard, applied };
 }
 
@@ -83,17 +87,17 @@
     },
   }) as unknown as ReadResult;
 
-test('a machine given away by a write whose answer was lost is not taken back', async () => {
-  const { machine, applied } = await giveAfterLostAnswer([recordIn(1)]);
-  assert.equal(machine.draining, true, 'another shard leads it');
-  assert.equal(applied.length, 1, 'the record that was read is known from then on');
-  const unreadable = await giveAfterLostAnswer([{ kind: 'failed' }, recordIn(1)]);
+test('a machine stays cordoned if a transfer whose response was lost was applied', async () => {
+  const { machine, applied } = await transferWithLostResponse([recordIn(1)]);
+  assert.equal(machine.draining, true, 'the machine belongs to another shard');
+  assert.equal(applied.length, 1, 'the record that was read is applied to the cache');
+  const unreadable = await transferWithLostResponse([{ kind: 'failed' }, recordIn(1)]);
   assert.equal(unreadable.machine.draining, true, 'read again until the store answers');
-  assert.equal((await giveAfterLostAnswer([])).machine.draining, true, 'it has been deleted');
+  assert.equal((await transferWithLostResponse([])).machine.draining, true, 'the machine has been deleted');
 });
 
-test('a machine whose transfer was refused takes tasks again', async () => {
-  const { machine, applied } = await giveAfterLostAnswer([recordIn(0)]);
+test('a machine whose transfer was not applied accepts tasks again', async () => {
+  const { machine, applied } = await transferWithLostResponse([recordIn(0)]);
   assert.equal(machine.draining, false);
   assert.equal(applied.length, 1);
 });
--- a/test/overflow/peer-ranking.test.ts
+++ b/test/overflow/peer-ranking.test.ts
@@ -8,9 +8,9 @@
 import type { SteadyMs } from '../../src/model/units.js';
 import { buildJobSpec } from '../support/job-specs.js';
 
-const spec = (o: Partial<JobSpec> = {}): JobSpec => buildJobSpec({ tasks: 4, ...o });
+const spec = (changes: Partial<JobSpec> = {}): JobSpec => buildJobSpec({ tasks: 4, ...changes });
 
-test('ranked peers: nearest zone first, then most free capacity; expired announcements and promised capacity do not count', () => {
+test('peers are ranked by zone and free capacity; expired announcements and reserved capacity do not count', () => {
   const capacity = (shard: number, zone: string, cpus: number, expires = 50): FreeCapacity =>
     ({
       shard,
@@ -24,11 +24,11 @@
     capacity(2, 'east', 8),
     capacity(3, 'east', 64, 5),
   ];
-  const list = (): string =>
+  const ranking = (): string =>
     rankPeers(capacities, 'east' as never, spec(), null, 10 as SteadyMs, seededRandom(1))
-      .map((o) => `${o.freeCapacity.shard}:${o.capacity}`)
+      .map((peer) => `${peer.freeCapacity.shard}:${peer.capacity}`)
       .join(' ');
-  assert.equal(list(), '2:4 1:2 0:16');
+  assert.equal(ranking(), '2:4 1:2 0:16');
   reserveCapacity(capacities[2] as FreeCapacity, spec(), null, 3);
-  assert.equal(list(), '1:2 2:1 0:16');
+  assert.equal(ranking(), '1:2 2:1 0:16');
 });
--- a/test/overflow/task-transfer.test.ts
+++ b/test/overflow/task-transfer.test.ts
@@ -1,4 +1,4 @@
-/** The choice of tasks that overflow to a peer. */
+/** Choice of the tasks that are transferred to a peer. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Core } from '../../src/core.js';
@@ -11,20 +11,20 @@
 import { buildJobSpec } from '../support/job-specs.js';
 import { syncConfirmedJob } from '../support/confirmed-job.js';
 
-test('a record that cannot hold another range does not stop other jobs from being handed over', () => {
+test('a job whose record would be too large does not block the transfer of other jobs', () => {
   const now = 10_000 as SteadyMs;
   const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
   const machines = [{ type: 't', zone: 'east', spot: false, cpus: 64, gpus: 0, memoryGb: 64, count: 4 }];
   const capacity = { shard: 1, zone: 'east', expiresAt: 99_000, machines } as unknown as FreeCapacity;
   const settings = { shards: [], zone: 'east', maxValueBytes: 1000 };
   const core = { settings, freeCapacity: new Map([[capacity.shard, capacity]]), random: seededRandom(1) };
-  const unplaced = ['req-scattered', 'req-plain'].map((id, i) => {
-    // Every other task of the first is entrusted to somebody else already.
-    const pieces =
-      i === 0
-        ? Array.from({ length: 200 }, (_, k) => [k, k + 1, 2 * (k % 2)] as const)
+  const unplaced = ['req-scattered', 'req-plain'].map((id, jobIndex) => {
+    // Every other task of the first job is already assigned to another shard.
+    const ranges =
+      jobIndex === 0
+        ? Array.from({ length: 200 }, (_, task) => [task, task + 1, 2 * (task % 2)] as const)
         : [[0, 200, 0] as const];
-    const assignments = pieces.map(([from, to, shardId]) => ({
+    const assignments = ranges.map(([from, to, shardId]) => ({
       from,
       to,
       shard: shardId as ShardId,
@@ -36,7 +36,7 @@
       assignments,
       done: RangeSet.empty(),
     } as never;
-    syncConfirmedJob(shard, record, (i + 1) as never, 0 as SteadyMs, false);
+    syncConfirmedJob(shard, record, (jobIndex + 1) as never, 0 as SteadyMs, false);
     const job = shard.jobs.get(id as never) as ShardJob;
     return { job, reason: 'capacity' as const, indices: [...job.waiting] };
   });
--- a/test/overflow/zone-reassignment.test.ts
+++ b/test/overflow/zone-reassignment.test.ts
@@ -1,9 +1,11 @@
 /**
- * Jobs that must be in one zone and spread: half of their tasks, rounded up, run in one zone, the others wait for good.
+ * Zone reassignment of jobs that must be both in one zone and spread: half of their tasks, rounded up, run in one zone,
+ * the other tasks wait indefinitely.
  *
- * What happened (simulate run test/schedules/both-together-and-spread.toml, seed 20631): all machines of a zone end, and
- * services of two to four tasks whose half was there never run again, though two other zones have room. Waiting tasks
- * change their zone only in jobs that are either in one zone or spread; these were left out, and so were their single tasks:
+ * Guards against (simulate run test/schedules/both-together-and-spread.toml, seed 20631): all machines of a zone end,
+ * and services of two to four tasks whose running half was there never run again, although two other zones have
+ * capacity. Waiting tasks changed their zone only in jobs with exactly one of the two constraints; jobs with both were
+ * left out, also if they had a single task:
  *
  *    48.921 m-000006 starts req-40900038/0 and /1        (the zone's machines end at 48.9 s)
  *   148.000 BROKEN left_waiting: req-40900038 waits for 90 s while there is room
@@ -51,7 +53,7 @@
   random: seededRandom(1),
 };
 
-/** A shard's copy of a job that must be in one zone and spread; it has waited long enough. */
+/** A shard's state of a job that must be in one zone and spread, and that has waited long enough to be reassigned. */
 function waitingJob(
   tasks: number,
   assignments: readonly AssignmentRow[],
@@ -62,7 +64,12 @@
   const record = {
     spec: buildJobSpec({ id: 'req-1', tasks, oneZone: true, spread: true, kind: 'service', priority: 0 }),
     homeShard: 0,
-    assignments: assignments.map(([from, to, assigned, zone]) => ({ from, to, shard: assigned, zone })),
+    assignments: assignments.map(([from, to, assignedShard, zone]) => ({
+      from,
+      to,
+      shard: assignedShard,
+      zone,
+    })),
     done: RangeSet.of(done),
   } as unknown as JobRecord;
   syncConfirmedJob(shard, record, 20 as never, 0 as SteadyMs, false);
@@ -71,29 +78,35 @@
   return job;
 }
 
-const choose = (job: ShardJob, from = LOST_ZONE): ZoneReassignment | null =>
-  chooseZoneReassignment(OWN_SHARD, job, from, CONTEXT);
+const choose = (job: ShardJob, fromZone = LOST_ZONE): ZoneReassignment | null =>
+  chooseZoneReassignment(OWN_SHARD, job, fromZone, CONTEXT);
 
-/** Five tasks: three were in the lost zone, two are assigned to no zone. */
+/** Five tasks: three are assigned to the lost zone, two to no zone. */
 const HALF_IN_LOST_ZONE: readonly AssignmentRow[] = [
   [0, 3, 0, 'west'],
   [3, 5, 0, ''],
 ];
 
-test('half of a job that must be in one zone and spread moves as one group, the rest stays in no zone', () => {
+test('half of a job that must be in one zone and spread moves as one group, the other tasks stay in no zone', () => {
   const job = waitingJob(5, HALF_IN_LOST_ZONE);
-  const move = choose(job);
-  assert.deepEqual([move?.tasks.ranges(), move?.zone, move?.shard], [[[0, 3]], 'east', 1]);
-  assert.ok(move);
-  assert.deepEqual(reassign(job.record, move.tasks, move.shard, () => move.zone).assignments, [
-    { from: 0, to: 3, shard: 1, zone: 'east' },
-    { from: 3, to: 5, shard: 0, zone: '' },
-  ]);
+  const reassignment = choose(job);
+  assert.deepEqual(
+    [reassignment?.tasks.ranges(), reassignment?.zone, reassignment?.shard],
+    [[[0, 3]], 'east', 1],
+  );
+  assert.ok(reassignment);
+  assert.deepEqual(
+    reassign(job.record, reassignment.tasks, reassignment.shard, () => reassignment.zone).assignments,
+    [
+      { from: 0, to: 3, shard: 1, zone: 'east' },
+      { from: 3, to: 5, shard: 0, zone: '' },
+    ],
+  );
   const single = choose(waitingJob(1, [[0, 1, 0, 'west']]));
   assert.deepEqual([single?.tasks.ranges(), single?.zone], [[[0, 1]], 'east']);
 });
 
-test('a group that is split among shards is collected on the one with the lowest number that has tasks of it', () => {
+test('a group that is split among shards is collected on the shard with the lowest number that has tasks of it', () => {
   const assignments: readonly AssignmentRow[] = [
     [0, 1, 1, 'west'],
     [1, 3, 2, 'west'],
@@ -104,21 +117,21 @@
   assert.deepEqual([collected?.tasks.ranges(), collected?.zone, collected?.shard], [[[1, 3]], LOST_ZONE, 1]);
 });
 
-test('the group does not move while any task of it may be on a machine, or has ended, and the rest never does', () => {
+test('the group does not move if any of its tasks may be on a machine or has ended; the other tasks never move', () => {
   for (const state of ['unaccounted', 'unconfirmed', 'handingOver', 'allocated'] as const) {
     const job = waitingJob(5, HALF_IN_LOST_ZONE);
     job.waiting.remove(1);
     if (state !== 'allocated') job[state].add(1);
     assert.equal(choose(job), null, state);
   }
-  assert.equal(choose(waitingJob(5, HALF_IN_LOST_ZONE, [[0, 1]])), null, 'done there');
-  assert.equal(choose(waitingJob(5, HALF_IN_LOST_ZONE), '' as ZoneId), null, 'in no zone');
+  assert.equal(choose(waitingJob(5, HALF_IN_LOST_ZONE, [[0, 1]])), null, 'a task of the group is done');
+  assert.equal(choose(waitingJob(5, HALF_IN_LOST_ZONE), '' as ZoneId), null, 'tasks in no zone');
   const onAnotherShard = waitingJob(5, [
     [0, 2, 0, 'west'],
     [2, 3, 1, 'west'],
     [3, 5, 0, ''],
   ]);
-  assert.equal(choose(onAnotherShard), null, 'the other shard may run one');
+  assert.equal(choose(onAnotherShard), null, 'another shard may run a task of the group');
   const inTwoZones = waitingJob(5, [
     [0, 3, 0, 'west'],
     [3, 5, 1, 'east'],
@@ -128,31 +141,31 @@
 
 const LOST_AT_S = 40;
 const ENDED: FaultInput = { kind: 'machine_end', at_s: LOST_AT_S, zone: 'marsh' };
-/** The machines of the zone, and what meets it. */
+/** Faults by which the zone is lost. */
 const LOSSES: Readonly<Record<string, FaultInput[]>> = {
   'the machines end': [ENDED],
-  'the machines are cut off and run on': [
+  'the machines are disconnected and continue to run': [
     { kind: 'machine_cut', at_s: LOST_AT_S, zone: 'marsh', for_s: 60, mode: 'drop' },
   ],
-  'the machines are cut off for less than the lease': [
+  'the machines are disconnected for less than the lease': [
     { kind: 'machine_cut', at_s: LOST_AT_S, zone: 'marsh', for_s: 7, mode: 'hold' },
   ],
-  'the leader ends as it writes': [
+  'the leader ends during a write': [
     ENDED,
     { kind: 'controller_end', at_s: LOST_AT_S + 4, on: 'commit', key: 'c/live/', node: 'event' },
   ],
   'all controllers end': [ENDED, { kind: 'all_controllers_end', at_s: LOST_AT_S + 6 }],
-  'answers of the store are lost': [
+  'responses of the store are lost': [
     ENDED,
     { kind: 'late_writes', at_s: LOST_AT_S, for_s: 30, share: 0.7, at_once: true },
   ],
-  'transactions are carried out late': [
-    ENDED,
-    { kind: 'late_writes', at_s: LOST_AT_S, for_s: 30, share: 0.5 },
-  ],
+  'transactions are applied late': [ENDED, { kind: 'late_writes', at_s: LOST_AT_S, for_s: 30, share: 0.5 }],
 };
 
-/** The rules that are broken; `left_waiting` also if a job has nothing on any machine for 90 s though there is room. */
+/**
+ * Returns the violated rules, including `left_waiting` if a job has no task on any machine for 90 s although there is
+ * capacity.
+ */
 async function violationsAfter(faults: FaultInput[], seed: number): Promise<string[]> {
   const types = [{ name: 'birch', cpus: 8, memory_gb: 32 }];
   const scenario = checkScenario(
@@ -191,7 +204,7 @@
   );
   const { violations, figures } = await new Simulation(scenario, { seed }).run();
   assert.ok(Number(figures['accepted']) > 0);
-  return violations.map((found) => `${found.rule}: ${found.detail}`);
+  return violations.map((violation) => `${violation.rule}: ${violation.detail}`);
 }
 
 test('services in one zone and spread run again after the loss of their zone, and never in two zones', async () => {
--- a/test/peers/peer-directory.test.ts
+++ b/test/peers/peer-directory.test.ts
@@ -5,7 +5,7 @@
 
 const peer = (name: string): ControllerId => name as ControllerId;
 
-const heardAt = (time: number): PeerStatus => ({
+const statusAt = (time: number): PeerStatus => ({
   heardAt: steady(time),
   incarnation: 'first' as Incarnation,
   storeHealthy: true,
@@ -14,22 +14,22 @@
   redirectedHeartbeats: new Map(),
 });
 
-test('a peer is heard within a time that is longer than the age of its last announcement', () => {
+test('a peer is recent while the age of its last announcement is less than the given time', () => {
   const directory = new PeerDirectory();
-  directory.set(peer('n1'), heardAt(1000));
-  const heard = (now: number): boolean => directory.heardWithin(peer('n1'), millis(500), steady(now));
-  assert.deepEqual([heard(1000), heard(1499), heard(1500)], [true, true, false]);
+  directory.set(peer('n1'), statusAt(1000));
+  const isRecent = (now: number): boolean => directory.heardWithin(peer('n1'), millis(500), steady(now));
+  assert.deepEqual([isRecent(1000), isRecent(1499), isRecent(1500)], [true, true, false]);
 });
 
-test('a peer that never announced anything is not heard', () => {
+test('a peer that has sent no announcement is not recent', () => {
   assert.equal(new PeerDirectory().heardWithin(peer('n1'), millis(1e9), steady(0)), false);
 });
 
-test('only the peers heard recently are listed, each with its last status', () => {
+test('only peers with a recent announcement are listed, each with its latest status', () => {
   const directory = new PeerDirectory();
-  directory.set(peer('n1'), heardAt(1000));
-  directory.set(peer('n2'), heardAt(1000));
-  directory.set(peer('n2'), heardAt(2000));
-  assert.deepEqual(directory.allHeardWithin(millis(500), steady(2100)), [heardAt(2000)]);
+  directory.set(peer('n1'), statusAt(1000));
+  directory.set(peer('n2'), statusAt(1000));
+  directory.set(peer('n2'), statusAt(2000));
+  assert.deepEqual(directory.allHeardWithin(millis(500), steady(2100)), [statusAt(2000)]);
   assert.equal([...directory.values()].length, 2);
 });
--- a/test/quota/quota-remainder.test.ts
+++ b/test/quota/quota-remainder.test.ts
@@ -1,4 +1,4 @@
-/** Remainders of a team's quota that are too small for any waiting task are merged, and do not go back and forth. */
+/** Remainders of a team's quota that are too small for any waiting task are merged, and do not move back and forth. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { UNLIMITED, type Resources } from '../../src/model/resources.js';
@@ -15,21 +15,21 @@
 const STEP_MS = 500;
 
 interface QuotaSetup {
-  /** By shard, of the limited resource. */
+  /** Quota of the limited resource, by shard. */
   readonly shardQuotas: readonly number[];
   readonly usage: readonly number[];
-  /** By shard, what a waiting task takes. */
+  /** Amount of the limited resource that a waiting task needs, by shard. */
   readonly taskSizes: readonly number[];
   readonly resource?: 'cpus' | 'gpus';
 }
 
-/** Shards of one controller, all with tasks that wait for their team's quota. */
+/** Several shards of one controller, each with tasks that wait for their team's quota. */
 class QuotaFixture {
   private readonly shards: Shard[];
   private readonly resource: 'cpus' | 'gpus';
   private readonly transferService: ReturnType<typeof createQuotaTransferService>;
   private now = 1_000_000;
-  /** How often the shard quotas have changed. */
+  /** Number of changes of the shard quotas. */
   transfers = 0;
 
   constructor({ shardQuotas: quotas, usage, taskSizes, resource: kind = 'cpus' }: QuotaSetup) {
@@ -41,9 +41,9 @@
       this.addWaitingJob(shard, taskSizes[id] ?? 0);
       return shard;
     });
-    const limit = quotas.reduce((sum, n) => sum + n, 0);
+    const limit = quotas.reduce((sum, quota) => sum + quota, 0);
     const team = buildTeam({ [`${kind}Max`]: limit });
-    const shardQuotas: Resources[] = quotas.map((n) => ({ ...UNLIMITED, [kind]: n }));
+    const shardQuotas: Resources[] = quotas.map((quota) => ({ ...UNLIMITED, [kind]: quota }));
     this.transferService = createQuotaTransferService(
       team,
       this.shards,
@@ -64,7 +64,7 @@
     syncConfirmedJob(shard, record, 2 as never, this.now as SteadyMs, false);
   }
 
-  /** Each of these shards requests quota in turn, again and again for so long. */
+  /** Lets each of these shards request quota in turn, repeatedly for `forMs`. */
   async requestQuota(forMs: number, ...shardIds: number[]): Promise<number[]> {
     for (const end = this.now + forMs; this.now < end; this.now += STEP_MS) {
       for (const id of shardIds) {
@@ -84,47 +84,51 @@
 }
 
 for (const kind of ['cpus', 'gpus'] as const) {
-  test(`two shards with one of ${kind} left each and tasks of two: one of them gets both`, async () => {
-    const situation = { shardQuotas: [19, 29], usage: [18, 28], taskSizes: [2, 2], resource: kind };
-    const lower = new QuotaFixture(situation);
-    assert.deepEqual(await lower.requestQuota(4000, 0), [19, 29], 'it may still become useful where it is');
+  test(`two shards with 1 of ${kind} left each, whose tasks need 2: one shard gets both`, async () => {
+    const setup = { shardQuotas: [19, 29], usage: [18, 28], taskSizes: [2, 2], resource: kind };
+    const lower = new QuotaFixture(setup);
+    assert.deepEqual(await lower.requestQuota(4000, 0), [19, 29], 'the donor may still need it itself');
     assert.deepEqual(await lower.requestQuota(4000, 0), [20, 28]);
     assert.deepEqual(
-      await new QuotaFixture(situation).requestQuota(8000, 1),
+      await new QuotaFixture(setup).requestQuota(8000, 1),
       [18, 30],
-      'to a higher number: it completes a task',
+      'moves to a shard with a higher number because it completes a task',
     );
   });
 }
 
-test('a remainder that a waiting task of its own shard fits into stays', async () => {
+test('a remainder is not given away if a waiting task of its own shard fits into it', async () => {
   const fixture = new QuotaFixture({ shardQuotas: [19, 29], usage: [18, 28], taskSizes: [2, 1] });
   assert.deepEqual(await fixture.requestQuota(20_000, 0), [19, 29]);
 });
 
-test('remainders that are too small even together move once, to the lower shard, and stay', async () => {
+test('remainders that are too small even together move once, to the lower shard, and stay there', async () => {
   const fixture = new QuotaFixture({ shardQuotas: [11, 12], usage: [10, 10], taskSizes: [4, 4] });
-  assert.deepEqual(await fixture.requestQuota(8000, 1), [11, 12], 'one is missing up there as well: no');
+  assert.deepEqual(await fixture.requestQuota(8000, 1), [11, 12], 'the higher shard would still lack one');
   assert.deepEqual(await fixture.requestQuota(120_000, 0, 1), [13, 10]);
   assert.equal(fixture.transfers, 1);
 });
 
-test('three quota remainders are merged on one shard, where a task then fits, and stay', async () => {
+test('three quota remainders are merged on one shard, where a task then fits, and stay there', async () => {
   const fixture = new QuotaFixture({ shardQuotas: [1, 1, 1], usage: [0, 0, 0], taskSizes: [3, 3, 3] });
   const shardQuotas = await fixture.requestQuota(60_000, 0, 1, 2);
   assert.deepEqual([...shardQuotas].sort(), [0, 0, 3]);
-  const { transfers: moves } = fixture;
-  assert.ok(moves <= 3, `${moves} moves`);
+  const { transfers } = fixture;
+  assert.ok(transfers <= 3, `${transfers} transfers`);
   assert.deepEqual(await fixture.requestQuota(120_000, 0, 1, 2), shardQuotas);
-  assert.equal(fixture.transfers, moves);
+  assert.equal(fixture.transfers, transfers);
 });
 
-test('what is missing is that of the task that comes closest to fitting; of what is unlimited nothing is', () => {
-  const left = { ...UNLIMITED, cpus: 1, gpus: 2 };
+test('the missing quota is that of the task closest to fitting; an unlimited resource is never missing', () => {
+  const remaining = { ...UNLIMITED, cpus: 1, gpus: 2 };
   const limit = { ...UNLIMITED, cpus: 100, gpus: 8 };
-  const large = { cpus: 8, gpus: 2, memoryGb: 64 };
-  const gpu = { cpus: 1, gpus: 4, memoryGb: 64 };
-  assert.deepEqual(missingForClosestTask(left, [large, gpu], limit), { cpus: 7, gpus: 0, memoryGb: 0 });
-  assert.equal(missingForClosestTask(left, [large, { ...gpu, gpus: 2 }], limit), null);
-  assert.equal(missingForClosestTask({ ...left, cpus: -Infinity }, [large], limit), null);
+  const largeTask = { cpus: 8, gpus: 2, memoryGb: 64 };
+  const gpuTask = { cpus: 1, gpus: 4, memoryGb: 64 };
+  assert.deepEqual(missingForClosestTask(remaining, [largeTask, gpuTask], limit), {
+    cpus: 7,
+    gpus: 0,
+    memoryGb: 0,
+  });
+  assert.equal(missingForClosestTask(remaining, [largeTask, { ...gpuTask, gpus: 2 }], limit), null);
+  assert.equal(missingForClosestTask({ ...remaining, cpus: -Infinity }, [largeTask], limit), null);
 });
--- a/test/quota/resource-quotas.test.ts
+++ b/test/quota/resource-quotas.test.ts
@@ -1,4 +1,4 @@
-/** CPUs, GPUs and memory count alike, and a guarantee or quota of 0 means that there is none. */
+/** CPUs, GPUs and memory are treated alike, and a guarantee or quota of 0 means that there is none. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { rejectionReason } from '../../src/jobs/admission.js';
@@ -26,32 +26,32 @@
 const gpuTeam = buildTeam({ gpus: 8, gpusMax: 20 });
 const cpuTeam = buildTeam({ cpus: 8, cpusMax: 20 });
 
-async function threeGpuMachines(shape: ClusterConfig): Promise<SimulatedCluster> {
-  const cluster = new SimulatedCluster(shape);
+async function startWithThreeGpuMachines(config: ClusterConfig): Promise<SimulatedCluster> {
+  const cluster = new SimulatedCluster(config);
   for (const zone of ['east', 'west', 'east']) cluster.addWorker('gpu', zone);
   await cluster.start();
   return cluster;
 }
 
-const started = (cluster: SimulatedCluster, job: string): number =>
-  cluster.traceLines.filter((l) => l.includes(` runs ${job}/`)).length;
+const startedTasks = (cluster: SimulatedCluster, job: string): number =>
+  cluster.traceLines.filter((line) => line.includes(` runs ${job}/`)).length;
 
 test('teams with GPU limits only: their tasks start, run and stay within the GPU limit', async () => {
-  const cluster = await threeGpuMachines(GPU_TEAMS);
-  // 12 of its 18 tasks may run at a time, whatever CPUs they take.
+  const cluster = await startWithThreeGpuMachines(GPU_TEAMS);
+  // 12 of the 18 tasks may run at a time, regardless of their CPUs.
   await cluster.submit(0, 'req-1', { tasks: 18, cpus: 6, gpus: 1, runMs: 6000 });
   await cluster.submit(1, 'req-2', { service: true, team: 'blue', tasks: 4, cpus: 5, gpus: 1 });
   await cluster.submit(2, 'req-3', { service: true, tasks: 13, cpus: 1, gpus: 1 });
   await cluster.step(5000);
-  assert.equal(started(cluster, 'req-1'), 12);
-  assert.equal(started(cluster, 'req-2'), 4);
+  assert.equal(startedTasks(cluster, 'req-1'), 12);
+  assert.equal(startedTasks(cluster, 'req-2'), 4);
   await cluster.step(15000);
   await cluster.sendUserRequest(0, 'GET', '/v2/runs/req-1');
   assertTraceMatches(cluster, 'gpu-only-teams');
 });
 
 test('teams with quotas in CPUs, in GPUs and in both use the same machines, each within its own quota', async () => {
-  const shape: ClusterConfig = {
+  const config: ClusterConfig = {
     ...SMALL_CLUSTER,
     machineTypes: GPU_MACHINES,
     teams: [
@@ -60,7 +60,7 @@
       { name: 'green', cpus: 0, cpusMax: 0, gpus: 2, gpusMax: 3 },
     ],
   };
-  const cluster = new SimulatedCluster(shape);
+  const cluster = new SimulatedCluster(config);
   for (let i = 0; i < 3; i += 1) cluster.addWorker('gpu', 'east');
   await cluster.start();
   await cluster.submit(0, 'req-gpus', { tasks: 8, cpus: 1, gpus: 1, runMs: 15_000 });
@@ -68,10 +68,10 @@
   await cluster.submit(0, 'req-blue', { team: 'blue', tasks: 8, cpus: 4, runMs: 15_000 });
   await cluster.submit(0, 'req-green', { team: 'green', tasks: 6, cpus: 12, gpus: 1, runMs: 15_000 });
   await cluster.step(11_000);
-  // Of red's 24 CPUs its GPU tasks take 4; blue has 20 CPUs; green has 3 GPUs and any number of CPUs.
+  // The GPU tasks of red use 4 of its 24 CPUs. Blue has 20 CPUs. Green has 3 GPUs and unlimited CPUs.
   const jobs = ['req-gpus', 'req-cpus', 'req-blue', 'req-green'];
   assert.deepEqual(
-    jobs.map((job) => started(cluster, job)),
+    jobs.map((job) => startedTasks(cluster, job)),
     [4, 5, 5, 3],
   );
   await cluster.step(35_000);
@@ -79,7 +79,7 @@
   assertTraceMatches(cluster, 'limits-of-each-kind');
 });
 
-test('where no team has a GPU limit and no machine a GPU, a job that asks for one is refused by type', async () => {
+test('a job that requests a GPU is refused for its type if no team has a GPU limit and no machine a GPU', async () => {
   const cluster = new SimulatedCluster();
   cluster.addWorker('large', 'east');
   await cluster.start();
@@ -88,15 +88,15 @@
   assert.equal(answer.body['error'], 'cards: a task needs 1, no allowed machine type has more than 0');
 });
 
-test('a quota of 0 is none: it refuses nothing, and its shard quotas are unlimited and cannot be transferred', () => {
+test('a quota of 0 means none: it refuses no job, and its shard quotas are unlimited and cannot be transferred', () => {
   const teams = new Map([[gpuTeam.name, gpuTeam]]);
   const types = [{ name: 'gpu', cpus: 64, gpus: 8, memoryGb: 512, zones: ['east'] }] as never;
-  const why = (changes: Partial<JobSpec>): string | null =>
+  const rejection = (changes: Partial<JobSpec>): string | null =>
     rejectionReason(buildJobSpec(changes), types, teams);
-  assert.equal(why({ cpus: 64, gpus: 1 }), null);
-  assert.equal(why({ kind: 'service', tasks: 20, cpus: 60, gpus: 1 }), null);
+  assert.equal(rejection({ cpus: 64, gpus: 1 }), null);
+  assert.equal(rejection({ kind: 'service', tasks: 20, cpus: 60, gpus: 1 }), null);
   assert.equal(
-    why({ kind: 'service', tasks: 21, gpus: 1 }),
+    rejection({ kind: 'service', tasks: 21, gpus: 1 }),
     'cards: needs 21 at once, more than the limit of 20 of team red',
   );
 
@@ -106,23 +106,23 @@
     { ...UNLIMITED, gpus: 7 },
     { ...UNLIMITED, gpus: 6 },
   ]);
-  const written = JSON.parse(JSON.stringify(encodeQuotas(gpuTeam, even))) as unknown;
-  assert.deepEqual(written, { max: [0, 20], cpus: [0, 0, 0], gpus: [7, 7, 6] });
-  assert.deepEqual(decodeQuotas(written, gpuTeam, 3), even);
+  const encoded = JSON.parse(JSON.stringify(encodeQuotas(gpuTeam, even))) as unknown;
+  assert.deepEqual(encoded, { max: [0, 20], cpus: [0, 0, 0], gpus: [7, 7, 6] });
+  assert.deepEqual(decodeQuotas(encoded, gpuTeam, 3), even);
   const shardQuota = { ...UNLIMITED, gpus: 7 };
-  const asked = { cpus: 100, gpus: 100, memoryGb: 100 };
+  const requested = { cpus: 100, gpus: 100, memoryGb: 100 };
   const used = { ...UNLIMITED, gpus: 2 };
-  assert.deepEqual(transferableQuota(shardQuota, used, { cpus: 4, gpus: 1, memoryGb: 8 }, asked), {
+  assert.deepEqual(transferableQuota(shardQuota, used, { cpus: 4, gpus: 1, memoryGb: 8 }, requested), {
     ...ZERO,
     gpus: 4,
   });
 });
 
-test('a guarantee of 0 is none: the resource is not counted, and nothing is guaranteed by it', () => {
-  const job = (id: string, born: number, changes: Partial<JobSpec>): JobRecord =>
+test('a guarantee of 0 means none: the resource is not counted, and no job is guaranteed because of it', () => {
+  const job = (id: string, acceptedRevision: number, changes: Partial<JobSpec>): JobRecord =>
     ({
       spec: buildJobSpec({ id, ...changes }),
-      acceptedRevision: born,
+      acceptedRevision,
       done: RangeSet.empty(),
     }) as unknown as JobRecord;
   const jobs = [
@@ -131,40 +131,40 @@
     job('req-c', 3, { tasks: 1, cpus: 1, gpus: 0 }),
     job('req-d', 4, { tasks: 1, cpus: 1, gpus: 1 }),
   ];
-  assert.deepEqual([...selectGuaranteedJobs(jobs, gpuTeam)], ['req-a', 'req-b'], 'by GPUs alone');
-  const plain = [job('req-a', 1, { tasks: 3 }), job('req-b', 2, { tasks: 2 })];
-  assert.deepEqual([...selectGuaranteedJobs(plain, cpuTeam)], ['req-a'], 'by CPUs alone, as before');
-  assert.deepEqual([...selectGuaranteedJobs(plain, buildTeam({ cpusMax: 20 }))], [], 'no guarantee at all');
+  assert.deepEqual([...selectGuaranteedJobs(jobs, gpuTeam)], ['req-a', 'req-b'], 'only GPUs are guaranteed');
+  const cpuJobs = [job('req-a', 1, { tasks: 3 }), job('req-b', 2, { tasks: 2 })];
+  assert.deepEqual([...selectGuaranteedJobs(cpuJobs, cpuTeam)], ['req-a'], 'only CPUs are guaranteed');
+  assert.deepEqual([...selectGuaranteedJobs(cpuJobs, buildTeam({ cpusMax: 20 }))], [], 'no guarantee at all');
   const both = buildTeam({ cpus: 8, cpusMax: 20, gpus: 4, gpusMax: 10 });
   assert.deepEqual(
     [...selectGuaranteedJobs([job('req-a', 1, { tasks: 3, gpus: 2 })], both)],
     [],
-    'fits in CPUs alone',
+    'fits into the guarantee of CPUs but not of GPUs',
   );
 });
 
-test('a refused job: the text names the field and its bound', async () => {
-  const cluster = await threeGpuMachines(GPU_TEAMS);
-  const said: string[] = [];
-  const ask = async (changes: Record<string, unknown>): Promise<void> => {
-    const body = { ...cluster.submissionBody(`req-${said.length}`, { gpus: 1 }), ...changes };
+test('the error text of a refused job names the field and its limit', async () => {
+  const cluster = await startWithThreeGpuMachines(GPU_TEAMS);
+  const responses: string[] = [];
+  const submit = async (changes: Record<string, unknown>): Promise<void> => {
+    const body = { ...cluster.submissionBody(`req-${responses.length}`, { gpus: 1 }), ...changes };
     const answer = await cluster.sendUserRequest(0, 'POST', '/v2/runs', body);
-    said.push(`${answer.status} ${String(answer.body['error'])}`);
+    responses.push(`${answer.status} ${String(answer.body['error'])}`);
   };
-  await ask({ cards: -1 });
-  await ask({ cards: 0.5 });
-  await ask({ cards: 2e9 });
-  await ask({ vcpus: -0.1 });
-  await ask({ memoryGb: '1' });
-  await ask({ cards: 9 });
-  await ask({ vcpus: 64.5 });
-  await ask({ memoryGb: 513 });
-  await ask({ cards: 1e9 });
-  await ask({ shape: 'standing', legs: 13 });
-  await ask({ hulls: ['tpu', 'fpga'] });
-  await ask({ harbor: 'north' });
-  await ask({ crew: 'nobody' });
-  assert.deepEqual(said, [
+  await submit({ cards: -1 });
+  await submit({ cards: 0.5 });
+  await submit({ cards: 2e9 });
+  await submit({ vcpus: -0.1 });
+  await submit({ memoryGb: '1' });
+  await submit({ cards: 9 });
+  await submit({ vcpus: 64.5 });
+  await submit({ memoryGb: 513 });
+  await submit({ cards: 1e9 });
+  await submit({ shape: 'standing', legs: 13 });
+  await submit({ hulls: ['tpu', 'fpga'] });
+  await submit({ harbor: 'north' });
+  await submit({ crew: 'nobody' });
+  assert.deepEqual(responses, [
     '400 cards: expected a whole number from 0 to 1000000000',
     '400 cards: expected a whole number from 0 to 1000000000',
     '400 cards: expected a whole number from 0 to 1000000000',
@@ -181,7 +181,7 @@
   ]);
 });
 
-test('no type has room for all of a task, though each amount fits some type', () => {
+test('a task is refused if no type has capacity for all of it, although each amount fits some type', () => {
   const teams = new Map([[gpuTeam.name, gpuTeam]]);
   const types = [
     { name: 'gpu', cpus: 8, gpus: 8, memoryGb: 64, zones: ['east'] },
--- a/test/quota/shard-quota.test.ts
+++ b/test/quota/shard-quota.test.ts
@@ -1,4 +1,4 @@
-/** Division of a team’s quota among shards, and what a shard may give. */
+/** Division of a team’s quota among shards, and the amount that a shard may transfer. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ZERO, type Resources } from '../../src/model/resources.js';
@@ -6,17 +6,17 @@
 import { evenQuotas, transferableQuota, moveQuota } from '../../src/quota/shard-quota.js';
 import { buildTeam } from '../support/job-specs.js';
 
-test('shard quotas never add up to more than the quota, and a giver keeps what it uses and needs', () => {
+test('shard quotas never add up to more than the quota, and a donor keeps the quota that it uses and needs', () => {
   const team = buildTeam({ cpus: 10, cpusMax: 112 });
   const cpus = (amount: number): Resources => ({ ...ZERO, cpus: amount });
   const even = evenQuotas(team, 3);
   assert.deepEqual(
-    even.map((s) => s.cpus),
+    even.map((quota) => quota.cpus),
     [38, 37, 37],
   );
   const moved = moveQuota(even, 0 as never, 2 as never, cpus(8));
   assert.equal(
-    moved.reduce((n, s) => n + s.cpus, 0),
+    moved.reduce((sum, quota) => sum + quota.cpus, 0),
     112,
   );
   assert.deepEqual(decodeQuotas(encodeQuotas(team, moved), team, 3), moved);
--- a/test/quota/unattainable-reservation.test.ts
+++ b/test/quota/unattainable-reservation.test.ts
@@ -1,9 +1,10 @@
 /**
- * Quota is kept for a job only if it can come together.
+ * Quota is reserved for a job only if the whole amount can become available.
  *
- * What happened (simulate fuzz --seed 50232 --runs 1, no fault in it; 50066, 50091 and 50101 alike): services use 16 of a team's
- * 24 CPUs and do not end. For a gang of 16 CPUs that had waited for a minute the other 8 were kept, for good, and
- * gangs of 8 CPUs waited beside 16 free ones. The shard's statistics, the same until the end of the run:
+ * Guards against (simulate fuzz --seed 50232 --runs 1, without faults; seeds 50066, 50091 and 50101 likewise): services
+ * use 16 of a team's 24 CPUs and do not end. The other 8 CPUs were reserved indefinitely for a gang of 16 CPUs that had
+ * waited for a minute, and gangs of 8 CPUs waited although 16 CPUs were free. The shard's statistics did not change
+ * until the end of the run:
  *
  *   n0 teams.tides: usage 16, shardQuota 24, reservedQuota 16, waiting 144; free 16
  *   176.000 BROKEN left_waiting: req-70800015 waits for 90 s while there is room
@@ -17,7 +18,7 @@
 const CYCLES_BEFORE_RESERVATION = 31;
 const GANG = { kind: 'gang', priority: 1, cpus: 2 };
 
-/** Four machines of 8 CPUs; red has a quota of 24 and uses 16 of it here, and a gang that needs 16 has waited for a minute. */
+/** Four machines of 8 CPUs. Red uses 16 CPUs of its quota of 24, and a gang that needs 16 has waited for a minute. */
 function withLargeGang(runningKind: string): CycleRunner {
   const runner = new CycleRunner(4, {
     team: { cpusMax: LIMIT_CPUS },
@@ -30,13 +31,13 @@
   return runner;
 }
 
-test('quota that services never give back is not waited for: smaller jobs of the team start', () => {
+test('quota that services use indefinitely is not reserved: smaller jobs of the team start', () => {
   const runner = withLargeGang('service');
   runner.addJob('req-small', { ...GANG, tasks: 4 });
   assert.equal(runner.runCycle().match(/start req-small/g)?.length, 4);
 });
 
-test('the same where the services run on other shards', () => {
+test('quota that services on other shards use indefinitely is not reserved', () => {
   const runner = new CycleRunner(2, {
     team: { cpusMax: LIMIT_CPUS },
     shardQuota: { ...UNLIMITED, cpus: 8 },
@@ -48,7 +49,7 @@
   assert.equal(runner.runCycle().match(/start req-small/g)?.length, 4);
 });
 
-test('quota that tasks give back when they end is kept for the large job', () => {
+test('quota that tasks release at their end is reserved for the large job', () => {
   const runner = withLargeGang('array');
   runner.addJob('req-small', { ...GANG, tasks: 4 });
   assert.doesNotMatch(runner.runCycle(), /start/);
--- a/test/store/rate-limiter.test.ts
+++ b/test/store/rate-limiter.test.ts
@@ -5,22 +5,26 @@
 import { millis } from '../../src/model/units.js';
 import { SimulatedClock, flushPromises } from '../support/simulated-clock.js';
 
-test('the rate limiter serves leadership before progress, and gives up at the queue timeout', async () => {
+test('the rate limiter serves leadership before progress, and refuses requests at the queue timeout', async () => {
   const clock = new SimulatedClock();
-  const budget = new RateLimiter(clock, 2, 2);
-  const order: string[] = [];
-  const take = (name: string, priority: RequestPriority, patience = 1000): void =>
-    void budget
-      .acquire(1, priority, millis(patience))
-      .then((ok) => order.push(ok ? name : `${name} refused`));
-  take('first', RequestPriority.submission);
-  take('second', RequestPriority.submission);
-  take('progress', RequestPriority.progress, 3000);
-  take('short', RequestPriority.submission, 50);
-  take('owner', RequestPriority.leadership);
+  const limiter = new RateLimiter(clock, 2, 2);
+  const outcomes: string[] = [];
+  const acquire = (name: string, priority: RequestPriority, queueTimeoutMs = 1000): void =>
+    void limiter
+      .acquire(1, priority, millis(queueTimeoutMs))
+      .then((admitted) => outcomes.push(admitted ? name : `${name} refused`));
+  acquire('first', RequestPriority.submission);
+  acquire('second', RequestPriority.submission);
+  acquire('progress', RequestPriority.progress, 3000);
+  acquire('short', RequestPriority.submission, 50);
+  acquire('leadership', RequestPriority.leadership);
   await flushPromises();
-  assert.deepEqual(order, ['first', 'second', 'short refused'], 'its turn cannot come: told at once');
+  assert.deepEqual(
+    outcomes,
+    ['first', 'second', 'short refused'],
+    'refused immediately: cannot be admitted in time',
+  );
   await clock.advance(3000);
   await flushPromises();
-  assert.deepEqual(order, ['first', 'second', 'short refused', 'owner', 'progress']);
+  assert.deepEqual(outcomes, ['first', 'second', 'short refused', 'leadership', 'progress']);
 });
--- a/test/store/watcher.test.ts
+++ b/test/store/watcher.test.ts
@@ -1,4 +1,4 @@
-/** The store's watcher: it lists, watches, and lists again when the changes that it needs are no longer kept. */
+/** The store watcher lists, watches, and lists again when the changes that it needs have been compacted. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { silentLog } from '../../src/logging/log.js';
@@ -12,7 +12,7 @@
 const KEY = 'c/live/req-1' as StoreKey;
 const OTHER_KEY = 'c/live/req-2' as StoreKey;
 const at = (revision: number): Revision => revision as Revision;
-const never = <T>(): Promise<T> => new Promise(() => undefined);
+const neverResolves = <T>(): Promise<T> => new Promise(() => undefined);
 
 const listed = (key: StoreKey, revision: number): ListResult => ({
   kind: 'listed',
@@ -22,7 +22,7 @@
   pages: 1,
 });
 
-/** A watcher of a store that answers lists and watches in turn, and then no more. */
+/** Creates a watcher of a store that answers with the given lists and watches in turn, and then stops answering. */
 function watcherOf(lists: ListResult[], watches: WatchResult[]) {
   const clock = new SimulatedClock();
   const cache = new StoreCache(() => undefined);
@@ -30,7 +30,7 @@
   const respond = <T>(request: string, results: T[]): Promise<T> => {
     requests.push(request);
     const result = results.shift();
-    return result === undefined ? never() : Promise.resolve(result);
+    return result === undefined ? neverResolves() : Promise.resolve(result);
   };
   const client = {
     list: () => respond('list', lists),
@@ -49,7 +49,7 @@
   return { watcher, cache, clock, requests };
 }
 
-test('changes that the store no longer keeps are made up for by another list', async () => {
+test('a new list replaces changes that the store has compacted', async () => {
   const { watcher, cache, clock, requests } = watcherOf(
     [listed(KEY, 5), listed(OTHER_KEY, 9)],
     [{ kind: 'compacted' }],
@@ -57,12 +57,12 @@
   void watcher.run();
   await clock.advance(0);
   assert.deepEqual(requests, ['list', 'watch 5', 'list', 'watch 9']);
-  assert.equal(cache.get(KEY), undefined, 'deleted while nobody watched');
+  assert.equal(cache.get(KEY), undefined, 'deleted between the watch and the list');
   assert.equal(cache.get(OTHER_KEY)?.value, 9);
   assert.equal(cache.loaded, true);
 });
 
-test('a cache without the changes that it needs is not current, whatever a refresh reads', async () => {
+test('a refresh does not make a cache current whose changes have been compacted', async () => {
   const { watcher, cache, clock } = watcherOf(
     [listed(KEY, 5)],
     [{ kind: 'compacted' }, { kind: 'watched', events: [], revision: at(9) }],
@@ -74,17 +74,17 @@
   assert.equal(cache.revision, 5);
 });
 
-test('the pause after failures doubles up to a second, and ends with the first answer', async () => {
+test('the backoff doubles up to one second after each failure, and ends with the first response', async () => {
   const failed = { kind: 'failed' } as const;
   const { watcher, clock, requests } = watcherOf(
     [failed, failed, failed, failed, failed, failed, listed(KEY, 5)],
     [],
   );
   void watcher.run();
-  const pauses = [100, 200, 400, 800, 1000, 1000];
-  for (const [index, pause] of pauses.entries()) {
-    await clock.advance(pause - 1);
-    assert.equal(requests.length, index + 1, `before the end of pause ${index + 1}`);
+  const backoffsMs = [100, 200, 400, 800, 1000, 1000];
+  for (const [index, backoffMs] of backoffsMs.entries()) {
+    await clock.advance(backoffMs - 1);
+    assert.equal(requests.length, index + 1, `before the end of backoff ${index + 1}`);
     assert.equal(watcher.healthy, false);
     await clock.advance(1);
   }
@@ -92,7 +92,7 @@
   assert.deepEqual(requests.at(-1), 'watch 5');
 });
 
-test('watches that bring changes are paced, watches without any are not', async () => {
+test('watches that return changes are followed by a delay, watches without changes are not', async () => {
   const { watcher, cache, clock, requests } = watcherOf(
     [listed(KEY, 5)],
     [
