--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -115,7 +115,7 @@
 export const zoneForShard = (core: Core, shard: ShardId): ZoneId =>
   core.settings.shards.find((configured) => configured.shard === shard)?.zone ?? core.settings.zone;
 
-function freeMachinesOf(core: Core, shard: Shard): FreeMachines[] {
+function listFreeMachines(core: Core, shard: Shard): FreeMachines[] {
   return (core.freeCapacity.get(shard.id) ?? freeCapacityOf(core, shard)).machines.filter(
     (machines) => machines.count > 0,
   );
@@ -137,7 +137,7 @@
 /** Builds the current announcement of this controller. */
 export function composeAnnouncement(
   core: Core,
-  unusedQuotaOf: (shard: Shard) => Map<TeamId, Resources>,
+  getUnusedQuota: (shard: Shard) => Map<TeamId, Resources>,
   redirectedHeartbeats: ReadonlyMap<ShardId, number>,
 ): CapacityAnnouncement {
   return {
@@ -149,18 +149,18 @@
     runningTasks: countRunningTasks(core),
     redirectedHeartbeats,
     rentedMachines: core.unregisteredOwnMachines,
-    shards: [...core.shards.values()].map((shard) => shardCapacityOf(core, shard, unusedQuotaOf(shard))),
+    shards: [...core.shards.values()].map((shard) => buildShardCapacity(core, shard, getUnusedQuota(shard))),
   };
 }
 
-function shardCapacityOf(
+function buildShardCapacity(
   core: Core,
   shard: Shard,
   unusedQuota: ReadonlyMap<TeamId, Resources>,
 ): ShardCapacity {
   return {
     shard: shard.id,
-    freeMachines: freeMachinesOf(core, shard),
+    freeMachines: listFreeMachines(core, shard),
     used: shard.totals.usageByTeam,
     unusedQuota,
     criticalCapacity: core.criticalCapacityByImage.get(shard.id) ?? new Map<ImageId, Resources>(),
--- a/src/overflow/assignment.ts
+++ b/src/overflow/assignment.ts
@@ -189,12 +189,12 @@
     context.random,
   );
   const fittingPeer = rankedPeers.find((peer) => peer.capacity >= spec.tasks);
-  const staysHome =
+  const useHomeShard =
     !homeCapacity || taskCapacity(homeCapacity, spec, spec.zone) >= spec.tasks || !fittingPeer;
   return {
     from: 0,
     to: spec.tasks,
-    shard: staysHome ? context.homeShard : fittingPeer.freeCapacity.shard,
+    shard: useHomeShard ? context.homeShard : fittingPeer.freeCapacity.shard,
     zone: spec.zone,
   };
 }
--- a/src/quota/guaranteed-jobs.ts
+++ b/src/quota/guaranteed-jobs.ts
@@ -21,8 +21,8 @@
 }
 
 /** Orders jobs approximately by acceptance. The order is the same on every controller. */
-const byAcceptance = (a: JobRecord, b: JobRecord): number =>
-  a.acceptedRevision - b.acceptedRevision || (a.spec.id < b.spec.id ? -1 : 1);
+const byAcceptance = (first: JobRecord, second: JobRecord): number =>
+  first.acceptedRevision - second.acceptedRevision || (first.spec.id < second.spec.id ? -1 : 1);
 
 /**
  * Returns the guaranteed jobs of one team. A guarantee of 0 means that there is none: the resource is not counted.
@@ -58,7 +58,7 @@
   update(id: JobId, record: JobRecord | null): void {
     const teamId = record?.spec.team ?? this.teamByJob.get(id);
     if (teamId === undefined) return;
-    const teamJobs = this.jobsOf(teamId);
+    const teamJobs = this.getOrCreateTeamJobs(teamId);
     teamJobs.guaranteedJobs = null;
     if (record) {
       teamJobs.records.set(id, record);
@@ -69,7 +69,7 @@
     }
   }
 
-  private jobsOf(team: TeamId): TeamJobs {
+  private getOrCreateTeamJobs(team: TeamId): TeamJobs {
     const existing = this.jobsByTeam.get(team);
     if (existing) return existing;
     const teamJobs: TeamJobs = { records: new Map(), guaranteedJobs: null };
--- a/test/store/watcher.test.ts
+++ b/test/store/watcher.test.ts
@@ -23,7 +23,7 @@
 });
 
 /** Creates a watcher of a store that answers with the given lists and watches in turn, and then stops answering. */
-function watcherOf(lists: ListResult[], watches: WatchResult[]) {
+function createWatcher(lists: ListResult[], watches: WatchResult[]) {
   const clock = new SimulatedClock();
   const cache = new StoreCache(() => undefined);
   const requests: string[] = [];
@@ -50,7 +50,7 @@
 }
 
 test('a new list replaces changes that the store has compacted', async () => {
-  const { watcher, cache, clock, requests } = watcherOf(
+  const { watcher, cache, clock, requests } = createWatcher(
     [listed(KEY, 5), listed(OTHER_KEY, 9)],
     [{ kind: 'compacted' }],
   );
@@ -63,7 +63,7 @@
 });
 
 test('a refresh does not make a cache current whose changes have been compacted', async () => {
-  const { watcher, cache, clock } = watcherOf(
+  const { watcher, cache, clock } = createWatcher(
     [listed(KEY, 5)],
     [{ kind: 'compacted' }, { kind: 'watched', events: [], revision: at(9) }],
   );
@@ -76,7 +76,7 @@
 
 test('the backoff doubles up to one second after each failure, and ends with the first response', async () => {
   const failed = { kind: 'failed' } as const;
-  const { watcher, clock, requests } = watcherOf(
+  const { watcher, clock, requests } = createWatcher(
     [failed, failed, failed, failed, failed, failed, listed(KEY, 5)],
     [],
   );
@@ -93,7 +93,7 @@
 });
 
 test('watches that return changes are followed by a delay, watches without changes are not', async () => {
-  const { watcher, cache, clock, requests } = watcherOf(
+  const { watcher, cache, clock, requests } = createWatcher(
     [listed(KEY, 5)],
     [
       { kind: 'watched', events: [], revision: at(6) },
