--- a/src/simulation/arrivals.ts
+++ b/src/simulation/arrivals.ts
@@ -1,22 +1,22 @@
-/** Jobs that arrive: some at the start, then one after another at random times, drawn from a seed. */
+/** Job arrivals: some at the start, then a Poisson process, drawn from a seed. */
 import type { EventQueue } from './clock.js';
 import type { UserJob } from './user-jobs.js';
 import type { RandomStream } from './random.js';
 import type { Load } from './scenario.js';
 
-/** Jobs of the start come within this time. */
+/** Jobs of `at_start` arrive within this time. */
 const INITIAL_ARRIVALS_MS = 2000;
 const NO_CANCELLATION = null;
 const MS_PER_MINUTE = 60_000;
-/** Users' estimates are this many times the real run time. */
+/** A user's estimate is the actual run time multiplied by a factor in this range. */
 const ESTIMATE_FACTOR = { low: 0.6, high: 1.6 };
 const ID_PREFIX = { low: 100, high: 999 };
 const ID_DIGITS = 5;
 
-/** Submits a job; `cancelAfterMs` counts from its acceptance, null: its user does not cancel it. */
+/** Submits a job; `cancelAfterMs` counts from its acceptance, null if its user does not cancel it. */
 export type SubmitJob = (job: UserJob, cancelAfterMs: number | null) => void;
 
-/** Draws jobs for each load of a scenario and submits them when their time comes. */
+/** Generates the jobs of each load of a scenario and submits them at their arrival times. */
 export class Arrivals {
   private readonly rateFactors = new Map<string, number>();
   private jobCount = 0;
@@ -27,7 +27,7 @@
     private readonly submit: SubmitJob,
   ) {}
 
-  /** From now on so many times as many jobs of a class. */
+  /** Multiplies the arrival rate of a class; an arrival that is already scheduled keeps its time. */
   setRateFactor(name: string, times: number): void {
     this.rateFactors.set(name, times);
   }
@@ -56,7 +56,7 @@
     const service = load.shape === 'service';
     const runS = random.between(load.run_s[0], load.run_s[1]);
     const job: UserJob = {
-      // Ids are chosen by the users and come in no order.
+      // Users choose the ids, so they arrive in no particular order.
       id: `req-${random.integer(ID_PREFIX.low, ID_PREFIX.high)}${String(this.jobCount).padStart(ID_DIGITS, '0')}`,
       class: load.class,
       team: load.team,
--- a/src/simulation/clock.ts
+++ b/src/simulation/clock.ts
@@ -1,4 +1,4 @@
-/** Discrete events in time order, and steady clocks that drift from true time. Times are in milliseconds. */
+/** Discrete-event queue, and monotonic clocks that drift from simulated time. Times are in milliseconds. */
 import type { Clock, Millis, SteadyMs } from '../model/units.js';
 
 interface QueuedEvent {
@@ -8,7 +8,7 @@
   cancelled: boolean;
 }
 
-/** An event that is still to come; once it has run, `cancel` has no effect. */
+/** Handle of a scheduled event; `cancel` has no effect once the event has run. */
 export interface ScheduledTimer {
   cancel(): void;
 }
@@ -16,19 +16,19 @@
 const isBefore = (a: QueuedEvent, b: QueuedEvent): boolean =>
   a.at < b.at || (a.at === b.at && a.sequence < b.sequence);
 
-/** Lets every promise that can go on do so before the next event. */
+/** Resolves after all promise callbacks that can run before the next event have run. */
 const flushPromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-/** All events of one simulation. Events of the same time run in the order in which they were scheduled. */
+/** Event queue of one simulation. Events with the same time run in the order in which they were scheduled. */
 export class EventQueue {
   private time = 0;
-  /** Events run so far. */
+  /** Number of events that have run. */
   count = 0;
   private lastSequence = 0;
   protected stopped = false;
   private readonly heap: QueuedEvent[] = [];
 
-  /** True time since the start of the simulation. */
+  /** Time since the start of the simulation, without clock drift. */
   get now(): number {
     return this.time;
   }
@@ -45,7 +45,7 @@
     return { cancel: () => (event.cancelled = true) };
   }
 
-  /** Ends `run` after the present event. */
+  /** Makes `run` return after the current event. */
   stop(): void {
     this.stopped = true;
   }
@@ -95,18 +95,18 @@
   }
 }
 
-/** Something that computes: a controller's process, a machine's worker, or one of the regional services. */
+/** A simulated host: a controller's process, a machine's worker, or one of the regional services. */
 export class Host {
-  /** Counts its process lifetimes: what an earlier one has scheduled never runs. */
+  /** Number of the current process lifetime; timers that an earlier lifetime scheduled never fire. */
   lifetime = 1;
   up = true;
-  /** Called when it begins to stand still, with the duration. */
+  /** Called with the duration when the host is paused. */
   onPause: (duration: number) => void = () => undefined;
   private pausedUntil = 0;
 
   constructor(
     readonly name: string,
-    /** null: a regional service. */
+    /** Null for a regional service. */
     readonly zone: string | null,
     private readonly queue: EventQueue,
   ) {}
@@ -115,7 +115,7 @@
     return this.queue.now < this.pausedUntil;
   }
 
-  /** It stands still for a while; its clocks run on, and what arrives meanwhile is handled afterwards, in order. */
+  /** Pauses the host: its clocks advance, and timers and messages that are due meanwhile run afterwards, in order. */
   pause(duration: number): void {
     this.pausedUntil = Math.max(this.pausedUntil, this.queue.now + duration);
     this.onPause(duration);
@@ -146,12 +146,12 @@
 
 const CLOCK_START_MS = 1_000_000;
 
-/** The steady clock of one process lifetime: runs a little fast or slow, and its timers fire in whole steps. */
+/** The monotonic clock of one process lifetime: slightly fast or slow, with timers that fire after whole steps. */
 export class DriftingClock implements Clock {
   constructor(
     private readonly queue: EventQueue,
     private readonly host: Host,
-    /** Relative, like 0.0005 for 0.05% fast. */
+    /** Relative rate error: 0.0005 is 0.05% fast. */
     private readonly drift: number,
     private readonly stepMs: number,
   ) {}
--- a/src/simulation/cloud-machine.ts
+++ b/src/simulation/cloud-machine.ts
@@ -1,6 +1,6 @@
-/** Machines and instance types of the simulated cloud, and how its HTTP interface shows them. */
+/** Machines and instance types of the simulated cloud, and their encoding in its HTTP interface. */
 
-/** An instance type that the cloud offers; times in seconds, prices relative to each other. */
+/** An instance type of the catalog; prices are relative to each other. */
 export interface SimulatedInstanceType {
   readonly name: string;
   readonly cpus: number;
@@ -14,7 +14,7 @@
   readonly zones: readonly string[];
 }
 
-/** A machine as the cloud knows it; times in simulated milliseconds, Infinity: not yet. */
+/** State of a machine in the cloud; times in simulated milliseconds, Infinity if not yet reached. */
 export interface CloudMachine {
   readonly id: string;
   readonly type: SimulatedInstanceType;
@@ -23,16 +23,16 @@
   readonly endpoint: string;
   readonly rentedAt: number;
   readyAt: number;
-  /** Stopped on its own, with all that was on it. */
+  /** When it failed, with all tasks on it. */
   failedAt: number;
-  /** Deleted or interrupted. */
+  /** When it was deleted or interrupted. */
   removedAt: number;
 }
 
-/** How long after its failure the list shows it. */
+/** The list shows a failure this long after it happened. */
 const FAILURE_LISTED_AFTER_MS = 30_000;
 
-/** A machine as the list showed it at the time `at`. */
+/** Encodes a machine as it was listed at the time `at`. */
 export function encodeMachine(machine: CloudMachine, at: number): object {
   const failed = at > machine.failedAt + FAILURE_LISTED_AFTER_MS;
   return {
@@ -46,7 +46,7 @@
   };
 }
 
-/** An instance type as the catalog shows it. */
+/** Encodes an instance type for the catalog. */
 export const encodeInstanceType = (type: SimulatedInstanceType): object => ({
   name: type.name,
   vcpus: type.cpus,
--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud: provisions machines by type, zone and kind, boots them, lists them late, and interrupts spot machines. */
+/** Simulated cloud: provisions, boots, lists (with a lag) and deletes machines, and interrupts spot machines. */
 import type { Call } from '../http/client.js';
 import { HTTP_STATUS } from '../http/status.js';
 import type { EventQueue } from './clock.js';
@@ -14,14 +14,14 @@
 import { TokenBucket } from './token-bucket.js';
 import type { Trace } from './trace.js';
 
-/** What the cloud offers and its limits: requests a second, and how many seconds its list lags behind. */
+/** Catalog and limits of the cloud: `rps` in requests per second; the machine list lags by `listLagS` seconds. */
 export interface CloudOptions {
   readonly types: readonly SimulatedInstanceType[];
   readonly rps: number;
   readonly listLagS: number;
-  /** Machines to be had of each type, zone and kind. */
+  /** Maximum number of machines per type and zone, spot and on-demand each. */
   readonly capacity: number;
-  /** The first half of every machine's address. */
+  /** First two octets of every machine's address. */
   readonly addressPrefix: string;
 }
 
@@ -41,28 +41,28 @@
 const RESPONSE_DELAY_MS = { low: 30, high: 150 };
 const LATE_EXECUTION_MS = { low: 2000, high: 12_000 };
 const FAST_BOOT_MS = { low: 300, high: 2000 };
-/** Boots take this many times what their type says; slow ones that many times longer. */
+/** Factors on the boot time of a machine's type: of every boot, and in addition of slow boots. */
 const BOOT_TIME_FACTOR = { low: 0.6, high: 1.5 };
 const SLOW_BOOT_FACTOR = { low: 2, high: 4 };
-/** How old a list may be, as a share of the lag that the settings tell. */
+/** Age of a list, as a share of the configured lag; a stale list may reach `STALE_LIST_LAG_SHARE`. */
 const MIN_LIST_LAG_SHARE = 0.5;
 const MAX_LIST_LAG_SHARE = 1.2;
 const STALE_LIST_LAG_SHARE = 2;
 const STALE_LIST_PROBABILITY = 0.2;
 const MAX_LISTED_MACHINES = 500;
 const MACHINES_PER_SUBNET = 250;
-/** Seconds' worth of requests that may come at once. */
+/** Burst of the request limit, in seconds' worth of requests. */
 const REQUEST_BURST_S = 2;
 
-/** Serves the HTTP interface of the cloud and decides when machines boot, fail and end. */
+/** Serves the HTTP interface of the cloud and controls when machines boot, fail and end. */
 export class SimulatedCloud {
   readonly machines = new Map<string, CloudMachine>();
   outage = false;
-  /** Machines are up within a second or two. */
+  /** While set, machines boot within two seconds. */
   fastBoots = false;
-  /** Share of scale-out and scale-in requests that get no answer and are carried out later. */
+  /** Share of scale-out and scale-in requests that get no answer and are executed later. */
   lateShare = 0;
-  /** Refuses to scale out while set. */
+  /** While set, scale-out requests are refused. */
   outOfCapacity = false;
   private readonly machinesByIdempotencyKey = new Map<string, string[]>();
   private readonly requestBucket: TokenBucket;
@@ -134,14 +134,14 @@
     return { status: HTTP_STATUS.ok, body: { berths: machineIds } };
   }
 
-  /** A machine that boots by itself, as long as its type takes; or one of the start, up after `bootMs`. */
+  /** Creates a machine; `bootMs` is the boot time in the initial deployment, null for one drawn by the type. */
   create(
     type: SimulatedInstanceType,
     zone: string,
     spot: boolean,
     bootMs: number | null = null,
   ): CloudMachine {
-    // Machines that are up at the start were created long before.
+    // Machines of the initial deployment were created long before the start.
     const age = bootMs === null ? 0 : INITIAL_MACHINE_AGE_MS;
     const number = this.machines.size;
     const machine: CloudMachine = {
@@ -187,7 +187,7 @@
     return { status: HTTP_STATUS.ok, body: {} };
   }
 
-  /** The machine stops on its own. */
+  /** Makes a machine fail on its own; the list shows the failure with a delay. */
   fail(machine: CloudMachine): void {
     if (machine.removedAt !== Infinity || machine.failedAt !== Infinity) return;
     machine.failedAt = this.queue.now;
@@ -195,7 +195,7 @@
     this.onRemoved(machine);
   }
 
-  /** The cloud interrupts a spot machine: it is off at once. */
+  /** Interrupts a spot machine: it ends at once. */
   interrupt(machine: CloudMachine): void {
     if (machine.removedAt !== Infinity) return;
     machine.removedAt = this.queue.now;
@@ -203,7 +203,7 @@
     this.onRemoved(machine);
   }
 
-  /** As things stood some time ago; a list may be older than the one before it. */
+  /** Lists the machines as of some time ago; a list may be older than the previous one. */
   private list(url: URL): Response {
     const lagMs = this.options.listLagS * 1000;
     const maxShare = this.random.chance(STALE_LIST_PROBABILITY) ? STALE_LIST_LAG_SHARE : MAX_LIST_LAG_SHARE;
--- a/src/simulation/controller-faults.ts
+++ b/src/simulation/controller-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of controllers and of the network between them and everything else. */
+/** Faults of controllers, and network partitions between controllers or zones. */
 import type { Host } from './clock.js';
 import type { ControllerNode } from './controller-node.js';
 import {
@@ -11,7 +11,7 @@
 import type { RandomStream } from './random.js';
 import type { Fault } from './scenario-schema.js';
 
-/** Controllers restart after this many times the deployment's restart time. */
+/** Unless the fault gives a restart time, it is the deployment's multiplied by a factor in this range. */
 const RESTART_TIME_FACTOR = { low: 0.8, high: 1.2 };
 
 function stopNode(
@@ -27,7 +27,7 @@
   target.queue.after(delayS * 1000, () => target.startNode(node));
 }
 
-/** Begins a fault of controllers; undefined: it is of another kind. */
+/** Begins a fault of controllers or of the network; returns undefined for other kinds. */
 export function applyToControllers(target: FaultTarget, activation: FaultActivation): EndFault | undefined {
   const { fault, random } = activation;
   const { nodes, queue } = target;
--- a/src/simulation/controller-node.ts
+++ b/src/simulation/controller-node.ts
@@ -1,4 +1,4 @@
-/** The real controllers, each on a host of its own, with ports that lead into the model. */
+/** Runs a real controller on a simulated host, with ports connected to the simulated services. */
 import { Controller } from '../controller/controller.js';
 import type { Ports } from '../controller/ports.js';
 import type { Call, CallOutcome } from '../http/client.js';
@@ -15,7 +15,7 @@
 
 const RESPONSE_TIMEOUT_MS = 4500;
 
-/** What a controller's requests reach. */
+/** Services, machines and peers that a controller can reach. */
 export interface ControllerEnvironment {
   readonly queue: EventQueue;
   readonly network: Network;
@@ -23,7 +23,7 @@
   readonly log: Log;
   readonly store: { readonly host: Host; serve(from: Host, call: Call, reply: Reply): void };
   readonly cloud: { readonly host: Host; serve(call: Call, reply: Reply): void };
-  /** The machine at an address; null: nobody is there. */
+  /** Returns the machine at an address, or null. */
   readonly machine: (
     address: Address,
   ) => { readonly host: Host; serve(call: Call, reply: Reply): void } | null;
@@ -31,7 +31,7 @@
   readonly tuning: string;
 }
 
-/** A production controller on a simulated host, started again as a new process after each end. */
+/** A production controller on a simulated host; each start after an end is a new process. */
 export class ControllerNode {
   readonly host: Host;
   private handler: Handler | null = null;
@@ -65,7 +65,7 @@
     this.receive = null;
   }
 
-  /** A request has arrived at this node. */
+  /** Handles a request that has arrived at this node. */
   serve(call: Call, reply: Reply): void {
     if (!this.handler) {
       reply({ status: HTTP_STATUS.serviceUnavailable, body: { error: 'starting' } });
@@ -120,7 +120,7 @@
     };
   }
 
-  /** A process that has ended never learns an outcome: its promises stay open. */
+  /** Builds a client for a service; promises of a process that has ended are never resolved. */
   private caller(
     to: Host,
     serve: (call: Call, reply: Reply) => void,
--- a/src/simulation/defects.ts
+++ b/src/simulation/defects.ts
@@ -1,10 +1,10 @@
 /**
- * Defects of the simulated services and workers. With one of them the surroundings of the controllers do not keep what
- * PROTOCOL promises, so that rules are broken although the controllers are correct, and the invariant checker has to
- * find it: evidence that it detects violations. Only tests pass them.
+ * Defects of the simulated services and workers, which break guarantees of PROTOCOL. With a defect, rules are violated
+ * although the controllers are correct, and the invariant checker must report it: this shows that the checker detects
+ * violations. Only tests and soak runs use defects.
  */
 
-/** One promise that is not kept; the first word names who breaks it. */
+/** A broken guarantee; the first word names the component that breaks it. */
 export type Defect =
   | 'state-ignores-conditions'
   | 'state-watch-loses-deletions'
--- a/src/simulation/fault-generators.ts
+++ b/src/simulation/fault-generators.ts
@@ -1,4 +1,4 @@
-/** Random faults, one generator for each kind. The order of the lists and of the draws decides what a seed means. */
+/** Generators of random faults. The order of the lists and of the draws determines the faults of a seed. */
 import type { RandomStream } from './random.js';
 import type { FaultInput, ScenarioInput } from './scenario.js';
 
@@ -21,7 +21,7 @@
     { zone: random.pick(deployment.zones) },
   ]);
 
-/** One for each kind of fault, with a spread of its fields that has room for the odd and the long. */
+/** Generators for most kinds of faults; their value ranges include unusual and long faults. */
 export const FAULT_GENERATORS: readonly FaultGenerator[] = [
   (random, deployment) => ({
     kind: 'controller_end',
@@ -141,7 +141,7 @@
   }),
 ];
 
-/** Faults that meet a gang in each of its states. */
+/** Faults triggered while a gang gathers or after it has started. */
 export const GANG_FAULT_GENERATORS: readonly FaultGenerator[] = [
   (random) => ({ kind: 'machine_end', ...randomGangEvent(random), machine: 'event' }),
   (random) => ({
--- a/src/simulation/fault-schedule.ts
+++ b/src/simulation/fault-schedule.ts
@@ -1,4 +1,4 @@
-/** Brings about the faults of a scenario, at their time or on their event, and ends them. */
+/** Starts the faults of a scenario at their time or on their triggering event, and ends them. */
 import { applyToControllers } from './controller-faults.js';
 import type { EndFault, FaultActivation, FaultTarget, SimulationEvent } from './fault-target.js';
 import { applyToMachines } from './machine-faults.js';
@@ -12,12 +12,12 @@
   remainingEvents: number;
 }
 
-/** Activates each fault at its time or on its event, and tells the invariant checker whether any is active or still to come. */
+/** Activates each fault at its time or on its event, and informs the invariant checker when none is active or pending. */
 export class FaultSchedule {
   private waiting: WaitingFault[] = [];
   private active = 0;
   private pending = 0;
-  /** Faults that have begun. */
+  /** Number of faults that have begun. */
   begunCount = 0;
 
   constructor(
@@ -64,7 +64,7 @@
     queue.after(fault.after_ms, () => {
       this.begunCount += 1;
       trace.add(`fault ${fault.kind} begins`);
-      // A stream of its own: without the other faults this one still chooses the same.
+      // Each fault has its own random stream, so that removing other faults does not change its choices.
       const random = this.random.fork(`${fault.kind}/${fault.at_s}`);
       const end = this.apply({ fault, event, random });
       const lasts = 'for_s' in fault ? fault.for_s * 1000 : 0;
--- a/src/simulation/fault-target.ts
+++ b/src/simulation/fault-target.ts
@@ -1,4 +1,4 @@
-/** What faults reach into: the simulated cluster as they see it, and one fault at the moment at which it begins. */
+/** Access of faults to the simulated cluster, and the activation of a fault. */
 import type { Arrivals } from './arrivals.js';
 import type { EventQueue, Host } from './clock.js';
 import type { SimulatedCloud } from './cloud.js';
@@ -12,27 +12,27 @@
 import type { Trace } from './trace.js';
 import type { Users } from './users.js';
 
-/** Ends a fault; null: there is nothing to end. */
+/** Ends a fault; null if there is nothing to end. */
 export type EndFault = (() => void) | null;
 
-/** What happened: its kind, and whom it concerns. */
+/** An event that can trigger faults, with the controller, keys or machine that it concerns. */
 export interface SimulationEvent {
   readonly name: EventName;
-  /** A controller's name, where one brought it about. */
+  /** Name of the controller that caused the event, if any. */
   readonly node?: string;
   readonly keys?: readonly string[];
-  /** The machine that it concerns. */
+  /** Id of the machine that the event concerns, if any. */
   readonly machine?: string;
 }
 
-/** One fault at the moment at which it begins. */
+/** A fault at the moment it begins; `event` is the triggering event, or null. */
 export interface FaultActivation<F extends Fault = Fault> {
   readonly fault: F;
   readonly event: SimulationEvent | null;
   readonly random: RandomStream;
 }
 
-/** The simulated cluster, as far as faults reach into it. */
+/** The parts of the simulated cluster that faults can change. */
 export interface FaultTarget {
   readonly queue: EventQueue;
   readonly trace: Trace;
@@ -48,14 +48,14 @@
   readonly links: WorkerLinks;
   readonly storeHost: Host;
   readonly userHost: Host;
-  /** Share of the jobs that are cancelled at the moment at which they complete. */
+  /** Share of jobs whose users cancel them at the moment their last task completes. */
   cancelOnCompletionShare: number;
   startNode(node: ControllerNode): void;
-  /** Where events are announced on which other faults may wait. */
+  /** Receives the events that can trigger other faults. */
   readonly faults: { onEvent(event: SimulationEvent): void };
 }
 
-/** The controller that a fault asks for: by number, the one of the event, or a random one. */
+/** Returns the controller that a fault selects: by index, the controller of the event, or a random one. */
 export function selectNode(
   target: FaultTarget,
   node: number | 'event' | undefined,
@@ -67,7 +67,7 @@
   return typeof node === 'number' ? (nodes[node] as ControllerNode) : activation.random.pick(nodes);
 }
 
-/** Stops packets in the network; returns what heals it. */
+/** Adds a network partition; returns a function that heals it. */
 export function partition(target: FaultTarget, mode: PartitionMode, blocks: Partition['blocks']): () => void {
   const partition: Partition = { mode, blocks };
   target.network.addPartition(partition);
--- a/src/simulation/fuzz-process.ts
+++ b/src/simulation/fuzz-process.ts
@@ -1,9 +1,9 @@
-/** A process of its own that runs the schedules it is sent, one after another. Started by `fuzz.ts`. */
+/** Child process that runs the schedules it receives, one after another. Started by `fuzz.ts`. */
 import { fuzzOne } from './fuzz-run.js';
 import type { Rule } from './invariant-checker.js';
 import { parseScenario } from './scenario.js';
 
-/** What the parent sends: a seed, and a scenario file's text or none. */
+/** Message from the parent process; `base` is the text of a scenario file, or null. */
 export interface FuzzRequest {
   readonly seed: number;
   readonly base: string | null;
--- a/src/simulation/fuzz-run.ts
+++ b/src/simulation/fuzz-run.ts
@@ -1,14 +1,14 @@
-/** One schedule of a fuzz: generated, run, and shrunk when it breaks a rule. */
+/** One fuzz run: generates a schedule, runs it, and shrinks it if it breaks a rule. */
 import { randomScenario } from './scenario-generator.js';
 import { RULES, type Rule, type Violation } from './invariant-checker.js';
 import { formatScenario, type Scenario } from './scenario.js';
 import { shrink, trialForRule } from './shrink.js';
 import { Simulation } from './simulation.js';
 
-/** A rule that a schedule has broken, with the shrunk scenario that breaks it too. */
+/** A violation found by the fuzz, with a shrunk scenario that breaks the same rule. */
 export interface FuzzFinding {
   readonly violation: Violation;
-  /** The shrunk scenario, as a file that replays exactly. */
+  /** Text of the shrunk scenario's file, which replays exactly. */
   readonly file: string;
   readonly faults: readonly string[];
 }
@@ -20,7 +20,7 @@
   readonly events: number;
   readonly hash: string;
   readonly finding: FuzzFinding | null;
-  /** Set when the run itself failed: a fault of the simulator or an exception of a controller. */
+  /** Set if the run itself failed, by a fault of the simulator or an exception of a controller. */
   readonly error: string | null;
 }
 
@@ -36,7 +36,7 @@
   };
 }
 
-/** `rules`: those whose break counts and ends the run. */
+/** Runs the schedule of a seed; only violations of `rules` count, and the first one ends the run. */
 export async function fuzzOne(
   seed: number,
   base: Scenario | null,
--- a/src/simulation/fuzz.ts
+++ b/src/simulation/fuzz.ts
@@ -1,11 +1,11 @@
-/** Many random schedules over several processes. Which schedules are run depends on the first seed only. */
+/** Runs many random schedules in several processes. The schedules depend only on the first seed. */
 import { fork, type ChildProcess } from 'node:child_process';
 import type { FuzzOutcome } from './fuzz-run.js';
 import type { FuzzRequest } from './fuzz-process.js';
 import type { Rule } from './invariant-checker.js';
 import { formatScenario, type Scenario } from './scenario.js';
 
-/** Which schedules to run, how many processes to use at once, and who receives each outcome. */
+/** Options of a fuzz: schedules to run, number of concurrent processes, and the callback for outcomes. */
 export interface FuzzOptions {
   readonly firstSeed: number;
   readonly runs: number;
@@ -15,7 +15,7 @@
   readonly onOutcome: (outcome: FuzzOutcome) => void;
 }
 
-/** Sends one process a schedule after another until none is left. */
+/** Sends schedules to one child process, one at a time, until none is left. */
 function drive(
   child: ChildProcess,
   next: () => FuzzRequest | null,
@@ -44,7 +44,7 @@
   });
 }
 
-/** All outcomes in the order of their seeds. */
+/** Runs all schedules and returns their outcomes in the order of their seeds. */
 export async function fuzz(options: FuzzOptions): Promise<FuzzOutcome[]> {
   const base = options.base === null ? null : formatScenario(options.base);
   const outcomes: FuzzOutcome[] = [];
--- a/src/simulation/gangs.ts
+++ b/src/simulation/gangs.ts
@@ -1,6 +1,6 @@
 /**
- * What the tasks of one gang do to each other, whichever machines they are on: those of one attempt start together, run
- * at the speed of the slowest, save together, complete together, and lose each other. As PROTOCOL's page on gangs says.
+ * Simulates the coordination of a gang's tasks across machines, as in PROTOCOL's page on gangs: the tasks of one attempt
+ * start together, run at the speed of the slowest, checkpoint together, complete together, and exit if one is lost.
  */
 import type { EventQueue, ScheduledTimer } from './clock.js';
 import type { JobStorage, UserJob } from './user-jobs.js';
@@ -8,18 +8,18 @@
 import type { RandomStream } from './random.js';
 import type { Trace } from './trace.js';
 
-/** How long a gang's tasks wait for each other. */
+/** Timeouts of gangs. */
 export interface GangTimes {
-  /** How long a task waits for the others before it gives up, in milliseconds. */
+  /** How long a task waits for the others to start before it exits, in milliseconds. */
   readonly startTimeoutMs: number;
-  /** Within this time a task notices that another is lost, and must all be told to stop, in milliseconds. */
+  /** Within this time in milliseconds a task detects the loss of another, and an orderly stop must reach all tasks. */
   readonly peerTimeoutMs: number;
 }
 
-/** Why a task of a gang exits: done, another task was lost, the others did not come, or it was told to stop. */
+/** Why a task of a gang exits: done, another task was lost, the gang stayed incomplete, or it was told to stop. */
 export type GangExit = 'done' | 'peers' | 'alone' | 'halted';
 
-/** One task of a gang on its machine. Timers and exits stand still while the machine hangs. */
+/** One task of a gang on its machine. Timers and exits are delayed while the machine hangs. */
 export interface GangMember {
   readonly task: string;
   readonly slowness: number;
@@ -30,9 +30,9 @@
   after(delayMs: number, run: () => void): ScheduledTimer;
 }
 
-/** A task notices the loss of another after this share of `peerMs` at the earliest. */
+/** Earliest detection of a lost task, as a share of `peerTimeoutMs`. */
 const MIN_DETECTION_SHARE = 0.1;
-/** The tasks of a gang that has saved exit within this time of each other. */
+/** The tasks of a gang exit within this time after its last task has saved. */
 const EXIT_SPREAD_MS = 60;
 
 type AttemptPhase = 'gathering' | 'running' | 'stopping' | 'broken' | 'over';
@@ -46,19 +46,17 @@
   readonly times: GangTimes;
 }
 
-/**
- *
- */
+/** One attempt of a gang: its tasks, its phase and its progress. */
 class GangAttempt {
   private phase: AttemptPhase = 'gathering';
   private readonly members = new Set<GangMember>();
-  /** Those that were there when it started. */
+  /** Tasks that were present when the attempt started. */
   private readonly started = new Set<GangMember>();
   private readonly stopRequested = new Set<GangMember>();
   private readonly checkpointed = new Set<GangMember>();
   /** Progress of the job in milliseconds of run time, up to `runningSince`. */
   private progressBefore = 0;
-  /** null: it makes no progress at present. */
+  /** Null while the gang makes no progress. */
   private runningSince: number | null = null;
   private slowness = 1;
   private completion: ScheduledTimer | null = null;
@@ -82,7 +80,7 @@
     if (this.members.size === this.job.tasks) queue.after(0, () => this.start());
   }
 
-  /** It came after the others had started: nobody waits for it. */
+  /** Returns whether the task joined after the attempt had started; it can never run. */
   private isLatecomer(member: GangMember): boolean {
     return this.members.has(member) && !this.started.has(member);
   }
@@ -136,13 +134,13 @@
     else member.after(delayMs, exit);
   }
 
-  /** The task has ended: killed, failed, or lost with its machine or its lease. */
+  /** Removes a task that was killed, failed, or was lost with its machine or its lease. */
   leave(member: GangMember): void {
     if (!this.members.delete(member) || !this.started.has(member)) return;
     if (this.phase === 'running' || this.phase === 'stopping') this.failAttempt();
   }
 
-  /** What was done since the last checkpoint is lost; the others notice one after the other. */
+  /** Fails the attempt: progress since the last checkpoint is lost, and the remaining tasks exit one after another. */
   private failAttempt(detectedWithinMs = this.environment.times.peerTimeoutMs): void {
     const { storage, random } = this.environment;
     this.pauseProgress();
@@ -152,7 +150,7 @@
       this.exitMember(member, 'peers', detectedWithinMs * random.between(MIN_DETECTION_SHARE, 1));
   }
 
-  /** The task was told to stop. */
+  /** Stops a task: its gang takes a checkpoint if the grace period allows it, otherwise the task exits at once. */
   stop(member: GangMember, graceS: number): void {
     if (!this.members.has(member)) return;
     const saves =
@@ -194,7 +192,7 @@
       this.exitMember(other, 'halted', random.between(0, EXIT_SPREAD_MS), true);
   }
 
-  /** A machine hangs: no progress, and after a while the others take its task for lost. */
+  /** Handles a hang of a task's machine: progress stops, and a hang beyond the detection time fails the attempt. */
   hang(member: GangMember): void {
     if (!this.started.has(member) || (this.phase !== 'running' && this.phase !== 'stopping')) return;
     const { queue, times, random } = this.environment;
@@ -212,13 +210,13 @@
   }
 }
 
-/** All gangs of the simulated cluster, by job and attempt. */
+/** All gang attempts of the simulated cluster, by job and attempt number. */
 export class GangRegistry {
   private readonly attempts = new Map<string, GangAttempt>();
 
   constructor(private readonly environment: GangEnvironment) {}
 
-  /** The attempt that the tasks with this number share. */
+  /** Returns the attempt with this number, which all its tasks share; creates it for the first task. */
   attempt(job: UserJob, number: number): GangAttempt {
     const key = `${job.id}#${number}`;
     let attempt = this.attempts.get(key);
--- a/src/simulation/image-cache.ts
+++ b/src/simulation/image-cache.ts
@@ -1,9 +1,9 @@
-/** The images of one machine: fetches that share a rate, and a cache of the most recently used ones. */
+/** Images of one machine: concurrent fetches that share the bandwidth, and an LRU cache. */
 import type { EventQueue, ScheduledTimer } from './clock.js';
 
-/** Added to the wait for a fetch: rounding then never leaves a rest of it. */
+/** Added to the wait for a fetch, so that rounding never leaves a remainder to fetch. */
 const COMPLETION_MARGIN_MS = 0.001;
-/** What is left below this counts as fetched. */
+/** An image with less than this left to fetch counts as fetched. */
 const EPSILON_GB = 1e-6;
 
 interface Fetch {
@@ -12,7 +12,7 @@
   readonly waiting: Map<string, () => void>;
 }
 
-/** One machine's images; concurrent fetches share `gbPerS` evenly. */
+/** Image cache of one machine; concurrent fetches share `gbPerS` evenly. */
 export class ImageCache {
   /** Size by image, least recently used first. */
   private readonly sizeByImage = new Map<string, number>();
@@ -26,7 +26,7 @@
     private readonly capacityGb: number,
   ) {}
 
-  /** Calls back once the image is here, maybe at once; `waiter` names who waits. */
+  /** Calls `onReady` once the image is available, immediately if it is cached; `waiter` identifies the request. */
   request(image: string, gb: number, waiter: string, onReady: () => void): void {
     const size = this.sizeByImage.get(image);
     if (size !== undefined) {
@@ -42,7 +42,7 @@
     this.scheduleCompletion();
   }
 
-  /** The waiter has ended; a fetch that nobody waits for is given up. */
+  /** Withdraws the request of `waiter`; aborts the fetch if no other request needs the image. */
   abandon(image: string, waiter: string): void {
     const fetch = this.fetches.get(image);
     if (!fetch?.waiting.delete(waiter) || fetch.waiting.size > 0) return;
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -1,6 +1,6 @@
 /**
- * Checks every rule of PROTOCOL by what can be seen from outside: tasks on machines, and what users ask and are told.
- * It shares no code and no state with the controllers, nor with the workers that it watches.
+ * Checks every rule of PROTOCOL against what is visible from outside the controllers: tasks on machines, and users'
+ * requests with their answers. Shares no code and no state with the controllers or the workers that it observes.
  */
 import type { EventQueue } from './clock.js';
 import type { UserJob } from './user-jobs.js';
@@ -23,10 +23,10 @@
 
 const REVIEW_INTERVAL_MS = 2000;
 const MAX_STARTABLE_WAIT_MS = 90_000;
-/** Observes the simulated cluster and collects violations; `finish` checks what only the end can tell. */
+/** Observes the simulated cluster and collects violations; `finish` checks the rules that apply to the whole run. */
 export class InvariantChecker implements Observer {
   readonly violations: Violation[] = [];
-  /** Counted, not rules: starts after a confirmed cancellation, and accepted jobs that were malformed. */
+  /** Statistics. Starts after a confirmed cancellation and accepted malformed jobs are counted, not reported. */
   readonly counts: ObservationCounts = {
     starts: 0,
     gangStarts: 0,
@@ -58,7 +58,7 @@
     this.scheduleReview();
   }
 
-  /** The last fault is over, or one has begun. */
+  /** Records whether all faults have ended; `over` is false while a fault is active or has yet to reach its time. */
   setFaultsOver(over: boolean): void {
     this.faultFreeSince = over ? this.queue.now : null;
   }
@@ -118,7 +118,7 @@
     if (completed) record.completed.add(task);
   }
 
-  /** The machine that a task is on. */
+  /** Returns the id of the machine that the task is on, or null. */
   machineOf(task: string): string | null {
     return this.jobs.get(jobIdOf(task))?.machineByTask.get(task)?.id ?? null;
   }
@@ -129,7 +129,7 @@
     this.counts.gangStarts += 1;
   }
 
-  /** Once a gang runs, a task that it has lost ends it: nobody waits for another. */
+  /** Reports a task that joins a running attempt: a gang that loses a task ends and waits for no replacement. */
   gangRejoined(job: string, task: string): void {
     this.reportViolation('gang_rejoined', job, `${task} joins an attempt that had started`);
   }
@@ -192,8 +192,8 @@
   }
 
   /**
-   * No task of the job is anywhere, though a machine has had room for one and the team was under its limit. A gang: it
-   * does not run, though there has been room for all of its tasks.
+   * Reports a job that has no task on any machine although a machine has had room for a task and the team was below its
+   * quota; and a gang that does not run although there has been room for all of its tasks.
    */
   private checkLeftWaiting(record: JobObservation, now: number, machines: readonly MachineView[]): void {
     const startable =
@@ -211,7 +211,7 @@
       );
   }
 
-  /** The end of the simulation. */
+  /** Runs the checks at the end of the simulation. */
   finish(): void {
     if (this.counts.starts === 0 && this.counts.accepted > 0)
       this.reportViolation('nothing_ran', 'all', 'no task was started');
--- a/src/simulation/key-value-table.ts
+++ b/src/simulation/key-value-table.ts
@@ -1,13 +1,13 @@
-/** The consistent store itself: keys with versions, leases, and the latest changes. Knows nothing of time or faults. */
+/** In-memory key-value store with revisions, leases and a history of recent changes; independent of time and faults. */
 
-/** A key's value, the revision that wrote it, and its lease, in the field names of the HTTP interface. */
+/** Value of a key, the revision that wrote it and its lease, with the field names of the HTTP interface. */
 export interface Row {
   readonly data: unknown;
   readonly entry: number;
   readonly mooring: number | undefined;
 }
 
-/** One change of one key, in the names of the watch answer; `entry` is its revision. */
+/** A change of one key, with the field names of a watch's answer; `entry` is its revision. */
 export interface StoredChange {
   readonly put?: string;
   readonly drop?: string;
@@ -15,7 +15,7 @@
   readonly entry: number;
 }
 
-/** A transaction as PROTOCOL words it. */
+/** Body of a transaction request, with the field names of PROTOCOL. */
 export interface TransactionBody {
   readonly when?: readonly { readonly path: string; readonly entry: number }[];
   readonly apply?: readonly {
@@ -26,7 +26,7 @@
   }[];
 }
 
-/** How a transaction ends: applied, refused by its conditions, or attached to a lease that does not exist. */
+/** Result of a transaction: applied, rejected by its conditions, or rejected because its lease does not exist. */
 export type TransactionResult =
   | { readonly kind: 'done'; readonly ledger: number }
   | { readonly kind: 'conflict'; readonly failed: readonly string[]; readonly ledger: number }
@@ -34,16 +34,16 @@
 
 const MIN_KEPT_CHANGES = 10_000;
 
-/** Keys, leases and recent changes; every call takes effect at once. */
+/** Keys, leases and recent changes; every call takes effect immediately. */
 export class KeyValueTable {
   readonly rows = new Map<string, Row>();
   readonly leases = new Set<number>();
   revision = 0;
   private nextLease = 1;
-  /** Changes that are kept for watches at least. */
+  /** Minimum number of recent changes that are kept for watches. */
   minKeptChanges = MIN_KEPT_CHANGES;
   private history: StoredChange[] = [];
-  /** Changes up to this revision are no longer kept. */
+  /** Changes up to this revision have been discarded. */
   private compactedRevision = 0;
 
   constructor(private readonly checkConditions: boolean) {}
@@ -89,7 +89,7 @@
     return id;
   }
 
-  /** Ends a lease and removes the keys attached to it. */
+  /** Ends a lease and deletes the keys attached to it. */
   endLease(id: number): void {
     if (!this.leases.delete(id)) return;
     const keys = [...this.rows].filter(([, row]) => row.mooring === id).map(([key]) => key);
@@ -102,7 +102,7 @@
     return { keys: keys.slice(0, limit), more: keys.length > limit };
   }
 
-  /** Changes of keys with the prefix after a revision; null: too old to know. */
+  /** Returns the changes after `revision` of keys with the prefix, or null if they have been discarded. */
   changesAfter(prefix: string, revision: number): StoredChange[] | null {
     if (revision < this.compactedRevision) return null;
     let first = this.history.length;
--- a/src/simulation/load-balancer.ts
+++ b/src/simulation/load-balancer.ts
@@ -1,4 +1,4 @@
-/** The load balancer before the controllers: health probes, removal with growing pauses, fewest open connections. */
+/** Load balancer in front of the controllers: health probes, ejection with growing periods, least connections. */
 import type { Call } from '../http/client.js';
 import { HTTP_STATUS } from '../http/status.js';
 import type { Millis } from '../model/units.js';
@@ -20,16 +20,16 @@
 const SKIP_BACKEND_MS = 3000;
 const SKIP_AFTER_FAILURES = 3;
 const PROBE_INTERVAL_FACTOR = { low: 0.95, high: 1.05 };
-/** Share of the requests with which a backend that has just turned healthy begins. */
+/** Initial share of its normal load that a backend gets when it has just become healthy. */
 const SLOW_START_SHARE = 0.05;
-/** How long the other side takes to refuse a connection. */
+/** Time that a refused connection attempt takes. */
 const REFUSAL_DELAY_MS = 1;
 
 interface Backend {
   readonly node: ControllerNode;
   healthy: boolean;
   everHealthy: boolean;
-  /** Latest last; true: answered 200. */
+  /** Results of the last probes, oldest first; true if the answer was 200. */
   probes: boolean[];
   healthySince: number;
   removedAt: number;
@@ -39,7 +39,7 @@
   skipUntil: number;
 }
 
-/** Forwards the requests of users to healthy controllers. */
+/** Forwards users' requests to healthy controllers. */
 export class LoadBalancer {
   private readonly backends: Backend[];
 
@@ -105,7 +105,7 @@
     return this.network.exchange({ from: this.host, to: node.host, timeoutMs: call.timeout, serve });
   }
 
-  /** Fewest open connections first; a node that has just turned healthy gets its share gradually. */
+  /** Returns healthy backends, fewest open connections first; the load of a newly healthy backend grows gradually. */
   private candidates(): Backend[] {
     const { now } = this.queue;
     const load = (backend: Backend): number =>
@@ -118,7 +118,7 @@
       .map(({ backend }) => backend);
   }
 
-  /** One request on a new connection. */
+  /** Forwards one request on a new connection; tries up to `MAX_ATTEMPTS` backends. */
   async request(call: Call): Promise<ExchangeOutcome> {
     for (const backend of this.candidates().slice(0, MAX_ATTEMPTS)) {
       if (await this.canConnect(backend)) return this.forward(backend, call);
@@ -153,7 +153,7 @@
     return outcome;
   }
 
-  /** A request straight to one node, as `close_looks` does at all of them. */
+  /** Sends a request directly to one controller, as the fault `close_looks` does with every controller. */
   requestAt(node: number, call: Call): Promise<ExchangeOutcome> {
     return this.exchange(this.backends[node] as Backend, call);
   }
--- a/src/simulation/machine-faults.ts
+++ b/src/simulation/machine-faults.ts
@@ -3,7 +3,7 @@
 import type { SimulatedMachine } from './machines.js';
 import type { Fault } from './scenario-schema.js';
 
-/** Machines by number, share or zone, or the one that the event concerns. */
+/** Machines by count, share or zone, or the machine of the event. */
 interface MachineSelector {
   readonly count?: number;
   readonly share?: number;
@@ -29,7 +29,7 @@
   return everything ? all : random.sample(all, Math.max(1, number));
 }
 
-/** Begins a fault of machines; undefined: it is of another kind. */
+/** Begins a fault of machines; returns undefined for other kinds. */
 export function applyToMachines(target: FaultTarget, activation: FaultActivation): EndFault | undefined {
   const { fault } = activation;
   switch (fault.kind) {
--- a/src/simulation/machines.ts
+++ b/src/simulation/machines.ts
@@ -1,4 +1,4 @@
-/** The machines that are up, each with its worker, and their links to the controllers. */
+/** Running machines, each with its worker, and their links to the controllers. */
 import type { Call } from '../http/client.js';
 import type { Millis } from '../model/units.js';
 import { Host, type EventQueue } from './clock.js';
@@ -18,13 +18,13 @@
 
 const HEARTBEAT_TIMEOUT_MS = 4000 as Millis;
 const LATE_COMMAND_DELAY_MS = { low: 2000, high: 16_000 };
-/** Machines of one type differ by a tenth in speed, and by a third in how fast they fetch. */
+/** Random factors by which machines of the same type differ in run time and in fetch rate. */
 const SLOWNESS_FACTOR = { low: 0.95, high: 1.05 };
 const FETCH_RATE_FACTOR = { low: 0.75, high: 1.25 };
-/** A spot machine ends after this many times the notice that it got. */
+/** An interrupted spot machine ends after its notice period multiplied by a factor in this range. */
 const NOTICE_FACTOR = { low: 0.5, high: 1.5 };
 const MIN_LATE_HEARTBEAT_MS = 2000;
-/** A machine counts as one with room from this long after it is up. */
+/** A machine counts as usable only this long after it is up. */
 const USABLE_AFTER_MS = 30_000;
 
 const heartbeatCall = (body: object): Call => ({
@@ -34,13 +34,13 @@
   timeout: HEARTBEAT_TIMEOUT_MS,
 });
 
-/** What happens to messages between workers and controllers besides the network's own faults. */
+/** Faults of messages between workers and controllers, in addition to the faults of the network. */
 export class WorkerLinks {
   lateHeartbeats = { share: 0, forNext: false };
   lateCommandShare = 0;
-  /** Answers and commands to these are lost. */
+  /** Machines that receive no answers and no commands. */
   readonly inboundLost = new Set<Host>();
-  /** Heartbeats of these are lost. */
+  /** Machines whose heartbeats are lost. */
   readonly heartbeatsLost = new Set<Host>();
   private delayedHeartbeats: { readonly from: Host; readonly body: object }[] = [];
 
@@ -55,7 +55,7 @@
   }
 }
 
-/** A machine that is up, with its worker. */
+/** A running machine with its worker. */
 export interface SimulatedMachine {
   readonly spec: MachineSpec;
   readonly host: Host;
@@ -63,7 +63,7 @@
   readonly cloudMachine: CloudMachine;
 }
 
-/** What machines and their workers use of the simulated cluster. */
+/** Dependencies of machines and their workers on the simulated cluster. */
 export interface MachineEnvironment {
   readonly queue: EventQueue;
   readonly random: RandomStream;
@@ -79,7 +79,7 @@
   readonly cloud: () => SimulatedCloud;
 }
 
-/** Starts a worker on each machine that has booted and delivers commands and heartbeats. */
+/** Starts a worker on each machine that has booted, and delivers commands and heartbeats. */
 export class SimulatedMachines {
   private readonly machinesById = new Map<string, SimulatedMachine>();
   private readonly byAddress = new Map<string, SimulatedMachine>();
@@ -90,7 +90,7 @@
     return [...this.machinesById.values()];
   }
 
-  /** Those on which a task could be started now. */
+  /** Returns the machines on which a task could start now. */
   usableMachines(): MachineView[] {
     const { queue } = this.environment;
     return this.all()
@@ -147,7 +147,7 @@
     this.environment.cloud().fail(machine.cloudMachine);
   }
 
-  /** With a notice of about that many seconds; 0: with none. */
+  /** Interrupts a spot machine with a notice of about `noticeS` seconds; 0 means without notice. */
   interrupt(machine: SimulatedMachine, noticeS: number): void {
     const { queue, random, cloud } = this.environment;
     const delayMs = noticeS * 1000 * random.within(NOTICE_FACTOR);
@@ -155,7 +155,7 @@
     queue.after(delayMs, () => cloud().interrupt(machine.cloudMachine));
   }
 
-  /** Who answers at an address; a machine that has been removed is silent. */
+  /** Returns the machine at an address, or null; a removed machine keeps its address and does not answer. */
   endpointAt(address: string): { readonly host: Host; serve(call: Call, reply: Reply): void } | null {
     const machine = this.byAddress.get(address);
     if (!machine) return null;
@@ -201,7 +201,7 @@
     queue.after(delay, () => this.deliverHeartbeatCopy(node, body));
   }
 
-  /** An old heartbeat arrives again; nobody waits for its answer. */
+  /** Delivers a copy of an earlier heartbeat; its answer is discarded. */
   deliverHeartbeatCopy(node: ControllerNode, body: object): void {
     const call = heartbeatCall(body);
     if (node.host.up) node.serve(call, () => undefined);
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -1,39 +1,39 @@
 /**
- * Hosts exchange requests and answers over connections: latency, jitter, loss with resend, and partitions that drop, hold
- * or refuse. A connection that was given up carries no late request; one that stands may deliver what was sent on it long
- * after the sender has given up (PROTOCOL, "Delayed messages").
+ * Simulated network: latency, jitter, loss with resend, and partitions that drop or hold messages or refuse connections.
+ * A failed connection attempt never delivers its request later. An open connection may deliver a request long after its
+ * sender has timed out (PROTOCOL, "Delayed messages").
  */
 import type { CallOutcome } from '../http/client.js';
 import type { EventQueue, Host } from './clock.js';
 import type { RandomStream } from './random.js';
 
-/** What a partition does to packets: lose them, keep them until it heals, or lose them and refuse connections. */
+/** What a partition does to packets: drop them, hold them until it heals, or drop them and refuse new connections. */
 export type PartitionMode = 'drop' | 'hold' | 'refuse';
 
-/** A network fault that stops packets from some hosts to others. */
+/** A network partition: stops packets between the hosts that `blocks` selects. */
 export interface Partition {
   readonly mode: PartitionMode;
   blocks(from: Host, to: Host): boolean;
 }
 
-/** Latencies in milliseconds, within a zone and between zones. */
+/** Latencies in milliseconds within and between zones, with their variation and packet loss. */
 export interface NetworkOptions {
   readonly sameZoneMs: number;
   readonly crossZoneMs: number;
-  /** Share of the latency that varies. */
+  /** Maximum random addition to the latency, as a share of it. */
   readonly jitter: number;
-  /** Share of packets that are lost and sent again. */
+  /** Share of packets that are lost and resent. */
   readonly loss: number;
 }
 
-/** An answer as it travels; `retryAfterS` is in seconds. */
+/** An HTTP answer; `retryAfterS` is in seconds. */
 export interface Response {
   readonly status: number;
   readonly body: unknown;
   readonly retryAfterS?: number;
 }
 
-/** The outcome of an exchange, with the header Retry-After, in seconds, where the answer has one. */
+/** Outcome of an exchange, with the Retry-After header in seconds if the answer has one. */
 export type ExchangeOutcome = CallOutcome & { readonly retryAfterS?: number };
 
 interface HeldMessage {
@@ -46,18 +46,18 @@
   readonly from: Host;
   readonly to: Host;
   readonly timeoutMs: number;
-  /** Runs at the other side; may answer later, or never. */
+  /** Runs on the receiving host; may reply later, or never. */
   readonly serve: (reply: (response: Response) => void) => void;
 }
 
 const RESEND_DELAY_MS = 200;
 const CONNECTION_IDLE_TIMEOUT_MS = 20_000;
 
-/** Delivers packets between hosts and keeps the partitions that stop them. */
+/** Delivers packets between hosts, subject to latency and partitions. */
 export class Network {
   private readonly partitions = new Set<Partition>();
   private heldMessages: HeldMessage[] = [];
-  /** Until when a connection stands, by sender, receiver and their process lifetimes. */
+  /** Time until which a connection stays open, by sender, receiver and their process lifetimes. */
   private readonly connections = new Map<string, number>();
   private readonly lastArrival = new Map<string, number>();
 
@@ -71,7 +71,7 @@
     this.partitions.add(partition);
   }
 
-  /** What was held is delivered in the order in which it was sent. */
+  /** Removes a partition and delivers held messages in the order in which they were sent. */
   heal(partition: Partition): void {
     this.partitions.delete(partition);
     const waiting = this.heldMessages;
@@ -91,7 +91,7 @@
     return base * (1 + this.options.jitter * this.random.unit()) + lost;
   }
 
-  /** One packet; packets between two hosts arrive in order. */
+  /** Sends one packet; packets between two hosts arrive in order. */
   send(from: Host, to: Host, arrive: () => void): void {
     const partition = this.blockingPartition(from, to);
     if (partition) {
@@ -104,11 +104,11 @@
     to.after(arrivesAt - this.queue.now, arrive);
   }
 
-  /** How an attempt to connect ends: established, refused at once, or never answered. */
+  /** Returns the result of a connection attempt: established, refused at once, or never answered. */
   private connect(from: Host, to: Host): 'open' | 'refused' | 'silent' {
     const partition = this.blockingPartition(from, to) ?? this.blockingPartition(to, from);
     if (partition) return partition.mode === 'refuse' ? 'refused' : 'silent';
-    // A machine without power is silent; where only the process has ended, its system refuses.
+    // A machine that is off does not answer; if only a process has ended, its operating system refuses the connection.
     if (!to.up) return to.name.startsWith('m-') ? 'silent' : 'refused';
     return 'open';
   }
--- a/src/simulation/observer.ts
+++ b/src/simulation/observer.ts
@@ -1,7 +1,7 @@
-/** What can be seen from outside: tasks on machines, and what users ask and are told. The invariant checker relies on it alone. */
+/** Observations from outside the controllers, the invariant checker's only events: tasks on machines, users' requests. */
 import type { UserJob } from './user-jobs.js';
 
-/** What does not change about a machine while it is up. */
+/** Immutable properties of a machine. */
 export interface MachineSpec {
   readonly id: string;
   readonly type: string;
@@ -12,7 +12,7 @@
   readonly memoryGb: number;
 }
 
-/** What a user asks for: to submit a job, to ask for its state, to cancel it. */
+/** Kind of a user's request: submit a job, ask for its state, or cancel it. */
 export type UserRequestKind = 'submit' | 'ask' | 'cancel';
 
 /** One request of a user with its answer. */
@@ -22,22 +22,22 @@
   /** When the request was sent and answered, in simulated milliseconds. */
   readonly sentAt: number;
   readonly answeredAt: number;
-  /** null: no answer. */
+  /** HTTP status; null without an answer. */
   readonly status: number | null;
   readonly state: string | null;
-  /** The request was not a plain one: a submission that lacks a field, or a question about a job nobody submitted. */
+  /** The request was deliberately irregular: a malformed submission, or a status request for a job nobody submitted. */
   readonly irregular: boolean;
 }
 
-/** Notified of each event that can be seen from outside the controllers. */
+/** Receives each event that is visible from outside the controllers. */
 export interface Observer {
-  /** The task holds its image on the machine: from now on it is there. */
+  /** The task's image is on the machine; from this moment the task counts as being on it. */
   taskStarted(machine: MachineSpec, task: string): void;
-  /** It exited, was killed, or the machine has ended. */
+  /** The task exited or was killed, or its machine ended. */
   taskEnded(machine: MachineSpec, task: string, completed: boolean): void;
   /** All tasks of a gang run. */
   gangStarted(job: string): void;
-  /** A task has joined an attempt of its gang that had started already, where nobody waits for it. */
+  /** A task has joined an attempt of its gang that had already started. */
   gangRejoined(job: string, task: string): void;
   jobSubmitted(job: UserJob): void;
   cancelRequested(job: string): void;
--- a/src/simulation/random.ts
+++ b/src/simulation/random.ts
@@ -1,11 +1,11 @@
-/** Seeded random numbers. Each component draws from a stream of its own, so that one does not shift another. */
+/** Seeded random numbers. Each component draws from its own stream, so that draws of one do not affect the others. */
 import { createHash } from 'node:crypto';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 const RESOLUTION = 1 << 30;
 
-/** Bounds of random numbers, `high` excluded. */
+/** Range of random numbers: `low` included, `high` excluded. */
 export interface Bounds {
   readonly low: number;
   readonly high: number;
@@ -19,23 +19,23 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** A stream that depends on this one's seed and the label only, not on what was drawn so far. */
+  /** Returns a stream that depends only on this stream's seed and the label, not on the draws so far. */
   fork(label: string): RandomStream {
     const digest = createHash('sha256').update(`${this.seed}/${label}`).digest();
     return new RandomStream(digest.readInt32BE(0));
   }
 
-  /** A whole number from `low` to `high`, both included. */
+  /** Returns an integer from `low` to `high`, both included. */
   integer(low: number, high: number): number {
     return high <= low ? low : uniformInt(this.generator, low, high);
   }
 
-  /** From 0 (included) to 1 (excluded). */
+  /** Returns a number from 0 (included) to 1 (excluded). */
   unit(): number {
     return uniformInt(this.generator, 0, RESOLUTION - 1) / RESOLUTION;
   }
 
-  /** From `low` (included) to `high` (excluded). */
+  /** Returns a number from `low` (included) to `high` (excluded). */
   between(low: number, high: number): number {
     return low + (high - low) * this.unit();
   }
@@ -44,7 +44,7 @@
     return this.between(low, high);
   }
 
-  /** True with the probability `share`. */
+  /** Returns true with the probability `share`. */
   chance(share: number): boolean {
     return this.unit() < share;
   }
@@ -53,7 +53,7 @@
     return items[this.integer(0, items.length - 1)] as T;
   }
 
-  /** Up to `count` different items, in random order. */
+  /** Returns up to `count` distinct items, in random order. */
   sample<T>(items: readonly T[], count: number): T[] {
     const rest = [...items];
     const out: T[] = [];
--- a/src/simulation/rules.ts
+++ b/src/simulation/rules.ts
@@ -1,8 +1,8 @@
-/** The rules that the invariant checker knows, and what it observes of jobs and machines. */
+/** Rules of the invariant checker, and its observations of jobs and machines. */
 import type { MachineSpec } from './observer.js';
 import type { UserJob } from './user-jobs.js';
 
-/** The rules that are checked, by the names under which violations are reported. */
+/** Names of the checked rules, as reported with violations. */
 export const RULES = [
   'ran_twice',
   'quota',
@@ -19,40 +19,40 @@
 /** Name of a rule. */
 export type Rule = (typeof RULES)[number];
 
-/** One breach of a rule; each rule is reported once for each job, task or machine concerned. */
+/** A violation of a rule; reported once per rule and affected job, task or team. */
 export interface Violation {
   readonly rule: Rule;
   /** Simulated seconds since the start. */
   readonly atS: number;
-  /** Number of the event in which it was seen. */
+  /** Number of the event at which it was detected. */
   readonly event: number;
   readonly detail: string;
 }
 
-/** A team's quota as the settings give it. */
+/** Quota limits of a team. */
 export interface TeamQuota {
   readonly name: string;
-  /** 0: none. */
+  /** 0 means no limit, also for GPUs. */
   readonly cpusMax: number;
   readonly gpusMax: number;
 }
 
-/** A machine that is up and well, as seen from outside. */
+/** A usable machine, as seen from outside the controllers. */
 export interface MachineView {
   readonly spec: MachineSpec;
   readonly free: { readonly cpus: number; readonly gpus: number; readonly memoryGb: number };
-  /** Tasks that hold room there, also while they wait for their image. */
+  /** Tasks that occupy resources of the machine, including those still fetching their image. */
   readonly occupyingTasks: readonly string[];
 }
 
-/** What the rules are checked against; `cancelS` is in seconds. */
+/** Limits of the deployment and the machines that the rules refer to; `cancelS` is in seconds. */
 export interface InvariantCheckerOptions {
   readonly teams: readonly TeamQuota[];
   readonly cancelS: number;
   readonly machines: () => readonly MachineView[];
 }
 
-/** What has been seen of one job. */
+/** Observed state of one job. */
 export interface JobObservation {
   readonly job: UserJob;
   readonly machineByTask: Map<string, MachineSpec>;
@@ -61,20 +61,20 @@
   rejected: boolean;
   cancelRequested: boolean;
   finalState: { readonly state: 'done' | 'cancelled'; readonly at: number } | null;
-  /** When the last question was answered, and the first one after it that was not. */
+  /** Time of the last answered status request, and of the first unanswered one after it. */
   lastAnswerAt: number;
   unansweredSince: number | null;
   startableSince: number | null;
-  /** All tasks of the gang run; false for other jobs. */
+  /** All tasks of the gang run; always false for jobs that are not gangs. */
   gangRunning: boolean;
 }
 
-/** Sums of fractions may differ by this much. */
+/** Tolerance for rounding errors in sums of fractional resources. */
 export const EPSILON = 1e-6;
-/** A cancelled task may end this much later than it must, by the rounding of times. */
+/** Tolerance for rounding of times: a cancelled task may end this much after its deadline. */
 export const CANCEL_SLACK_MS = 1;
 
-/** What is counted beside the rules. */
+/** Statistics that are counted in addition to the rules. */
 export interface ObservationCounts {
   starts: number;
   gangStarts: number;
@@ -85,8 +85,8 @@
   cancelled: number;
 }
 
-/** Reports a violation, once for each rule and what it is about. */
+/** Reports a violation, once per rule and subject; `about` identifies the job, task or team. */
 export type ReportViolation = (rule: Rule, about: string, detail: string) => void;
 
-/** The job of a task's name. */
+/** Returns the job id of a task name `job/index`. */
 export const jobIdOf = (task: string): string => task.slice(0, task.lastIndexOf('/'));
--- a/src/simulation/scenario-generator.ts
+++ b/src/simulation/scenario-generator.ts
@@ -1,19 +1,19 @@
-/** Random small scenarios: a deployment, a load, and a few faults that meet, all from one seed. */
+/** Generates random small scenarios from a seed: a deployment, a load, and a few faults that overlap in time. */
 import { FAULT_GENERATORS, GANG_FAULT_GENERATORS } from './fault-generators.js';
 import { RandomStream } from './random.js';
 import { checkScenario, type FaultInput, type Scenario, type ScenarioInput } from './scenario.js';
 
 const ZONES = ['fjord', 'ridge', 'marsh'];
 const TEAMS = ['atlas', 'tides'];
-/** How many of the schedules have gangs. */
+/** Share of schedules with gangs. */
 const GANG_SHARE = 0.8;
-/** Faults begin within this time; what comes after shows whether everything recovers. */
+/** Faults begin between these times; the rest of the run shows whether the cluster recovers. */
 const FAULTS_FROM_S = 12;
 const FAULTS_UNTIL_S = 75;
 const DURATION_S = 240;
-/** No job arrives later. */
+/** No job arrives after this time. */
 const LOAD_UNTIL_S = 110;
-/** What faults that begin together need before `FAULTS_UNTIL_S`. */
+/** Maximum time between the first and the last fault of a schedule to begin. */
 const MAX_FAULT_SPREAD_S = 30;
 
 const EVENT_CHOICES = ['part_claimed', 'cancel_confirmed', 'accepted', 'job_done', 'task_started'] as const;
@@ -56,7 +56,7 @@
   };
 }
 
-/** The stages draw in this order whether or not their load is used: a seed keeps its schedule. */
+/** Draws batch and service loads in this order even if a load is not used, so that a seed keeps its schedule. */
 function randomLoad(random: RandomStream, deployment: Deployment): ScenarioInput['load'] {
   const batch = randomBatchLoad(random, deployment);
   const service = randomServiceLoad(random);
@@ -140,7 +140,7 @@
 function randomFaults(random: RandomStream, deployment: Deployment): FaultInput[] {
   const faults: FaultInput[] = [];
   const number = random.integer(2, 5);
-  // They meet: all begin within some seconds of one another.
+  // All faults begin within `spread` seconds, so that they overlap.
   const start = random.between(FAULTS_FROM_S, FAULTS_UNTIL_S - MAX_FAULT_SPREAD_S);
   const spread = random.pick([1, 8, MAX_FAULT_SPREAD_S]);
   for (let i = 0; i < number; i += 1) {
@@ -156,7 +156,7 @@
   return faults;
 }
 
-/** A scenario of its own for a seed; with a base, its deployment and load with other faults. */
+/** Generates the scenario of a seed; with a base, keeps its deployment and load and generates only the faults. */
 export function randomScenario(seed: number, base: Scenario | null): Scenario {
   const random = new RandomStream(seed).fork('scenario');
   const deployment = base?.deployment ?? randomDeployment(random.fork('deployment'));
--- a/src/simulation/scenario-schema.ts
+++ b/src/simulation/scenario-schema.ts
@@ -1,6 +1,6 @@
 /**
- * The schema of scenario files: a deployment, a load and a schedule of faults, with the defaults of all fields. Names and
- * defaults are a format that kept scenarios rely on.
+ * Schema of scenario files: a deployment, a load and a schedule of faults, with the defaults of all fields. Stored
+ * scenarios rely on the names and the defaults.
  */
 import * as v from 'valibot';
 
@@ -33,11 +33,11 @@
   report_s: v.optional(positiveNumber, 2),
   lease_s: v.optional(positiveNumber, 14),
   cancel_s: v.optional(positiveNumber, 34),
-  /** How long a gang's task waits for the others, and within which time it notices that one is lost. */
+  /** How long a gang's task waits for the others to start, and the time within which it detects the loss of another. */
   gang_wait_s: v.optional(positiveNumber, 20),
   gang_peer_s: v.optional(positiveNumber, 5),
   max_connections: v.optional(positiveInteger, 1500),
-  /** Operators' properties, one a line. */
+  /** Operators' properties, one per line. */
   properties: v.optional(v.string('a text'), ''),
   state: v.optional(
     v.strictObject({
@@ -52,7 +52,7 @@
     v.strictObject({
       rps: v.optional(positiveNumber, 6),
       list_lag_s: v.optional(nonNegativeNumber, 4),
-      /** Machines to be had of each type, zone and kind. */
+      /** Maximum number of machines per type and zone, spot and on-demand each. */
       capacity: v.optional(nonNegativeInteger, 20),
     }),
     {},
@@ -92,7 +92,7 @@
       gpus_max: v.optional(nonNegativeNumber, 0),
     }),
   ),
-  /** Machines that are up at the start. */
+  /** Machines that are running at the start. */
   machines: v.optional(
     v.array(
       v.strictObject({
@@ -121,7 +121,7 @@
   per_minute: v.optional(nonNegativeNumber, 0),
   at_start: v.optional(nonNegativeInteger, 0),
   until_s: v.optional(positiveNumber, 1e9),
-  /** Share of the jobs that their users cancel, and when, counted from their acceptance. */
+  /** Share of jobs that their users cancel, and the time of the cancellation after the job was accepted. */
   cancel_share: v.optional(fraction, 0),
   cancel_after_s: v.optional(range, [1, 30]),
   types: v.optional(v.array(nonEmptyString)),
@@ -133,7 +133,7 @@
   save_s: v.optional(nonNegativeNumber, 0),
 });
 
-/** What may set off a fault; `nth` counts from the time `at_s`. */
+/** Events that can trigger a fault; `nth` counts the events after `at_s`. */
 const EVENTS = [
   'part_claimed',
   'commit',
@@ -150,17 +150,17 @@
 const timing = {
   at_s: v.optional(nonNegativeNumber, 0),
   on: v.optional(v.picklist(EVENTS, `one of ${EVENTS.join(', ')}`)),
-  /** With `on = "commit"`: the key, or what it begins with. */
+  /** With `on = "commit"`: the prefix of a committed key. */
   key: v.optional(nonEmptyString),
   nth: v.optional(positiveInteger, 1),
   after_ms: v.optional(nonNegativeNumber, 0),
 };
 const lasting = { ...timing, for_s: v.optional(nonNegativeNumber, 10) };
-/** A controller by its number, or the one of the event; none: any. */
+/** A controller by index, or the controller of the event; by default a random one. */
 const oneNode = {
   node: v.optional(v.union([nonNegativeInteger, v.literal('event')], 'a number or "event"')),
 };
-/** Machines by number, share or zone, or the one that the event concerns; none: one. */
+/** Machines by count, share or zone, or the machine of the event; by default one random machine. */
 const some = {
   count: v.optional(positiveInteger),
   share: v.optional(fraction),
@@ -218,7 +218,7 @@
   faultKind('surge', { ...lasting, class: nonEmptyString, times: v.optional(positiveNumber, 4) }),
 ]);
 
-/** The schema of a whole scenario file. */
+/** Schema of a whole scenario file. */
 export const scenarioSchema = v.strictObject({
   name: nonEmptyString,
   seed: v.optional(nonNegativeInteger, 1),
@@ -228,17 +228,17 @@
   faults: v.optional(v.array(faultSchema), []),
 });
 
-/** A checked scenario with all defaults filled in; its field names are those of the file. */
+/** A validated scenario with all defaults filled in; its field names are those of the file. */
 export type Scenario = v.InferOutput<typeof scenarioSchema>;
-/** A scenario as a file gives it, with defaults left out. */
+/** A scenario as written in a file; fields with defaults may be omitted. */
 export type ScenarioInput = v.InferInput<typeof scenarioSchema>;
 /** The deployment of a scenario: zones, controllers, limits, teams and machines. */
 export type Deployment = Scenario['deployment'];
-/** One class of jobs and how they arrive. */
+/** One class of jobs and its arrival rate. */
 export type Load = Scenario['load'][number];
-/** One fault, told apart by `kind`. */
+/** One fault; `kind` selects its fields. */
 export type Fault = Scenario['faults'][number];
-/** A fault as a file gives it, with defaults left out. */
+/** A fault as written in a file; fields with defaults may be omitted. */
 export type FaultInput = NonNullable<ScenarioInput['faults']>[number];
-/** Name of an event that may set off a fault. */
+/** Name of an event that can trigger a fault. */
 export type EventName = (typeof EVENTS)[number];
--- a/src/simulation/scenario.ts
+++ b/src/simulation/scenario.ts
@@ -1,4 +1,4 @@
-/** Scenario files (TOML), read and written, and checked with errors that name the field. */
+/** Reads, writes and validates scenario files (TOML); errors name the field. */
 import { parse, stringify, TomlError } from 'smol-toml';
 import * as v from 'valibot';
 import { fieldPath } from '../settings/field-path.js';
@@ -6,12 +6,12 @@
 
 export type { Scenario, ScenarioInput, Deployment, Load, Fault, FaultInput } from './scenario-schema.js';
 
-/** A scenario that cannot be run: one line naming file, field and what was expected. */
+/** Error of an invalid scenario; the message is one line with the file, the field and the expected value. */
 export class ScenarioError extends Error {}
 
 type ExpectKnown = (field: string, known: readonly string[], used: string | undefined) => void;
 
-/** Names that the scenario uses must be those that it defines. */
+/** Checks that every name that the scenario refers to is defined in it, and that `cancel_s` is more than `lease_s`. */
 function checkNames(scenario: Scenario, file: string): void {
   const { lease_s: leaseS, cancel_s: cancelS } = scenario.deployment;
   if (cancelS <= leaseS)
@@ -70,7 +70,7 @@
   });
 }
 
-/** Fills in the defaults and checks everything; `file` names the scenario in errors. Throws ScenarioError. */
+/** Fills in defaults and validates the scenario; `file` names it in errors. Throws ScenarioError. */
 export function checkScenario(input: unknown, file: string): Scenario {
   const result = v.safeParse(scenarioSchema, input, { abortEarly: true });
   if (!result.success) {
@@ -88,7 +88,7 @@
   return result.output;
 }
 
-/** Reads a scenario from TOML; `file` names it in errors. Throws ScenarioError. */
+/** Parses a scenario from TOML; `file` names it in errors. Throws ScenarioError. */
 export function parseScenario(text: string, file: string): Scenario {
   let data: unknown;
   try {
@@ -101,5 +101,5 @@
   return checkScenario(data, file);
 }
 
-/** The scenario as TOML, with all defaults written out; `parseScenario` reads it back. */
+/** Formats the scenario as TOML with all defaults written out; `parseScenario` reads it back. */
 export const formatScenario = (scenario: Scenario): string => stringify(scenario);
--- a/src/simulation/service-faults.ts
+++ b/src/simulation/service-faults.ts
@@ -3,7 +3,7 @@
 
 const LATE_WRITE_DELAY_MS = { low: 2000, high: 12_000 };
 
-/** Begins a fault of the state service; undefined: it is of another kind. */
+/** Begins a fault of the state service; returns undefined for other kinds. */
 export function applyToStore(target: FaultTarget, activation: FaultActivation): EndFault | undefined {
   const { fault, random } = activation;
   const { storeService } = target;
@@ -32,7 +32,7 @@
   }
 }
 
-/** Begins a fault of the cloud, or of messages between workers and controllers; undefined: it is of another kind. */
+/** Begins a fault of the cloud, or of messages between workers and controllers; returns undefined for other kinds. */
 export function applyToCloudAndLinks(target: FaultTarget, { fault }: FaultActivation): EndFault | undefined {
   const { cloud, links } = target;
   switch (fault.kind) {
--- a/src/simulation/settings-text.ts
+++ b/src/simulation/settings-text.ts
@@ -1,10 +1,10 @@
-/** The settings file that the platform hands to one controller of a scenario's deployment. */
+/** Settings file of one controller of a scenario's deployment, as the platform provides it. */
 import { stringify } from 'smol-toml';
 import type { Deployment } from './scenario.js';
 
 const host = (node: number): string => `10.0.0.${node + 1}`;
 
-/** The settings file (TOML) of the controller with the index `node`. */
+/** Formats the settings file (TOML) of the controller with the index `node`. */
 export function formatSettings(deployment: Deployment, node: number): string {
   const known = deployment.controllers
     .map((zone, index) => ({ label: `n${index}`, domain: zone, peer_addr: `${host(index)}:8081` }))
--- a/src/simulation/shrink.ts
+++ b/src/simulation/shrink.ts
@@ -1,19 +1,19 @@
-/** Makes a scenario that breaks a rule smaller, as long as it still breaks the same rule. */
+/** Shrinks a scenario that breaks a rule to a smaller one that still breaks the same rule. */
 import type { Rule } from './invariant-checker.js';
 import type { Fault, Scenario } from './scenario.js';
 import { Simulation } from './simulation.js';
 
-/** Runs that one shrinking may cost. */
+/** Maximum number of simulation runs per shrink. */
 const MAX_RUNS = 80;
 const AFTER_VIOLATION_S = 0.5;
 const MIN_FAULT_DURATION_S = 0.5;
-/** Shrunk durations are whole tenths of a second. */
+/** Shrunk durations are rounded up to tenths of a second. */
 const STEPS_PER_S = 10;
 
-/** When the scenario breaks the rule first, in simulated seconds, or null. */
+/** Returns when the scenario first breaks the rule, in simulated seconds, or null. */
 export type Trial = (scenario: Scenario) => Promise<number | null>;
 
-/** Tries a scenario with its own seed, up to the first break of the rule. */
+/** Returns a trial that runs a scenario with its own seed up to the first violation of the rule. */
 export const trialForRule =
   (rule: Rule): Trial =>
   async (scenario) => {
@@ -39,7 +39,7 @@
     return true;
   }
 
-  /** Leaves out one item after another, the last first; true: something could be left out. */
+  /** Tries to remove each item, the last first; returns whether any could be removed. */
   private async removeItems<T>(
     itemsOf: (scenario: Scenario) => readonly T[],
     replace: (scenario: Scenario, items: T[]) => Scenario,
@@ -67,7 +67,7 @@
   }
 
   async run(): Promise<Scenario> {
-    // The shortest run first: every later trial is as short.
+    // Shortens the run first, so that every later trial is as short.
     if (!(await this.accept(this.best))) return this.best;
     for (let again = true; again;) {
       again = await this.removeItems(
@@ -89,6 +89,6 @@
   }
 }
 
-/** A smaller scenario that still breaks the rule of `trial`, or the scenario itself; costs at most `MAX_RUNS` runs. */
+/** Returns a smaller scenario that breaks the rule of `trial`, or the scenario itself; takes at most `MAX_RUNS` runs. */
 export const shrink = (scenario: Scenario, trial: Trial): Promise<Scenario> =>
   new Shrinker(scenario, trial).run();
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -1,4 +1,4 @@
-/** One run: the real controllers on a modelled outside, from one scenario and one seed. */
+/** One simulation run: the real controllers in a simulated cluster, built from one scenario and one seed. */
 import { pino } from 'pino';
 import { silentLog, type Log } from '../logging/log.js';
 import { SHARDS_PREFIX } from '../shards/codec.js';
@@ -26,30 +26,30 @@
 import { Trace } from './trace.js';
 import { Users } from './users.js';
 
-/** Relative: 0.0005 is 0.05% fast. */
+/** Relative rate error: 0.0005 is 0.05% fast. */
 const MAX_CLOCK_DRIFT = 0.0005;
 const STANDARD_ERROR = 2;
-/** When heartbeats that were kept until the next failover arrive after it. */
+/** Heartbeats that were held back until the next failover arrive this long after a controller claims a shard. */
 const DELAYED_HEARTBEAT_MS = { low: 1, high: 50 };
-/** Between the starts of controllers and machines at the beginning. */
+/** Controllers and machines of the deployment start within this time. */
 const START_SPREAD_MS = 400;
 
-/** How a scenario is run. */
+/** Options of one run of a scenario. */
 export interface SimulationOptions {
   readonly seed: number;
   readonly untilS?: number;
-  /** Keeps the lines of the trace, not only their hash. */
+  /** Keeps the lines of the trace in addition to their hash. */
   readonly keepTrace?: boolean;
-  /** Ends the run as soon as one of these rules is broken. */
+  /** Ends the run at the first violation of one of these rules. */
   readonly stopOnRules?: readonly Rule[];
-  /** Controllers' logs go to standard error at this level; none: no logs. */
+  /** Level at which controllers log to standard error; without it they do not log. */
   readonly logLevel?: LogLevel;
   readonly defects?: readonly Defect[];
-  /** What takes the place of simulated time and controllers, for runs against real processes. */
+  /** Replaces simulated time and controllers in runs against real processes. */
   readonly surroundings?: Surroundings;
 }
 
-/** Time, controllers and addresses of a run that is not simulated as a whole. */
+/** Event queue, controllers and machine addresses of a run in which the controllers are real processes. */
 export interface Surroundings {
   readonly queue: EventQueue;
   readonly machineAddressPrefix: string;
@@ -65,20 +65,20 @@
 
 const SIMULATED_MACHINE_ADDRESSES = '10.1';
 
-/** What a run has shown; the fields are those that `simulate run --json` prints. */
+/** Result of a run; its fields are those that `simulate run --json` prints. */
 export interface SimulationResult {
   readonly scenario: string;
   readonly seed: number;
   readonly simulatedS: number;
   readonly events: number;
-  /** Hash over the whole history. */
+  /** Hash of the whole trace. */
   readonly hash: string;
   readonly violations: readonly Violation[];
   readonly figures: Readonly<Record<string, number>>;
   readonly trace: readonly string[];
 }
 
-/** The simulated cluster of one scenario; an instance runs once. */
+/** Simulated cluster of one scenario; an instance can run only once. */
 export class Simulation {
   readonly queue: EventQueue;
   readonly trace: Trace;
@@ -94,7 +94,7 @@
   readonly links = new WorkerLinks();
   readonly storeHost: Host;
   readonly userHost: Host;
-  /** Share of the jobs that are cancelled at the moment at which they complete. */
+  /** Share of jobs whose users cancel them at the moment their last task completes. */
   cancelOnCompletionShare = 0;
   readonly cloudHost: Host;
   private readonly random: RandomStream;
@@ -271,7 +271,7 @@
     });
   }
 
-  /** Passes on what is observed to the invariant checker, and to the faults what they may wait for. */
+  /** Forwards observations to the invariant checker, and events that can trigger faults to the fault schedule. */
   private observer(): Observer {
     const { invariantChecker: checker } = this;
     return {
@@ -297,7 +297,7 @@
     };
   }
 
-  /** A user may cancel a job at the very moment at which its last task completes. */
+  /** Counts completed tasks; a user may cancel a job at the moment its last task completes. */
   private countCompleted(task: string): void {
     const job = this.storage.jobOf(task);
     if (!job) return;
--- a/src/simulation/startable-jobs.ts
+++ b/src/simulation/startable-jobs.ts
@@ -1,14 +1,14 @@
-/** Which jobs could start by what is free on the machines and left of their team's quota, as seen from outside. */
+/** Decides which jobs could start, from the machines' free resources and the teams' quotas as seen from outside. */
 import { EPSILON, jobIdOf, type JobObservation, type MachineView, type TeamQuota } from './rules.js';
 import type { UserJob } from './user-jobs.js';
 
-/** What the judgement reads beside the job and the machines. */
+/** All observed jobs, and the quotas of the teams. */
 interface Cluster {
   readonly jobs: ReadonlyMap<string, JobObservation>;
   readonly teams: readonly TeamQuota[];
 }
 
-/** Is there quota for a task of the job, or for all tasks of a gang? */
+/** Returns whether the team's quota has room for a task of the job, or for all tasks of a gang. */
 function fitsTeamQuota(
   record: JobObservation,
   machines: readonly MachineView[],
@@ -16,7 +16,7 @@
 ): boolean {
   const { job } = record;
   const limit = teams.find((t) => t.name === job.team);
-  // What a gang holds itself is among its tasks already.
+  // All tasks of a gang are counted here, so the loop skips the tasks of the job itself.
   const tasks = job.shape === 'gang' ? job.tasks : 1;
   let cpus = job.cpus * tasks;
   let gpus = job.gpus * tasks;
@@ -30,7 +30,7 @@
   return limit !== undefined && under(cpus, limit.cpusMax) && under(gpus, limit.gpusMax);
 }
 
-/** Could a task of the job, or the whole gang, start now? Nothing of the job is on any machine. */
+/** Returns whether a job without tasks on machines could start a task now; for a gang that does not run, all tasks. */
 export function isStartable(
   record: JobObservation,
   machines: readonly MachineView[],
@@ -43,7 +43,7 @@
   return !held && record.machineByTask.size === 0 && machines.some((m) => slotsOn(m, job) > 0);
 }
 
-/** How many tasks of the job the machine has room for, those of the job that are there already included. */
+/** Returns how many tasks of the job fit on the machine, including those that occupy it already. */
 function slotsOn(machine: MachineView, job: UserJob): number {
   const { spec, free } = machine;
   if (job.types && !job.types.includes(spec.type)) return 0;
@@ -55,7 +55,7 @@
   return more + machine.occupyingTasks.filter((t) => jobIdOf(t) === job.id).length;
 }
 
-/** Room for all tasks of a gang, in one zone if it asks for that, spread over zones if it asks for that. */
+/** Returns whether all tasks of a gang fit, under its single-zone or spread constraint. */
 function gangFits(job: UserJob, machines: readonly MachineView[]): boolean {
   const byZone = new Map<string, number>();
   for (const machine of machines)
--- a/src/simulation/store-service.ts
+++ b/src/simulation/store-service.ts
@@ -1,4 +1,4 @@
-/** The state service as its clients see it: limits, watches, leases over time, outages and lost or late answers. */
+/** Simulated state service: limits, watches, lease expiry, outages, and lost or late answers. */
 import type { Call } from '../http/client.js';
 import { HTTP_STATUS } from '../http/status.js';
 import type { EventQueue, Host } from './clock.js';
@@ -8,7 +8,7 @@
 import { KeyValueTable, type StoredChange, type TransactionBody } from './key-value-table.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Requests and changes a second, kilobytes a value, changes a transaction. */
+/** Limits: requests and changes per second, kilobytes per value, changes per transaction. */
 export interface StoreServiceLimits {
   readonly rps: number;
   readonly writeRps: number;
@@ -16,24 +16,24 @@
   readonly txnOps: number;
 }
 
-/** What happens to a transaction besides being carried out. */
+/** Fault injected into a transaction. */
 export type TransactionFate =
   | { readonly kind: 'normal' }
   | { readonly kind: 'answer-lost' }
-  /** No answer, and carried out later. */
+  /** The transaction is applied later and gets no answer. */
   | { readonly kind: 'late'; readonly delayMs: number };
 
-/** Sends the answer to a request; where it is never called, the caller gets no answer. */
+/** Sends the answer to a request; if it is never called, the caller gets no answer. */
 export type Reply = (response: Response) => void;
 
 const MAX_TRANSACTION_BYTES = 64 * 1024;
 const MAX_LEASE_EXPIRY_DELAY_MS = 100;
 const MAX_LISTED_KEYS = 1000;
-/** Now and then a response takes a few hundred milliseconds. */
+/** Share of responses that are slow, and their additional delay. */
 const SLOW_RESPONSE_SHARE = 0.003;
 const SLOW_RESPONSE_MS = { low: 100, high: 400 };
 const RESPONSE_DELAY_MS = { low: 0.5, high: 4 };
-/** Conditions that a transaction may have, as a multiple of the changes that it may have. */
+/** Maximum number of conditions of a transaction, as a multiple of its maximum number of changes. */
 const CONDITIONS_PER_CHANGE = 4;
 const BYTES_PER_KB = 1024;
 
@@ -43,20 +43,20 @@
   endsAt: number;
 }
 
-/** Serves the HTTP interface of the state service over a table. */
+/** Serves the HTTP interface of the state service from a `KeyValueTable`. */
 export class StoreService {
   readonly table: KeyValueTable;
-  /** Nobody is served. */
+  /** While set, all requests are refused. */
   outage = false;
-  /** Controllers that alone are refused. */
+  /** Names of the controllers whose requests are refused. */
   readonly refusedControllers = new Set<string>();
-  /** Keys on a page of a list at most. */
+  /** Maximum number of keys per page of a list. */
   maxListedKeys = MAX_LISTED_KEYS;
-  /** Added to every response. */
+  /** Additional delay of every response. */
   extraDelayMs = 0;
   nextTransactionFate: () => TransactionFate = () => ({ kind: 'normal' });
   onCommit: (body: TransactionBody, from: string) => void = () => undefined;
-  /** How often something was refused for a limit. */
+  /** Number of requests that were refused because of a rate limit. */
   throttledRequests = 0;
   private readonly leases = new Map<number, Lease>();
   private readonly watches = new Set<() => void>();
@@ -194,7 +194,7 @@
     return { status: HTTP_STATUS.ok, body: { mooring: id } };
   }
 
-  /** A lease may end a little late, never early; in an outage none ends. */
+  /** Leases may expire slightly late, never early, and not during an outage. */
   private scheduleLeaseExpiry(id: number): void {
     const lease = this.leases.get(id);
     if (!lease) return;
@@ -239,7 +239,7 @@
     const from = Number(url.searchParams.get('from') ?? 0);
     let timedOut = false;
     const deliver = (): void => {
-      // A watch that is open in an outage stays open.
+      // Watches that are open during an outage stay open.
       if (this.isUnavailableTo(node)) return;
       const changes = this.table.changesAfter(prefix, from);
       if (changes !== null && changes.length === 0 && !timedOut) return;
--- a/src/simulation/token-bucket.ts
+++ b/src/simulation/token-bucket.ts
@@ -1,4 +1,4 @@
-/** Limits of the simulated services on requests a second. */
+/** Request rate limits of the simulated services. */
 import type { EventQueue } from './clock.js';
 
 /** A token bucket that holds `burstS` seconds' worth of requests. */
--- a/src/simulation/trace.ts
+++ b/src/simulation/trace.ts
@@ -1,8 +1,8 @@
-/** What happened, as lines of text, and a hash over all of it: the same scenario and seed give the same hash. */
+/** Trace of a run as lines of text with a hash: the same scenario and seed give the same hash. */
 import { createHash } from 'node:crypto';
 import type { EventQueue } from './clock.js';
 
-/** The history of one run; its lines are kept only if asked for. */
+/** Records the events of one run; keeps the lines only if `keep` is set, the hash always. */
 export class Trace {
   readonly lines: string[] = [];
   private readonly hash = createHash('sha256');
--- a/src/simulation/user-faults.ts
+++ b/src/simulation/user-faults.ts
@@ -1,14 +1,15 @@
-/** What users do at the worst moment: cancellations, irregular requests, polling everywhere, a surge of jobs. */
+/** Faults caused by users: cancellations, irregular requests, polling of all controllers, surges of jobs. */
 import type { EndFault, FaultActivation, FaultTarget } from './fault-target.js';
 import type { SimulatedMachine } from './machines.js';
 import type { RandomStream } from './random.js';
 
-/** Cancellations of `cancel_now` fall within a fifth of a second; at most so many machines hang with them. */
+/** The cancellations of one `cancel_now` are sent within this time. */
 const CANCEL_SPREAD_MS = 200;
+/** Maximum number of machines that one `cancel_now` makes hang. */
 const MAX_HANGING_MACHINES = 8;
 const IRREGULAR_REQUEST_INTERVAL_MS = 400;
 
-/** Begins a fault that users bring about; null also for faults of another kind. */
+/** Begins a fault caused by users; returns null if there is nothing to end, and for other kinds. */
 export function applyToUsers(target: FaultTarget, { fault, random }: FaultActivation): EndFault {
   const { users, queue, arrivals } = target;
   switch (fault.kind) {
@@ -33,7 +34,7 @@
   }
 }
 
-/** Jobs that run are cancelled at nearly the same moment, and some of their machines hang. */
+/** Cancels random unfinished jobs at nearly the same time, and makes some of their machines hang. */
 function cancelNow(target: FaultTarget, number: number, hangS: number, random: RandomStream): void {
   const { users, queue, machines } = target;
   const chosen = random.sample(users.unfinished(), number).map((job) => job.id);
--- a/src/simulation/user-jobs.ts
+++ b/src/simulation/user-jobs.ts
@@ -1,9 +1,9 @@
-/** The jobs that simulated users submit, and what is true of them: how long a task runs, what is saved, what is done. */
+/** Jobs that simulated users submit, with their run times, and storage of their checkpoints and results. */
 
-/** Priority of a job, in the names of scenario files and of the HTTP interface. */
+/** Priority of a job, as named in scenario files and in the HTTP interface. */
 export type UserPriority = 'critical' | 'urgent' | 'standard' | 'best_effort';
 
-/** A job as its user knows it; times in seconds, sizes in gigabytes. */
+/** A user's job; times in seconds, sizes in gigabytes. */
 export interface UserJob {
   readonly id: string;
   readonly class: string;
@@ -24,13 +24,13 @@
   readonly estimateS: number;
   readonly checkpointIntervalS: number;
   readonly checkpointDurationS: number;
-  /** How long a task really runs; Infinity for services. */
+  /** Actual run time of a task; Infinity for services. */
   readonly runS: number;
 }
 
 const WIRE_SHAPES = { array: 'batch', gang: 'gang', service: 'standing' } as const;
 
-/** The body of a submission, in the words of PROTOCOL. */
+/** Encodes the body of a submission, with the field names of PROTOCOL. */
 export const encodeSubmission = (job: UserJob): Record<string, unknown> => ({
   uid: job.id,
   lane: job.class,
@@ -54,15 +54,15 @@
   tideS: null,
 });
 
-/** What workers look up: descriptions that users have uploaded, checkpoints and results, all kept outside machines. */
+/** Storage outside the machines that workers read and write: uploaded job descriptions, checkpoints and results. */
 export class JobStorage {
   readonly jobs = new Map<string, UserJob>();
-  /** Progress that was saved, in milliseconds of run time, by task; that of a gang by its job. */
+  /** Saved progress in milliseconds of run time, by task, or by job for gangs. */
   readonly checkpoints = new Map<string, number>();
-  /** Tasks whose result is kept. */
+  /** Names of tasks whose result is stored. */
   readonly results = new Set<string>();
 
-  /** Keeps what was saved at the last of the regular checkpoints, `key` being a task or the job of a gang. */
+  /** Stores the progress of the last regular checkpoint; `key` is a task, or the job of a gang. */
   keepLastCheckpoint(key: string, job: UserJob, progressMs: number): void {
     const intervalMs = job.checkpointIntervalS * 1000;
     if (intervalMs <= 0) return;
@@ -70,7 +70,7 @@
     this.checkpoints.set(key, Math.max(this.checkpoints.get(key) ?? 0, kept));
   }
 
-  /** The job of a task, by the task's name `job/index`; null: there is no such task. */
+  /** Returns the job of a task with the name `job/index`, or null if there is no such task. */
   jobOf(task: string): UserJob | null {
     const cut = task.lastIndexOf('/');
     const job = this.jobs.get(task.slice(0, cut));
--- a/src/simulation/user-response-checker.ts
+++ b/src/simulation/user-response-checker.ts
@@ -1,4 +1,4 @@
-/** Checks what users are told: `forgotten`, `invented`, `went_back`, `not_done`, and that cancelled work is gone in time. */
+/** Checks answers to users: `forgotten`, `invented`, `went_back`, `not_done`, and that cancelled tasks end in time. */
 import type { EventQueue } from './clock.js';
 import type { UserResponse } from './observer.js';
 import {
@@ -11,13 +11,13 @@
 const UNANSWERED_WHILE_OTHERS_SERVED_MS = 90_000;
 const UNANSWERED_WITHOUT_FAULTS_MS = 75_000;
 
-// The status codes by which the wire tells what became of a request; kept here, as no code is shared.
+// HTTP statuses of answers; defined here because the checker shares no code with the controllers.
 const OK_STATUS = 200;
 const CREATED_STATUS = 201;
 const NOT_FOUND_STATUS = 404;
 const REJECTED_STATUSES: readonly (number | null)[] = [400, 422];
 
-/** What the checker shares with that of the machines. */
+/** State and options shared with the invariant checker. */
 export interface UserResponseContext {
   readonly jobs: ReadonlyMap<string, JobObservation>;
   readonly counts: ObservationCounts;
@@ -25,7 +25,7 @@
   readonly report: ReportViolation;
 }
 
-/** Follows the answers that users get. */
+/** Checks each answer that a user receives against the observed state of the job. */
 export class UserResponseChecker {
   private readonly jobs: ReadonlyMap<string, JobObservation>;
   private readonly counts: ObservationCounts;
@@ -43,7 +43,7 @@
     this.report = context.report;
   }
 
-  /** Looks for unfinished jobs whose questions stay unanswered. */
+  /** Reports unfinished jobs whose status requests stay unanswered for too long. */
   review(unfinished: readonly JobObservation[], faultFreeSince: number | null): void {
     const { now } = this.queue;
     this.recentPolls = this.recentPolls.filter((p) => p.at > now - UNANSWERED_WHILE_OTHERS_SERVED_MS);
@@ -52,7 +52,7 @@
     for (const record of unfinished) this.checkForgotten(record, now, othersServed, faultFreeSince);
   }
 
-  /** A user has been answered. */
+  /** Checks one request's outcome; `status` is null if the request was not answered. */
   receive(response: UserResponse): void {
     const record = this.jobs.get(response.job);
     if (response.kind === 'ask' && record) this.recordPoll(record, response);
--- a/src/simulation/users.ts
+++ b/src/simulation/users.ts
@@ -1,4 +1,4 @@
-/** Users: submit with retries, poll, cancel until it is confirmed, ask again later; and the odd ones among them. */
+/** Simulated users: submit with retries, poll, cancel until confirmed, poll again later, and send irregular requests. */
 import type { Call } from '../http/client.js';
 import { HTTP_STATUS } from '../http/status.js';
 import type { Millis } from '../model/units.js';
@@ -16,7 +16,7 @@
 const SUBMIT_RETRY_PERIOD_MS = 60_000;
 const RETRY_DELAY_MS = 1000;
 const POLL_INTERVAL_FACTOR = { low: 0.9, high: 1.1 };
-/** After its end a job is asked about this often again, each time after such a pause; some requests are submissions. */
+/** Number of requests after a job's end, the pause before each, and the share of them that repeat the submission. */
 const LATE_REQUESTS = 2;
 const LATE_REQUEST_DELAY_MS = { low: 1000, high: 40_000 };
 const LATE_SUBMISSION_SHARE = 0.3;
@@ -24,14 +24,14 @@
 /** More CPUs than any machine has. */
 const IMPOSSIBLE_CPUS = 1e6;
 const MAX_RETRY_DELAY_S = 30;
-/** How often each node is polled, and how far apart, while `pollAllNodesOnChange` is set. */
+/** Number of polls of each node after a change, and their interval, while `pollAllNodesOnChange` is set. */
 const POLL_ROUNDS = 3;
 const POLL_ROUND_INTERVAL_MS = 4;
 
-/** What a user is told that may set off a fault. */
+/** Answers to users that can trigger a fault. */
 export type UserEvent = 'accepted' | 'cancel_confirmed' | 'job_done';
 
-/** The number of controllers, and who is notified of what users are told. */
+/** Number of controllers, and the callback for answers that can trigger a fault. */
 export interface UsersOptions {
   readonly controllers: number;
   readonly onEvent: (event: UserEvent, job: string) => void;
@@ -43,9 +43,9 @@
   cancelling: boolean;
 }
 
-/** Follows each job from its submission until its user knows how it ended. */
+/** Simulates the users of all jobs, from submission until each user knows the job's final state. */
 export class Users {
-  /** While set, users ask at all nodes at once after each change that they are told of. */
+  /** While set, users poll all nodes at once after each state change that they learn of. */
   pollAllNodesOnChange = false;
   private readonly trackedJobs = new Map<string, TrackedJob>();
 
@@ -112,7 +112,7 @@
     if (this.pollAllNodesOnChange) void this.pollAllNodes(job);
   }
 
-  /** Asks all nodes, again and again within milliseconds, and repeats the submission. */
+  /** Polls all nodes in rounds a few milliseconds apart, and repeats the submission in each round. */
   private async pollAllNodes(id: string): Promise<void> {
     const job = this.trackedJobs.get(id)?.job;
     for (let look = 0; look < POLL_ROUNDS; look += 1) {
@@ -125,7 +125,7 @@
     }
   }
 
-  /** One job from its submission to its end, as its user sees it. */
+  /** Simulates one job's user: submission, polling until the job ends, and a few late requests. */
   async runJob(job: UserJob, cancelAfterMs: number | null): Promise<void> {
     const tracked: TrackedJob = { job, state: null, cancelling: false };
     this.trackedJobs.set(job.id, tracked);
@@ -156,7 +156,7 @@
     return false;
   }
 
-  /** Cancels a job, again and again until the answer says cancelled or done. */
+  /** Cancels a job; repeats the request until the answer is `cancelled` or `done`. */
   cancel(id: string): void {
     const tracked = this.trackedJobs.get(id);
     if (!tracked || tracked.cancelling) return;
@@ -173,7 +173,7 @@
     }
   }
 
-  /** Accepted jobs of which no user has heard the end, in order of submission. */
+  /** Returns jobs that are pending or running as far as users know and not being cancelled, in order of submission. */
   unfinished(): UserJob[] {
     return [...this.trackedJobs.values()]
       .filter(
@@ -182,7 +182,10 @@
       .map((tracked) => tracked.job);
   }
 
-  /** One odd request: a repeated submission, a cancellation of a done job, a bad job, or a question about no job. */
+  /**
+   * Sends one irregular request: a repeated submission, the cancellation of a job that is done, a repeated submission
+   * that lacks a field, a malformed job, or a status request for a job that does not exist.
+   */
   sendIrregularRequest(number: number): void {
     const done = [...this.trackedJobs.values()].filter((tracked) => tracked.state === 'done');
     const open = this.unfinished();
@@ -193,7 +196,7 @@
     } else if (choice === 1 && done.length > 0) {
       void this.request('cancel', this.random.pick(done).job.id);
     } else if (choice === 2 && open.length > 0) {
-      // A repetition that lacks a field: the job is known, so it may not be refused.
+      // A repeated submission that lacks a field: the job is known, so the request must not be refused.
       const job = this.random.pick(open);
       void this.request('submit', job.id, { body: without(encodeSubmission(job), 'vcpus') });
     } else if (choice === 3) this.submitMalformed(number);
@@ -212,7 +215,7 @@
   }
 }
 
-/** What the answer asks for, within bounds. */
+/** Returns the retry delay that the answer asks for, within bounds. */
 const retryDelayMs = (retryAfterS: number): number =>
   Math.max(RETRY_DELAY_MS, Math.min(MAX_RETRY_DELAY_S, retryAfterS) * 1000);
 
--- a/src/simulation/worker-task.ts
+++ b/src/simulation/worker-task.ts
@@ -1,4 +1,4 @@
-/** Tasks of a simulated worker, and commands and statuses as they travel. */
+/** Tasks of a simulated worker, and the wire format of commands and task statuses. */
 import type { EventQueue, ScheduledTimer } from './clock.js';
 import type { Defects } from './defects.js';
 import type { GangAttempt, GangExit, GangMember, GangRegistry } from './gangs.js';
@@ -7,7 +7,7 @@
 import type { Trace } from './trace.js';
 import type { JobStorage, UserJob } from './user-jobs.js';
 
-/** What the tasks of a worker use of the simulated cluster. */
+/** Dependencies of a worker's tasks on the simulated cluster. */
 export interface TaskEnvironment {
   readonly queue: EventQueue;
   readonly random: RandomStream;
@@ -18,7 +18,7 @@
   readonly defects: Defects;
 }
 
-/** A command as it travels to a worker. */
+/** A command to a worker, in its wire format. */
 export interface WireCommand {
   readonly order: 'launch' | 'kill' | 'clear';
   readonly leg: string;
@@ -26,14 +26,14 @@
   readonly ebbS?: number;
 }
 
-/** The body of a request with commands that comes straight to a machine. */
+/** Body of a request with commands that a controller sends directly to a machine. */
 export interface DirectCommandBody {
   readonly helm?: number;
   readonly watch?: number;
   readonly orders?: readonly WireCommand[];
 }
 
-/** Why a task has exited, in the words of the wire. */
+/** Why a task has exited, in wire names. */
 export type ExitCause = GangExit | 'error' | 'full' | 'busy' | 'unknown';
 
 /** One attempt of a task on a machine. */
@@ -44,15 +44,15 @@
   status: 'pulling' | 'gathering' | 'running' | 'saving' | 'exited';
   cause: ExitCause | null;
   saved: boolean;
-  /** When the present run began, and how much was saved before it, in milliseconds. */
+  /** When the current run began, and the progress that was restored at its start, in milliseconds of run time. */
   runningSince: number;
   progressBefore: number;
   timer: ScheduledTimer | null;
-  /** Its place among the tasks of its gang, once it has its image. */
+  /** The gang attempt that it has joined, once its image is fetched; null for tasks of other jobs. */
   gang: { readonly attempt: GangAttempt; readonly member: GangMember } | null;
 }
 
-/** What a heartbeat says of a task. */
+/** Encodes the status of a task for a heartbeat. */
 export const encodeTaskStatus = (task: WorkerTask): object => ({
   leg: task.name,
   sailing: task.attempt,
--- a/src/simulation/worker-tasks.ts
+++ b/src/simulation/worker-tasks.ts
@@ -1,4 +1,4 @@
-/** The tasks of one simulated worker: launch, images, run time, checkpoints, gangs and exit, as PROTOCOL says. */
+/** Tasks of one simulated worker: launch, image fetch, run time, checkpoints, gangs and exit, as in PROTOCOL. */
 import type { Host } from './clock.js';
 import type { GangMember } from './gangs.js';
 import type { ImageCache } from './image-cache.js';
@@ -12,17 +12,17 @@
   type WorkerTask,
 } from './worker-task.js';
 
-/** How long after its start a task of a failing machine fails. */
+/** A task on a failing machine fails this long after its start. */
 const FAILURE_DELAY_MS = { low: 200, high: 1500 };
-/** With the defect `worker-claims-done`: when a task pretends to be done. */
+/** With the defect `worker-claims-done`, a task reports completion this long after its start. */
 const FALSE_COMPLETION_DELAY_MS = 1000;
 const EPSILON = 1e-9;
 
-/** Starts and ends tasks on one machine; `noteStatusChange` is called whenever a heartbeat would say something new. */
+/** Starts and ends tasks on one machine; calls `noteStatusChange` when the content of the next heartbeat has changed. */
 export class WorkerTasks {
-  /** Every task that it starts fails. */
+  /** While set, every task that starts on the machine fails. */
   failing = false;
-  /** How much longer than normal its tasks run. */
+  /** Factor by which the run time of tasks is longer than nominal. */
   slowness = 1;
   private readonly tasks = new Map<string, WorkerTask>();
 
@@ -45,17 +45,17 @@
     return free;
   }
 
-  /** Names of the tasks that hold room here, those that wait for their image included. */
+  /** Names of the tasks that occupy resources here, including those that wait for their image. */
   occupyingTasks(): string[] {
     return [...this.tasks.values()].filter((task) => task.status !== 'exited').map((task) => task.name);
   }
 
-  /** What a heartbeat says of all tasks. */
+  /** Encodes the statuses of all tasks for a heartbeat. */
   encodeStatuses(): object[] {
     return [...this.tasks.values()].map(encodeTaskStatus);
   }
 
-  /** Carries out a command; one that does not fit the state of its task has no effect. */
+  /** Executes a command; it has no effect if the task's state does not allow it. */
   execute(command: WireCommand): void {
     const key = `${command.leg}#${command.sailing}`;
     const existing = this.tasks.get(key);
@@ -103,7 +103,7 @@
     this.images.request(job.image, job.imageGb, key, () => this.startTask(task));
   }
 
-  /** The image is here: the task is on the machine from now on. */
+  /** Starts a task whose image has been fetched; it counts as being on the machine from now on. */
   private startTask(task: WorkerTask): void {
     const { observer, storage, queue, trace } = this.environment;
     if (task.status !== 'pulling') return;
@@ -120,7 +120,7 @@
     this.noteStatusChange();
   }
 
-  /** The image is here: the task is on the machine, and waits for the others of its gang. */
+  /** Starts a gang's task whose image has been fetched; it waits for the other tasks of its attempt. */
   private joinGang(task: WorkerTask, job: UserJob): void {
     const { observer, storage, trace, random, gangs } = this.environment;
     task.status = 'gathering';
@@ -162,7 +162,7 @@
     };
   }
 
-  /** Sets the timer of what comes next: completion, failure, or the next checkpoint. */
+  /** Schedules the exit of a task that has just started: completion or failure. */
   private scheduleExit(task: WorkerTask): void {
     const { storage, defects, random } = this.environment;
     const { job } = task;
@@ -187,7 +187,7 @@
     task.timer = this.host.after(delay, () => this.exit(task, cause));
   }
 
-  /** Run time so far, in normal speed. */
+  /** Progress so far, in milliseconds of run time at nominal speed. */
   private progressMs(task: WorkerTask): number {
     return task.progressBefore + (this.environment.queue.now - task.runningSince) / this.slowness;
   }
@@ -223,7 +223,7 @@
     this.noteStatusChange();
   }
 
-  /** Takes the task off the machine; what it saved by itself is kept. */
+  /** Removes the task from the machine; keeps the progress up to its last regular checkpoint. */
   private removeTask(task: WorkerTask, completed: boolean): void {
     const { observer, storage, defects } = this.environment;
     task.timer?.cancel();
@@ -238,12 +238,12 @@
     observer.taskEnded(this.spec, task.name, reallyCompleted);
   }
 
-  /** The machine hangs from now on: the gangs of its tasks make no progress. */
+  /** Handles the start of a hang: the gangs of the machine's tasks stop making progress. */
   hang(): void {
     for (const { gang } of this.tasks.values()) gang?.attempt.hang(gang.member);
   }
 
-  /** The machine goes on after having hung since `from`. */
+  /** Resumes tasks after a hang that began at `from`; their exits are postponed by its duration. */
   resumeAfterHang(from: number): void {
     const { queue } = this.environment;
     for (const task of this.tasks.values()) {
@@ -262,7 +262,7 @@
       this.exitAfter(task, this.failing ? 'error' : 'done', Math.max(0, total - done));
   }
 
-  /** Ends every task without a trace on the machine. */
+  /** Ends and forgets every task. */
   forgetAll(): void {
     for (const task of this.tasks.values()) this.removeTask(task, false);
     this.tasks.clear();
--- a/src/simulation/worker.ts
+++ b/src/simulation/worker.ts
@@ -1,4 +1,4 @@
-/** One machine's worker: heartbeats, agent epochs, fencing tokens, lease, commands and tasks, as PROTOCOL says. */
+/** Simulated worker of one machine: heartbeats, agent epochs, fencing tokens, lease and commands, as in PROTOCOL. */
 import type { Call } from '../http/client.js';
 import { HTTP_STATUS } from '../http/status.js';
 import type { Host, ScheduledTimer } from './clock.js';
@@ -8,16 +8,16 @@
 import type { Response } from './network.js';
 import type { MachineSpec } from './observer.js';
 
-/** The times of the settings that workers keep. */
+/** Heartbeat interval and lease duration of workers, from the settings. */
 export interface WorkerTimes {
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
 }
 
-/** What a worker reaches: the controllers by number, null for no answer. */
+/** Sends a heartbeat to the controller with an index; resolves to null without an answer. */
 export type HeartbeatLink = (controller: number, body: object) => Promise<Response | null>;
 
-/** What a worker uses of the simulated cluster. */
+/** Dependencies of a worker on the simulated cluster. */
 export interface WorkerEnvironment extends TaskEnvironment {
   readonly controllers: readonly string[];
   readonly times: WorkerTimes;
@@ -26,13 +26,13 @@
 
 const MIN_HEARTBEAT_INTERVAL_MS = 500;
 const LEASE_CHECK_INTERVAL_MS = 100;
-/** Heartbeats come at intervals that differ by this factor from the settings'. */
+/** Each heartbeat interval is the configured interval multiplied by a factor in this range. */
 const HEARTBEAT_INTERVAL_FACTOR = { low: 0.75, high: 1.25 };
-/** A redirected worker turns to the other controller within this time. */
+/** A redirected worker sends its heartbeat to the shard leader within this time. */
 const REDIRECT_DELAY_MS = { low: 0, high: 500 };
 const RETRY_DELAY_MS = 1000;
 
-/** One machine's worker; `serve` takes commands, heartbeats go out through its environment. */
+/** Simulated worker of one machine: `serve` handles direct requests, heartbeats go out through the environment. */
 export class Worker {
   interruptionAt: number | null = null;
   readonly tasks: WorkerTasks;
@@ -152,7 +152,7 @@
     return true;
   }
 
-  /** Also while the machine hangs: it may go on within its lease only. */
+  /** Checks the lease on the event queue, so also while the machine hangs: tasks must not outlive the lease. */
   private scheduleLeaseCheck(): void {
     const { lifetime } = this.host;
     this.environment.queue.after(LEASE_CHECK_INTERVAL_MS, () => {
@@ -162,7 +162,7 @@
     });
   }
 
-  /** Without an answer in time the worker kills and forgets every task and goes on to its next agent epoch. */
+  /** If the lease was not renewed in time, kills and forgets every task and starts the next agent epoch. */
   private expireLease(): void {
     const { queue, times, defects, trace } = this.environment;
     if (queue.now - this.leaseRenewedAt <= times.leaseMs) return;
@@ -174,7 +174,7 @@
     this.noteStatusChange();
   }
 
-  /** A request that came straight to the machine's address. */
+  /** Handles a request sent directly to the machine's address. */
   serve(call: Call): Response {
     this.expireLease();
     if (call.path === '/status') return { status: HTTP_STATUS.ok, body: this.buildHeartbeat() };
@@ -193,7 +193,7 @@
     this.noteStatusChange();
   }
 
-  /** The machine does nothing for a while; its tasks lose that time. */
+  /** Makes the machine hang for a while; its tasks make no progress meanwhile. */
   hang(duration: number): void {
     if (this.hangingSince !== null) return;
     const from = this.environment.queue.now;
@@ -207,7 +207,7 @@
     });
   }
 
-  /** The machine has ended with all that was on it. */
+  /** Ends the machine and all tasks on it. */
   destroy(): void {
     this.host.end();
     this.tasks.forgetAll();
--- a/test/simulation/gang-model.test.ts
+++ b/test/simulation/gang-model.test.ts
@@ -1,4 +1,4 @@
-/** The simulator's gangs: each row of the page that describes them, and what its judge says of controllers that ignore it. */
+/** The simulator's gangs, as in PROTOCOL's page on gangs, and violations of it that the invariant checker reports. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { EventQueue, Host } from '../../src/simulation/clock.js';
@@ -25,7 +25,7 @@
   readonly saved?: boolean;
 }
 
-/** Workers without controllers: the test gives the orders. */
+/** Workers without controllers: the test sends the commands. */
 class WorkersFixture {
   readonly queue = new EventQueue();
   readonly storage = new JobStorage();
@@ -81,7 +81,7 @@
         controllers: ['n0'],
         times: { heartbeatIntervalMs: 1000, leaseMs: 10_000 },
         defects: new Set(),
-        // Every report is answered, with nothing to do.
+        // Every heartbeat is answered, without commands.
         sendHeartbeat: () => Promise.resolve({ status: 200, body: { helm: 1, orders: [] } }),
       },
     );
@@ -95,7 +95,7 @@
     assert.equal(answer?.status, 200);
   }
 
-  /** Tasks 0, 1, ... on machines 0, 1, ... */
+  /** Launches task 0 on machine 0, task 1 on machine 1, and so on. */
   launchAll(attempt: number, tasks = GANG.tasks): void {
     for (let i = 0; i < tasks; i += 1) this.sendCommand(`m-${i}`, 'launch', i, attempt);
   }
@@ -108,7 +108,7 @@
     return (this.workers.get(machine)?.buildHeartbeat() as { legs: readonly HeartbeatTask[] }).legs;
   }
 
-  /** What the tasks' own machines say of them: the state, or the cause of their end. */
+  /** Status, or exit cause, of each task as its machine reports it. */
   taskStates(tasks = GANG.tasks): string[] {
     return Array.from({ length: tasks }, (_, i) => {
       const task = this.heartbeatTasks(`m-${i}`).find((t) => t.leg === `${JOB}/${i}`);
@@ -138,7 +138,7 @@
   runS: 30,
 };
 
-test('tasks wait for each other, start together with the last of them, and complete together', async () => {
+test('tasks wait for each other, start together once the last one joins, and complete together', async () => {
   const fixture = new WorkersFixture();
   fixture.launchAll(1, 2);
   await fixture.runTo(8);
@@ -165,7 +165,7 @@
   assert.deepEqual(fixture.taskStates(), ['done', 'done', 'done']);
 });
 
-test('a gang that stays incomplete gives up, each task after its own wait', async () => {
+test('tasks of a gang that stays incomplete exit, each after its own start timeout', async () => {
   const fixture = new WorkersFixture();
   fixture.sendCommand('m-0', 'launch', 0, 1);
   await fixture.runTo(5);
@@ -176,7 +176,7 @@
   assert.deepEqual(fixture.taskStates(), ['alone', 'alone', 'none']);
 });
 
-test('before the start a task that is gone can be replaced under the same attempt', async () => {
+test('before the start a lost task can be replaced in the same attempt', async () => {
   const fixture = new WorkersFixture();
   fixture.launchAll(1, 2);
   await fixture.runTo(3);
@@ -190,7 +190,7 @@
   assert.deepEqual(fixture.violatedRules(), []);
 });
 
-test('a task that waits and is told to stop exits at once, and the others go on waiting', async () => {
+test('a gathering task that is told to stop exits at once, and the others continue to wait', async () => {
   const fixture = new WorkersFixture();
   fixture.launchAll(1, 2);
   await fixture.runTo(3);
@@ -198,19 +198,19 @@
   assert.deepEqual(fixture.taskStates(), ['gathering', 'halted', 'none']);
 });
 
-test('a running gang that loses a task ends within the peer time, at its last checkpoint', async () => {
+test('a running gang that loses a task ends within the peer timeout and keeps its last checkpoint', async () => {
   const fixture = new WorkersFixture();
   fixture.launchAll(1);
   await fixture.runTo(13);
   fixture.workers.get('m-2')?.destroy();
   await fixture.runTo(13.4);
-  assert.equal(fixture.taskStates()[0], 'running', 'it runs on until it notices');
+  assert.equal(fixture.taskStates()[0], 'running', 'it runs until it detects the loss');
   await fixture.runTo(18.2);
   assert.deepEqual(fixture.taskStates().slice(0, 2), ['peers', 'peers']);
   assert.equal(fixture.progressS(), 10);
 });
 
-test('a machine that hangs for long ends its gang, also its own task; one that hangs for a moment delays it', async () => {
+test('a long hang of a machine ends its gang, including its own task; a short hang only delays the gang', async () => {
   const long = new WorkersFixture();
   long.launchAll(1);
   await long.runTo(8);
@@ -229,7 +229,7 @@
   assert.deepEqual(short.taskStates(), ['done', 'done', 'done']);
 });
 
-test('an orderly stop that reaches all in time saves everything, and the next attempt goes on from there', async () => {
+test('an orderly stop that reaches all tasks in time saves progress, and the next attempt resumes from it', async () => {
   const fixture = new WorkersFixture();
   fixture.launchAll(1);
   await fixture.runTo(9);
@@ -237,13 +237,17 @@
     fixture.sendCommand(`m-${i}`, 'kill', i, 1, CHECKPOINT_DURATION_S);
     await fixture.runTo(9 + i + 1);
   }
-  assert.deepEqual(fixture.taskStates(), ['saving', 'saving', 'saving'], 'the first waits for the others');
+  assert.deepEqual(
+    fixture.taskStates(),
+    ['saving', 'saving', 'saving'],
+    'the first task waits for the others',
+  );
   await fixture.runTo(13.5);
   assert.deepEqual(fixture.taskStates(), ['halted', 'halted', 'halted']);
   assert.ok(fixture.heartbeatTasks('m-0').every((t) => t.saved));
   assert.ok(
     fixture.progressS() > 8.5 && fixture.progressS() < 9.1,
-    `progress ends with the first order: ${fixture.progressS()}`,
+    `progress ends with the first stop command: ${fixture.progressS()}`,
   );
   fixture.launchAll(2);
   await fixture.runTo(33);
@@ -255,7 +259,7 @@
   assert.ok([0, 1, 2].every((i) => fixture.heartbeatTasks(`m-${i}`).some((t) => t.cause === 'done')));
 });
 
-test('a stop that does not reach all in time, or comes with too little grace, falls back to the checkpoint', async () => {
+test('a stop that reaches a task too late, or has too short a grace period, falls back to the last checkpoint', async () => {
   const late = new WorkersFixture();
   late.launchAll(1);
   await late.runTo(9);
@@ -277,7 +281,7 @@
   assert.equal(hasty.progressS(), 5);
 });
 
-test('a task of a gang whose result is kept exits with it as soon as it has its image', async () => {
+test('a gang task whose result is already stored exits as done as soon as its image is fetched', async () => {
   const fixture = new WorkersFixture({ runS: 4 });
   fixture.launchAll(1);
   await fixture.runTo(6);
@@ -288,7 +292,7 @@
   assert.deepEqual(fixture.violatedRules(), []);
 });
 
-test('the invariant checker reports a gang restarted while an old task runs', async () => {
+test('the invariant checker reports a gang that is restarted while a task of the old attempt runs', async () => {
   const fixture = new WorkersFixture();
   fixture.launchAll(1);
   await fixture.runTo(9);
@@ -299,19 +303,19 @@
   assert.deepEqual(fixture.violatedRules(), ['ran_twice']);
 });
 
-test('the invariant checker reports a zone that a single-zone gang must not have, also while only old tasks are elsewhere', async () => {
+test('the invariant checker reports a second zone of a single-zone gang, also among tasks of two attempts', async () => {
   const fixture = new WorkersFixture({ sameZone: true });
   fixture.launchAll(1);
   await fixture.runTo(9);
   fixture.workers.get('m-0')?.destroy();
   await fixture.runTo(9.2);
-  // m-3 is in another zone than the tasks of the old attempt that have not noticed yet.
+  // m-3 is in another zone than the tasks of the old attempt, which have not yet detected the loss.
   fixture.sendCommand('m-3', 'launch', 0, 2);
   await fixture.runTo(9.4);
   assert.deepEqual(fixture.violatedRules(), ['wrong_place']);
 });
 
-test('the invariant checker reports a lost task of a running gang that is replaced', async () => {
+test('the invariant checker reports the replacement of a lost task in a running gang', async () => {
   const fixture = new WorkersFixture();
   fixture.launchAll(1);
   await fixture.runTo(9);
--- a/test/simulation/schedules.test.ts
+++ b/test/simulation/schedules.test.ts
@@ -1,4 +1,4 @@
-/** Shrunk schedules that broke a rule: each must break none. Those whose cause stands are listed in KNOWN-RED.txt. */
+/** Replays shrunk schedules that once broke a rule: each must break none. Open faults are listed in KNOWN-RED.txt. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { test } from 'node:test';
--- a/test/simulation/simulation.test.ts
+++ b/test/simulation/simulation.test.ts
@@ -1,4 +1,4 @@
-/** The simulator: determinism, scenario errors, a judge that finds each broken rule, shrinking, and a short fuzz. */
+/** The simulator: determinism, scenario errors, detection of each violated rule, shrinking, and a short fuzz. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -82,7 +82,7 @@
   ...new Set(result.violations.map((v) => v.rule)),
 ];
 
-test('the same scenario and seed give the same history, another seed another one', async () => {
+test('the same scenario and seed give the same history, and a different seed gives a different one', async () => {
   const scenario = randomScenario(11, null);
   const short = { ...scenario, duration_s: 60 };
   const [first, second] = [await runScenario(short), await runScenario(short)];
@@ -93,7 +93,7 @@
   assert.notEqual(first.hash, other.hash);
 });
 
-test('every example scenario runs, with its faults and without a violated invariant', async () => {
+test('every example scenario runs with all its faults and without a violated invariant', async () => {
   const files = readdirSync(SCENARIOS).filter((f) => f.endsWith('.toml'));
   assert.ok(files.length >= 5);
   for (const file of files) {
@@ -105,7 +105,7 @@
   }
 });
 
-test('a scenario that cannot be run is refused in one line that names the field', () => {
+test('an invalid scenario is rejected with a one-line error that names the field', () => {
   const text = (candidate: ScenarioInput): string => formatScenario(candidate as Scenario);
   const expectError = (file: string, pattern: RegExp): void =>
     assert.throws(
@@ -139,14 +139,14 @@
   expectError(text({ ...stranger, load }), /load\[0\]\.team: expected one of atlas, got "nobody"/);
 });
 
-test('a scenario written as a file reads back as it was', () => {
+test('a formatted scenario parses back to the same scenario', () => {
   for (let seed = 1; seed <= 200; seed += 1) {
     const scenario = randomScenario(seed, null);
     assert.deepEqual(parseScenario(formatScenario(scenario), 'copy'), scenario);
   }
 });
 
-/** A judge of its own with a clock, and what a broken history is made of. */
+/** An invariant checker with its own event queue, and helpers to build histories. */
 class CheckerFixture {
   readonly queue = new EventQueue();
   machines: MachineView[] = [];
@@ -190,7 +190,7 @@
 
 type History = (fixture: CheckerFixture) => void | Promise<void>;
 
-/** For each rule histories that break it, and next to them one that does not. */
+/** For each rule, histories that break it, each paired with a similar history that does not. */
 const HISTORIES: readonly { rule: Rule; name: string; broken: History; sound: History }[] = [
   {
     rule: 'ran_twice',
@@ -350,19 +350,19 @@
   },
   {
     rule: 'forgotten',
-    name: 'every question about a job fails for 90 s while others are answered',
+    name: 'every status request for a job fails for 90 s while others are answered',
     broken: (fixture) => pollsOfTwoJobs(fixture, () => null),
     sound: (fixture) => pollsOfTwoJobs(fixture, (at) => (at === 60_000 ? 200 : null)),
   },
   {
     rule: 'forgotten',
-    name: 'no question is answered for 75 s after all faults',
+    name: 'no status request is answered for 75 s after all faults',
     broken: (fixture) => pollsInQuiet(fixture, 80_000),
     sound: (fixture) => pollsInQuiet(fixture, 70_000),
   },
   {
     rule: 'invented',
-    name: 'a job that nobody submitted gets 200',
+    name: 'a status request for a job that nobody submitted gets 200',
     broken: (fixture) => fixture.answer('ask', 200, 'running'),
     sound: (fixture) => fixture.answer('ask', 404, null),
   },
@@ -395,7 +395,7 @@
       complete(fixture, 2);
       await fixture.queue.run(10);
       fixture.answer('ask', 200, 'done');
-      // Asked before the other answer came: it may say what was so then.
+      // Sent before the previous answer arrived, so the answer may report the earlier state.
       fixture.answer('ask', 200, 'running', { sentAt: 5 });
     },
   },
@@ -487,7 +487,7 @@
   await fixture.queue.run(until);
 }
 
-/** The machine next to it has room for that many CPUs; the job's tasks take two. */
+/** A job waits while a machine has `cpus` free CPUs; each task needs two. */
 async function waitsBesideFreeCapacity(
   fixture: CheckerFixture,
   cpus: number,
@@ -502,7 +502,7 @@
   await fixture.queue.run(100_000);
 }
 
-/** One of two tasks is on a machine, which has room for the other. */
+/** One of a gang's two tasks is on a machine, which has room for the other. */
 async function gangJoinsSlowly(fixture: CheckerFixture, runs: boolean): Promise<void> {
   fixture.submit({ shape: 'gang' });
   fixture.answer('submit', 201, 'pending');
@@ -516,14 +516,14 @@
   await fixture.queue.run(100_000);
 }
 
-test('the invariant checker finds each violation in a history that has it, and nothing in its neighbour', async () => {
+test('the invariant checker finds the violation in each broken history, and none in its sound counterpart', async () => {
   for (const { rule, name, broken, sound } of HISTORIES) {
     const bad = new CheckerFixture();
     await broken(bad);
     assert.deepEqual(bad.violatedRules(), [rule], name);
     const good = new CheckerFixture();
     await sound(good);
-    assert.deepEqual(good.violatedRules(), [], `next to: ${name}`);
+    assert.deepEqual(good.violatedRules(), [], `sound counterpart of: ${name}`);
   }
   assert.deepEqual(new Set(HISTORIES.map((h) => h.rule)), new Set(RULES), 'every rule has a history');
 });
@@ -542,7 +542,7 @@
   per_minute: 30,
 }));
 
-/** Faults of the model that the controllers cannot answer for, and the rule that breaks with them. */
+/** Defects of simulated services and workers, and the rule that each one violates although controllers are correct. */
 const DEFECTS: readonly { defect: Defect; rule: Rule; scenario: Scenario }[] = [
   {
     defect: 'state-ignores-conditions',
@@ -593,7 +593,7 @@
   { defect: 'worker-claims-done', rule: 'not_done', scenario: smallScenario() },
 ];
 
-test('with a defect in the model the invariant checker finds the violated rule; without it nothing is violated', async () => {
+test('with a simulated defect the invariant checker finds the violated rule; without it no rule is violated', async () => {
   for (const { defect, rule, scenario } of DEFECTS) {
     assert.deepEqual(violatedRules(await runScenario(scenario)), [], `without ${defect}`);
     const found = violatedRules(await runScenario(scenario, [defect], [rule]));
@@ -601,7 +601,7 @@
   }
 });
 
-test('a job that asks for one zone and to be spread breaks neither promise', async () => {
+test('a job that asks for a single zone and for spreading violates neither constraint', async () => {
   const load: ScenarioInput['load'] = [
     {
       class: 'pair',
@@ -618,8 +618,8 @@
   assert.deepEqual(result.violations, []);
 });
 
-test('capacity is not reserved for tasks that must be in another zone, or in none: a peer may use it', async () => {
-  // In one zone the third task of a spread job must stay away; what its controller has room for is another's.
+test('capacity is not reserved for tasks that must run in another zone or cannot run at all: a peer may use it', async () => {
+  // With one zone, the third task of a spread job cannot be placed; its controller's free capacity must go to its peer.
   const deployment: ScenarioInput['deployment'] = {
     ...smallInput().deployment,
     zones: ['fjord'],
@@ -646,7 +646,7 @@
   }
 });
 
-test('a task that no zone may take does not keep others of its size from being handed to a peer', async () => {
+test('a task that no zone can take does not prevent the transfer of other tasks of its size to a peer', async () => {
   const deployment: ScenarioInput['deployment'] = {
     ...smallInput().deployment,
     zones: ['fjord'],
@@ -673,7 +673,7 @@
   }
 });
 
-test('tasks whose hand-over is refused are placed again, also when a scheduling cycle ran while they were moving', async () => {
+test('tasks whose transfer is refused are queued again, even if a scheduling cycle ran during the transfer', async () => {
   const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, new Map());
   shard.reconciled = true;
   const spec = buildJobSpec({ id: 'req-1', tasks: 2 });
@@ -701,10 +701,10 @@
   answer({ kind: 'refused' });
   await new Promise((resolve) => setImmediate(resolve));
   assert.equal(job.waiting.size, 2);
-  assert.ok(shard.queue.has(job), 'the next round sees it');
+  assert.ok(shard.queue.has(job), 'the next scheduling cycle sees the job');
 });
 
-/** What arrives, and how each request ends, when a cut of this kind comes between two of them. */
+/** Sends requests before and during a partition of this mode; returns when they arrive and how each exchange ends. */
 async function exchangeThroughCut(mode: PartitionMode): Promise<{ arrived: number[]; outcomes: string[] }> {
   const queue = new EventQueue();
   const options = { sameZoneMs: 1, crossZoneMs: 1, jitter: 0, loss: 0 };
@@ -722,7 +722,7 @@
   const cut = { mode, blocks: (): boolean => true };
   ask();
   queue.after(100, () => network.addPartition(cut));
-  // On the connection that stands, then one for which a new connection is needed.
+  // The first request uses the open connection, the second needs a new one.
   queue.after(200, ask);
   queue.after(2000, ask);
   queue.after(5000, () => network.heal(cut));
@@ -730,7 +730,7 @@
   return { arrived, outcomes };
 }
 
-test('a cut drops, holds or refuses: what was sent may arrive late, an attempt to connect never does', async () => {
+test('in a partition a sent request may be held and arrive late; a failed connection attempt delivers nothing', async () => {
   const held = await exchangeThroughCut('hold');
   assert.deepEqual(held, { arrived: [3, 5001], outcomes: ['answer', 'unknown', 'unsent'] });
   const dropped = await exchangeThroughCut('drop');
@@ -739,7 +739,7 @@
   assert.deepEqual(refused, { arrived: [3], outcomes: ['answer', 'unknown', 'unsent'] });
 });
 
-test('shrinking keeps the faults without which the rule holds, and the shortest run', async () => {
+test('shrinking keeps only the faults that the violation needs, and shortens the run', async () => {
   const faults: FaultInput[] = [
     { kind: 'state_outage', at_s: 10, for_s: 20 },
     { kind: 'close_looks', at_s: 11, for_s: 20 },
@@ -756,10 +756,10 @@
   );
   assert.ok(result.duration_s <= 31);
   const outage = result.faults[0];
-  assert.ok(outage && 'for_s' in outage && outage.for_s < 2, 'what need not last is shortened');
+  assert.ok(outage && 'for_s' in outage && outage.for_s < 2, 'the duration of the outage is shortened');
 });
 
-test('a break in a real run is shrunk to a file that replays exactly', async () => {
+test('a violation in a real run is shrunk to a file that replays exactly', async () => {
   const defects: Defect[] = ['worker-ignores-tokens'];
   const faults: FaultInput[] = [
     LATE_COMMANDS,
@@ -784,7 +784,7 @@
   assert.equal(first.hash, second.hash);
 });
 
-test('a short fuzz from fixed seeds breaks no rule of safety', async () => {
+test('a short fuzz with fixed seeds breaks no safety rule', async () => {
   const safety = RULES.filter((r) => r !== 'left_waiting');
   for (let seed = 101; seed <= 104; seed += 1) {
     const outcome = await fuzzOne(seed, null, safety);
