--- a/src/simulation/arrivals.ts
+++ b/src/simulation/arrivals.ts
@@ -28,8 +28,8 @@
   ) {}
 
   /** Multiplies the arrival rate of a class; an arrival that is already scheduled keeps its time. */
-  setRateFactor(name: string, times: number): void {
-    this.rateFactors.set(name, times);
+  setRateFactor(jobClass: string, factor: number): void {
+    this.rateFactors.set(jobClass, factor);
   }
 
   start(loads: readonly Load[]): void {
@@ -53,7 +53,7 @@
 
   private arrive(load: Load, random: RandomStream): void {
     this.jobCount += 1;
-    const service = load.shape === 'service';
+    const isService = load.shape === 'service';
     const runS = random.between(load.run_s[0], load.run_s[1]);
     const job: UserJob = {
       // Users choose the ids, so they arrive in no particular order.
@@ -76,10 +76,10 @@
       estimateS: runS * random.within(ESTIMATE_FACTOR),
       checkpointIntervalS: load.checkpoint_s,
       checkpointDurationS: load.save_s,
-      runS: service ? Infinity : runS,
+      runS: isService ? Infinity : runS,
     };
-    const cancelled = random.chance(load.cancel_share);
+    const isCancelled = random.chance(load.cancel_share);
     const cancelS = random.between(load.cancel_after_s[0], load.cancel_after_s[1]);
-    this.submit(job, cancelled ? cancelS * 1000 : NO_CANCELLATION);
+    this.submit(job, isCancelled ? cancelS * 1000 : NO_CANCELLATION);
   }
 }
--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -39,7 +39,7 @@
 const FAILED_BOOT_SHARE = 0.01;
 const INITIAL_MACHINE_AGE_MS = 600_000;
 const RESPONSE_DELAY_MS = { low: 30, high: 150 };
-const LATE_EXECUTION_MS = { low: 2000, high: 12_000 };
+const LATE_EXECUTION_DELAY_MS = { low: 2000, high: 12_000 };
 const FAST_BOOT_MS = { low: 300, high: 2000 };
 /** Factors on the boot time of a machine's type: of every boot, and in addition of slow boots. */
 const BOOT_TIME_FACTOR = { low: 0.6, high: 1.5 };
@@ -61,7 +61,7 @@
   /** While set, machines boot within two seconds. */
   fastBoots = false;
   /** Share of scale-out and scale-in requests that get no answer and are executed later. */
-  lateShare = 0;
+  lateExecutionShare = 0;
   /** While set, scale-out requests are refused. */
   outOfCapacity = false;
   private readonly machinesByIdempotencyKey = new Map<string, string[]>();
@@ -97,12 +97,12 @@
     if (url.pathname === '/catalog')
       return { status: HTTP_STATUS.ok, body: { hulls: this.options.types.map(encodeInstanceType) } };
     if (call.method === 'GET') return this.list(url);
-    const carryOut = (): Response =>
+    const execute = (): Response =>
       url.pathname === '/hosts/delete'
         ? this.scaleIn(call.body as { berths: string[] })
         : this.scaleOut(call.body as ScaleOutBody);
-    if (!this.random.chance(this.lateShare)) return carryOut();
-    this.queue.after(this.random.within(LATE_EXECUTION_MS), carryOut);
+    if (!this.random.chance(this.lateExecutionShare)) return execute();
+    this.queue.after(this.random.within(LATE_EXECUTION_DELAY_MS), execute);
     return null;
   }
 
@@ -113,14 +113,14 @@
     const valid =
       type?.zones.includes(body.harbor) && body.number >= 1 && body.number <= MAX_MACHINES_PER_SCALE_OUT;
     if (!type || !valid) return { status: HTTP_STATUS.badRequest, body: { error: 'malformed' } };
-    const rented = [...this.machines.values()].filter(
+    const existingCount = [...this.machines.values()].filter(
       (machine) =>
         machine.removedAt === Infinity &&
         machine.type === type &&
         machine.zone === body.harbor &&
         machine.spot === body.driftboats,
     ).length;
-    const count = Math.min(body.number, this.options.capacity - rented);
+    const count = Math.min(body.number, this.options.capacity - existingCount);
     if (count <= 0 || this.outOfCapacity)
       return { status: HTTP_STATUS.serviceUnavailable, body: { error: 'no capacity' } };
     const machineIds = Array.from(
@@ -134,7 +134,7 @@
     return { status: HTTP_STATUS.ok, body: { berths: machineIds } };
   }
 
-  /** Creates a machine; `bootMs` is the boot time in the initial deployment, null for one drawn by the type. */
+  /** Creates a machine; `bootMs` is the boot time in the initial deployment, null to draw one for the type. */
   create(
     type: SimulatedInstanceType,
     zone: string,
@@ -142,26 +142,26 @@
     bootMs: number | null = null,
   ): CloudMachine {
     // Machines of the initial deployment were created long before the start.
-    const age = bootMs === null ? 0 : INITIAL_MACHINE_AGE_MS;
-    const number = this.machines.size;
+    const ageMs = bootMs === null ? 0 : INITIAL_MACHINE_AGE_MS;
+    const index = this.machines.size;
     const machine: CloudMachine = {
-      id: `m-${String(number).padStart(6, '0')}`,
+      id: `m-${String(index).padStart(6, '0')}`,
       type,
       zone,
       spot,
-      endpoint: `${this.options.addressPrefix}.${Math.floor(number / MACHINES_PER_SUBNET)}.${number % MACHINES_PER_SUBNET}:9000`,
-      rentedAt: this.queue.now - age,
+      endpoint: `${this.options.addressPrefix}.${Math.floor(index / MACHINES_PER_SUBNET)}.${index % MACHINES_PER_SUBNET}:9000`,
+      rentedAt: this.queue.now - ageMs,
       readyAt: Infinity,
       failedAt: Infinity,
       removedAt: Infinity,
     };
     this.machines.set(machine.id, machine);
-    const boot = bootMs ?? this.bootTime(type);
-    if (Number.isFinite(boot)) this.queue.after(boot, () => this.boot(machine));
+    const bootTimeMs = bootMs ?? this.drawBootTimeMs(type);
+    if (Number.isFinite(bootTimeMs)) this.queue.after(bootTimeMs, () => this.boot(machine));
     return machine;
   }
 
-  private bootTime(type: SimulatedInstanceType): number {
+  private drawBootTimeMs(type: SimulatedInstanceType): number {
     if (this.random.chance(FAILED_BOOT_SHARE)) return Infinity;
     if (this.fastBoots) return this.random.within(FAST_BOOT_MS);
     const slowness = this.random.chance(SLOW_BOOT_SHARE) ? this.random.within(SLOW_BOOT_FACTOR) : 1;
--- a/src/simulation/controller-faults.ts
+++ b/src/simulation/controller-faults.ts
@@ -2,7 +2,7 @@
 import type { Host } from './clock.js';
 import type { ControllerNode } from './controller-node.js';
 import {
-  partition,
+  startPartition,
   selectNode,
   type EndFault,
   type FaultActivation,
@@ -11,7 +11,7 @@
 import type { RandomStream } from './random.js';
 import type { Fault } from './scenario-schema.js';
 
-/** Unless the fault gives a restart time, it is the deployment's multiplied by a factor in this range. */
+/** If a fault gives no restart time, the deployment's is used, multiplied by a factor in this range. */
 const RESTART_TIME_FACTOR = { low: 0.8, high: 1.2 };
 
 function stopNode(
@@ -50,13 +50,18 @@
       return partitionNode(target, fault, selectNode(target, fault.node, activation).host);
     case 'peers_refused': {
       const isNode = (host: Host): boolean => nodes.some((node) => node.host === host);
-      return partition(target, 'refuse', (a, b) => isNode(a) && isNode(b));
+      return startPartition(target, 'refuse', (a, b) => isNode(a) && isNode(b));
     }
     case 'zone_cut':
-      return partition(target, fault.mode, (a, b) => (a.zone === fault.zone) !== (b.zone === fault.zone));
+      return startPartition(
+        target,
+        fault.mode,
+        (a, b) => (a.zone === fault.zone) !== (b.zone === fault.zone),
+      );
     case 'zones_cut': {
-      const between = (a: Host, b: Host): boolean => a.zone === fault.zone && b.zone === fault.other_zone;
-      return partition(target, fault.mode, (a, b) => between(a, b) || between(b, a));
+      const connectsZones = (a: Host, b: Host): boolean =>
+        a.zone === fault.zone && b.zone === fault.other_zone;
+      return startPartition(target, fault.mode, (a, b) => connectsZones(a, b) || connectsZones(b, a));
     }
     default:
       return undefined;
@@ -69,13 +74,17 @@
   host: Host,
 ): () => void {
   const { storeHost, userHost, nodes } = target;
-  const everything = !fault.from_state && !fault.from_peers && !fault.from_workers && !fault.from_users;
+  const isCutOffFromAll = !fault.from_state && !fault.from_peers && !fault.from_workers && !fault.from_users;
   const isCutOff = (other: Host): boolean => {
-    if (everything) return true;
+    if (isCutOffFromAll) return true;
     if (other === storeHost) return fault.from_state;
     if (other === userHost) return fault.from_users;
     if (nodes.some((node) => node.host === other)) return fault.from_peers;
     return other.name.startsWith('m-') && fault.from_workers;
   };
-  return partition(target, fault.mode, (a, b) => (a === host && isCutOff(b)) || (b === host && isCutOff(a)));
+  return startPartition(
+    target,
+    fault.mode,
+    (a, b) => (a === host && isCutOff(b)) || (b === host && isCutOff(a)),
+  );
 }
--- a/src/simulation/controller-node.ts
+++ b/src/simulation/controller-node.ts
@@ -24,10 +24,10 @@
   readonly store: { readonly host: Host; serve(from: Host, call: Call, reply: Reply): void };
   readonly cloud: { readonly host: Host; serve(call: Call, reply: Reply): void };
   /** Returns the machine at an address, or null. */
-  readonly machine: (
+  readonly findMachine: (
     address: Address,
   ) => { readonly host: Host; serve(call: Call, reply: Reply): void } | null;
-  readonly node: (name: string) => ControllerNode | undefined;
+  readonly findPeer: (name: string) => ControllerNode | undefined;
   readonly tuning: string;
 }
 
@@ -97,17 +97,17 @@
   }
 
   private ports(): Ports {
-    const { store: state, cloud, machine } = this.environment;
-    const storeCaller = this.caller(state.host, (call, reply) => state.serve(this.host, call, reply));
+    const { store, cloud, findMachine } = this.environment;
+    const storeClient = this.buildClient(store.host, (call, reply) => store.serve(this.host, call, reply));
     return {
-      state: storeCaller,
-      stateWatch: storeCaller,
-      cloud: this.caller(cloud.host, (call, reply) => cloud.serve(call, reply)),
+      state: storeClient,
+      stateWatch: storeClient,
+      cloud: this.buildClient(cloud.host, (call, reply) => cloud.serve(call, reply)),
       worker: (address) => ({
         call: (call) => {
-          const target = machine(address);
+          const target = findMachine(address);
           if (!target) return this.unreachable(call);
-          return this.caller(target.host, (received, reply) => target.serve(received, reply)).call(call);
+          return this.buildClient(target.host, (received, reply) => target.serve(received, reply)).call(call);
         },
         close: () => undefined,
       }),
@@ -121,7 +121,7 @@
   }
 
   /** Builds a client for a service; promises of a process that has ended are never resolved. */
-  private caller(
+  private buildClient(
     to: Host,
     serve: (call: Call, reply: Reply) => void,
   ): { call: (call: Call) => Promise<CallOutcome> } {
@@ -144,7 +144,7 @@
   private mesh(receive: (message: unknown) => void): PeerTransport {
     this.receive = receive;
     const send = (to: string, message: unknown): void => {
-      const peer = this.environment.node(to);
+      const peer = this.environment.findPeer(to);
       if (!peer?.host.up) return;
       const bytes = frame(message);
       this.environment.network.send(this.host, peer.host, () => {
--- a/src/simulation/fault-schedule.ts
+++ b/src/simulation/fault-schedule.ts
@@ -66,10 +66,10 @@
       trace.add(`fault ${fault.kind} begins`);
       // Each fault has its own random stream, so that removing other faults does not change its choices.
       const random = this.random.fork(`${fault.kind}/${fault.at_s}`);
-      const end = this.apply({ fault, event, random });
-      const lasts = 'for_s' in fault ? fault.for_s * 1000 : 0;
-      queue.after(lasts, () => {
-        end?.();
+      const endFault = this.apply({ fault, event, random });
+      const durationMs = 'for_s' in fault ? fault.for_s * 1000 : 0;
+      queue.after(durationMs, () => {
+        endFault?.();
         trace.add(`fault ${fault.kind} ends`);
         this.active -= 1;
         this.updateFaultsOver();
--- a/src/simulation/fault-target.ts
+++ b/src/simulation/fault-target.ts
@@ -25,7 +25,7 @@
   readonly machine?: string;
 }
 
-/** A fault at the moment it begins; `event` is the triggering event, or null. */
+/** A fault at the moment it begins; `event` is the event that triggered it, or null. */
 export interface FaultActivation<F extends Fault = Fault> {
   readonly fault: F;
   readonly event: SimulationEvent | null;
@@ -68,7 +68,11 @@
 }
 
 /** Adds a network partition; returns a function that heals it. */
-export function partition(target: FaultTarget, mode: PartitionMode, blocks: Partition['blocks']): () => void {
+export function startPartition(
+  target: FaultTarget,
+  mode: PartitionMode,
+  blocks: Partition['blocks'],
+): () => void {
   const partition: Partition = { mode, blocks };
   target.network.addPartition(partition);
   return () => target.network.heal(partition);
--- a/src/simulation/fuzz-run.ts
+++ b/src/simulation/fuzz-run.ts
@@ -26,13 +26,13 @@
 
 const HEADER = '# Shrunk by "simulate fuzz"; replay: simulate run FILE\n';
 
-async function findingOf(scenario: Scenario, violation: Violation): Promise<FuzzFinding> {
-  const small = await shrink(scenario, trialForRule(violation.rule));
-  const about = `# Breaks ${violation.rule}; before it was shrunk: ${violation.detail}\n`;
+async function buildFinding(scenario: Scenario, violation: Violation): Promise<FuzzFinding> {
+  const shrunk = await shrink(scenario, trialForRule(violation.rule));
+  const description = `# Breaks ${violation.rule}; before it was shrunk: ${violation.detail}\n`;
   return {
     violation,
-    file: `${HEADER}${about}${formatScenario(small)}`,
-    faults: small.faults.map((f) => f.kind),
+    file: `${HEADER}${description}${formatScenario(shrunk)}`,
+    faults: shrunk.faults.map((f) => f.kind),
   };
 }
 
@@ -47,7 +47,7 @@
     const result = await new Simulation(scenario, { seed, stopOnRules: rules }).run();
     const { simulatedS, events, hash } = result;
     const violation = result.violations.find((v) => rules.includes(v.rule));
-    const finding = violation ? await findingOf(scenario, violation) : null;
+    const finding = violation ? await buildFinding(scenario, violation) : null;
     return { seed, simulatedS, events, hash, finding, error: null };
   } catch (error) {
     return { seed, simulatedS: 0, events: 0, hash: '', finding: null, error: String((error as Error).stack) };
--- a/src/simulation/fuzz.ts
+++ b/src/simulation/fuzz.ts
@@ -16,15 +16,15 @@
 }
 
 /** Sends schedules to one child process, one at a time, until none is left. */
-function drive(
+function runSchedules(
   child: ChildProcess,
-  next: () => FuzzRequest | null,
-  done: FuzzOptions['onOutcome'],
+  nextRequest: () => FuzzRequest | null,
+  onOutcome: FuzzOptions['onOutcome'],
 ): Promise<void> {
   return new Promise((resolve, reject) => {
     let finished = false;
     const send = (): void => {
-      const request = next();
+      const request = nextRequest();
       if (request) child.send(request);
       else {
         finished = true;
@@ -32,7 +32,7 @@
       }
     };
     child.on('message', (outcome) => {
-      done(outcome as FuzzOutcome);
+      onOutcome(outcome as FuzzOutcome);
       send();
     });
     child.on('error', reject);
@@ -49,7 +49,7 @@
   const base = options.base === null ? null : formatScenario(options.base);
   const outcomes: FuzzOutcome[] = [];
   let started = 0;
-  const next = (): FuzzRequest | null => {
+  const nextRequest = (): FuzzRequest | null => {
     if (started >= options.runs) return null;
     started += 1;
     return { seed: options.firstSeed + started - 1, base, rules: options.rules };
@@ -59,7 +59,7 @@
   const children = Array.from({ length: jobs }, () => fork(program, { execArgv: [] }));
   await Promise.all(
     children.map((child) =>
-      drive(child, next, (outcome) => {
+      runSchedules(child, nextRequest, (outcome) => {
         outcomes.push(outcome);
         options.onOutcome(outcome);
       }),
--- a/src/simulation/gangs.ts
+++ b/src/simulation/gangs.ts
@@ -35,7 +35,7 @@
 /** The tasks of a gang exit within this time after its last task has saved. */
 const EXIT_SPREAD_MS = 60;
 
-type AttemptPhase = 'gathering' | 'running' | 'stopping' | 'broken' | 'over';
+type AttemptPhase = 'gathering' | 'running' | 'stopping' | 'failed' | 'ended';
 
 interface GangEnvironment {
   readonly queue: EventQueue;
@@ -51,11 +51,11 @@
   private phase: AttemptPhase = 'gathering';
   private readonly members = new Set<GangMember>();
   /** Tasks that were present when the attempt started. */
-  private readonly started = new Set<GangMember>();
-  private readonly stopRequested = new Set<GangMember>();
-  private readonly checkpointed = new Set<GangMember>();
+  private readonly startedMembers = new Set<GangMember>();
+  private readonly stoppingMembers = new Set<GangMember>();
+  private readonly savedMembers = new Set<GangMember>();
   /** Progress of the job in milliseconds of run time, up to `runningSince`. */
-  private progressBefore = 0;
+  private accumulatedProgressMs = 0;
   /** Null while the gang makes no progress. */
   private runningSince: number | null = null;
   private slowness = 1;
@@ -71,7 +71,7 @@
     const { queue, observer, times } = this.environment;
     this.members.add(member);
     member.after(times.startTimeoutMs, () => {
-      if (this.phase === 'gathering' || this.isLatecomer(member)) this.exitMember(member, 'alone', 0);
+      if (this.phase === 'gathering' || this.joinedAfterStart(member)) this.exitMember(member, 'alone', 0);
     });
     if (this.phase !== 'gathering') {
       observer.gangRejoined(this.job.id, member.task);
@@ -81,19 +81,19 @@
   }
 
   /** Returns whether the task joined after the attempt had started; it can never run. */
-  private isLatecomer(member: GangMember): boolean {
-    return this.members.has(member) && !this.started.has(member);
+  private joinedAfterStart(member: GangMember): boolean {
+    return this.members.has(member) && !this.startedMembers.has(member);
   }
 
   private start(): void {
     if (this.phase !== 'gathering' || this.members.size < this.job.tasks) return;
     const { storage, observer, trace } = this.environment;
     this.phase = 'running';
-    this.progressBefore = storage.checkpoints.get(this.job.id) ?? 0;
+    this.accumulatedProgressMs = storage.checkpoints.get(this.job.id) ?? 0;
     this.slowness = Math.max(...[...this.members].map((m) => m.slowness));
     trace.add(`gang ${this.job.id} (attempt ${this.attempt}) runs`);
     for (const member of this.members) {
-      this.started.add(member);
+      this.startedMembers.add(member);
       member.run();
     }
     observer.gangStarted(this.job.id);
@@ -105,23 +105,23 @@
     const { queue } = this.environment;
     if (this.phase !== 'running' || this.runningSince !== null) return;
     this.runningSince = queue.now;
-    const remainingMs = (this.job.runS * 1000 - this.progressBefore) * this.slowness;
+    const remainingMs = (this.job.runS * 1000 - this.accumulatedProgressMs) * this.slowness;
     if (Number.isFinite(remainingMs)) this.completion = queue.after(remainingMs, () => this.complete());
   }
 
   private pauseProgress(): void {
     this.completion?.cancel();
-    this.progressBefore = this.progress();
+    this.accumulatedProgressMs = this.progressMs();
     this.runningSince = null;
   }
 
-  private progress(): number {
-    if (this.runningSince === null) return this.progressBefore;
-    return this.progressBefore + (this.environment.queue.now - this.runningSince) / this.slowness;
+  private progressMs(): number {
+    if (this.runningSince === null) return this.accumulatedProgressMs;
+    return this.accumulatedProgressMs + (this.environment.queue.now - this.runningSince) / this.slowness;
   }
 
   private complete(): void {
-    this.phase = 'over';
+    this.phase = 'ended';
     for (let i = 0; i < this.job.tasks; i += 1) this.environment.storage.results.add(`${this.job.id}/${i}`);
     for (const member of [...this.members]) this.exitMember(member, 'done', 0);
   }
@@ -136,7 +136,7 @@
 
   /** Removes a task that was killed, failed, or was lost with its machine or its lease. */
   leave(member: GangMember): void {
-    if (!this.members.delete(member) || !this.started.has(member)) return;
+    if (!this.members.delete(member) || !this.startedMembers.has(member)) return;
     if (this.phase === 'running' || this.phase === 'stopping') this.failAttempt();
   }
 
@@ -144,8 +144,8 @@
   private failAttempt(detectedWithinMs = this.environment.times.peerTimeoutMs): void {
     const { storage, random } = this.environment;
     this.pauseProgress();
-    this.phase = 'broken';
-    storage.keepLastCheckpoint(this.job.id, this.job, this.progressBefore);
+    this.phase = 'failed';
+    storage.keepLastCheckpoint(this.job.id, this.job, this.accumulatedProgressMs);
     for (const member of [...this.members])
       this.exitMember(member, 'peers', detectedWithinMs * random.between(MIN_DETECTION_SHARE, 1));
   }
@@ -153,11 +153,11 @@
   /** Stops a task: its gang takes a checkpoint if the grace period allows it, otherwise the task exits at once. */
   stop(member: GangMember, graceS: number): void {
     if (!this.members.has(member)) return;
-    const saves =
+    const takesCheckpoint =
       (this.phase === 'running' || this.phase === 'stopping') &&
       this.job.checkpointIntervalS > 0 &&
       graceS >= this.job.checkpointDurationS;
-    if (saves) {
+    if (takesCheckpoint) {
       this.beginCheckpoint(member);
       return;
     }
@@ -167,34 +167,34 @@
   }
 
   private beginCheckpoint(member: GangMember): void {
-    if (this.stopRequested.has(member)) return;
+    if (this.stoppingMembers.has(member)) return;
     const { queue, times } = this.environment;
     if (this.phase === 'running') {
       this.pauseProgress();
       this.phase = 'stopping';
       queue.after(times.peerTimeoutMs, () => {
-        if (this.phase === 'stopping' && this.stopRequested.size < this.job.tasks) this.failAttempt();
+        if (this.phase === 'stopping' && this.stoppingMembers.size < this.job.tasks) this.failAttempt();
       });
     }
-    this.stopRequested.add(member);
+    this.stoppingMembers.add(member);
     member.beginCheckpoint();
     member.after(this.job.checkpointDurationS * 1000, () => this.checkpointCompleted(member));
   }
 
   private checkpointCompleted(member: GangMember): void {
     if (this.phase !== 'stopping' || !this.members.has(member)) return;
-    this.checkpointed.add(member);
-    if (this.checkpointed.size < this.job.tasks) return;
+    this.savedMembers.add(member);
+    if (this.savedMembers.size < this.job.tasks) return;
     const { storage, random } = this.environment;
-    this.phase = 'over';
-    storage.checkpoints.set(this.job.id, this.progressBefore);
+    this.phase = 'ended';
+    storage.checkpoints.set(this.job.id, this.accumulatedProgressMs);
     for (const other of [...this.members])
       this.exitMember(other, 'halted', random.between(0, EXIT_SPREAD_MS), true);
   }
 
   /** Handles a hang of a task's machine: progress stops, and a hang beyond the detection time fails the attempt. */
   hang(member: GangMember): void {
-    if (!this.started.has(member) || (this.phase !== 'running' && this.phase !== 'stopping')) return;
+    if (!this.startedMembers.has(member) || (this.phase !== 'running' && this.phase !== 'stopping')) return;
     const { queue, times, random } = this.environment;
     this.pauseProgress();
     const detectedAfterMs = times.peerTimeoutMs * random.between(MIN_DETECTION_SHARE, 1);
--- a/src/simulation/image-cache.ts
+++ b/src/simulation/image-cache.ts
@@ -8,8 +8,8 @@
 
 interface Fetch {
   readonly gb: number;
-  leftGb: number;
-  readonly waiting: Map<string, () => void>;
+  remainingGb: number;
+  readonly callbackByRequester: Map<string, () => void>;
 }
 
 /** Image cache of one machine; concurrent fetches share `gbPerS` evenly. */
@@ -26,8 +26,8 @@
     private readonly capacityGb: number,
   ) {}
 
-  /** Calls `onReady` once the image is available, immediately if it is cached; `waiter` identifies the request. */
-  request(image: string, gb: number, waiter: string, onReady: () => void): void {
+  /** Calls `onReady` once the image is available, immediately if it is cached; `requester` identifies the request. */
+  request(image: string, gb: number, requester: string, onReady: () => void): void {
     const size = this.sizeByImage.get(image);
     if (size !== undefined) {
       this.sizeByImage.delete(image);
@@ -36,16 +36,20 @@
       return;
     }
     this.advanceFetches();
-    const fetch = this.fetches.get(image) ?? { gb, leftGb: gb, waiting: new Map<string, () => void>() };
-    fetch.waiting.set(waiter, onReady);
+    const fetch = this.fetches.get(image) ?? {
+      gb,
+      remainingGb: gb,
+      callbackByRequester: new Map<string, () => void>(),
+    };
+    fetch.callbackByRequester.set(requester, onReady);
     this.fetches.set(image, fetch);
     this.scheduleCompletion();
   }
 
-  /** Withdraws the request of `waiter`; aborts the fetch if no other request needs the image. */
-  abandon(image: string, waiter: string): void {
+  /** Withdraws the request of `requester`; aborts the fetch if no other request needs the image. */
+  cancelRequest(image: string, requester: string): void {
     const fetch = this.fetches.get(image);
-    if (!fetch?.waiting.delete(waiter) || fetch.waiting.size > 0) return;
+    if (!fetch?.callbackByRequester.delete(requester) || fetch.callbackByRequester.size > 0) return;
     this.advanceFetches();
     this.fetches.delete(image);
     this.scheduleCompletion();
@@ -55,14 +59,14 @@
     const elapsedS = (this.queue.now - this.updatedAt) / 1000;
     this.updatedAt = this.queue.now;
     const fetchedGb = (elapsedS * this.gbPerS) / Math.max(1, this.fetches.size);
-    for (const fetch of this.fetches.values()) fetch.leftGb -= fetchedGb;
+    for (const fetch of this.fetches.values()) fetch.remainingGb -= fetchedGb;
   }
 
   private scheduleCompletion(): void {
     this.timer?.cancel();
     if (this.fetches.size === 0) return;
-    const leastGb = Math.min(...[...this.fetches.values()].map((f) => f.leftGb));
-    const waitMs = (Math.max(0, leastGb) * this.fetches.size * 1000) / this.gbPerS;
+    const minRemainingGb = Math.min(...[...this.fetches.values()].map((f) => f.remainingGb));
+    const waitMs = (Math.max(0, minRemainingGb) * this.fetches.size * 1000) / this.gbPerS;
     this.timer = this.queue.after(waitMs + COMPLETION_MARGIN_MS, () => this.completeFetches());
   }
 
@@ -70,10 +74,10 @@
     this.advanceFetches();
     const callbacks: (() => void)[] = [];
     for (const [image, fetch] of this.fetches) {
-      if (fetch.leftGb > EPSILON_GB) continue;
+      if (fetch.remainingGb > EPSILON_GB) continue;
       this.fetches.delete(image);
       this.store(image, fetch.gb);
-      callbacks.push(...fetch.waiting.values());
+      callbacks.push(...fetch.callbackByRequester.values());
     }
     this.scheduleCompletion();
     for (const callback of callbacks) callback();
@@ -81,11 +85,11 @@
 
   private store(image: string, gb: number): void {
     this.sizeByImage.set(image, gb);
-    let total = [...this.sizeByImage.values()].reduce((sum, size) => sum + size, 0);
+    let totalGb = [...this.sizeByImage.values()].reduce((sum, size) => sum + size, 0);
     for (const [oldest, size] of this.sizeByImage) {
-      if (total <= this.capacityGb || oldest === image) break;
+      if (totalGb <= this.capacityGb || oldest === image) break;
       this.sizeByImage.delete(oldest);
-      total -= size;
+      totalGb -= size;
     }
   }
 }
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -53,7 +53,7 @@
       jobs,
       counts,
       cancelS: options.cancelS,
-      report: (rule, about, detail) => this.reportViolation(rule, about, detail),
+      report: (rule, subject, detail) => this.reportViolation(rule, subject, detail),
     });
     this.scheduleReview();
   }
@@ -63,8 +63,8 @@
     this.faultFreeSince = over ? this.queue.now : null;
   }
 
-  private reportViolation(rule: Rule, about: string, detail: string): void {
-    const key = `${rule} ${about}`;
+  private reportViolation(rule: Rule, subject: string, detail: string): void {
+    const key = `${rule} ${subject}`;
     if (this.reportedViolations.has(key)) return;
     this.reportedViolations.add(key);
     const violation = { rule, atS: this.queue.now / 1000, event: this.queue.count, detail };
@@ -101,9 +101,13 @@
       this.reportViolation('invented', task, `${task} starts, and nobody has submitted its job`);
       return;
     }
-    const other = record.machineByTask.get(task);
-    if (other)
-      this.reportViolation('ran_twice', task, `${task} starts on ${machine.id} while it is on ${other.id}`);
+    const otherMachine = record.machineByTask.get(task);
+    if (otherMachine)
+      this.reportViolation(
+        'ran_twice',
+        task,
+        `${task} starts on ${machine.id} while it is on ${otherMachine.id}`,
+      );
     this.checkPlacement(record, machine, task);
     record.machineByTask.set(task, machine);
     this.checkCancelled(record, task);
@@ -136,15 +140,18 @@
 
   private checkPlacement(record: JobObservation, machine: MachineSpec, task: string): void {
     const { job } = record;
-    const reject = (why: string): void =>
-      this.reportViolation('wrong_place', task, `${task} on ${machine.id}: ${why}`);
+    const reject = (reason: string): void =>
+      this.reportViolation('wrong_place', task, `${task} on ${machine.id}: ${reason}`);
     if (job.types && !job.types.includes(machine.type)) reject(`type ${machine.type} is not allowed`);
     if (job.zone !== null && job.zone !== machine.zone) reject(`zone ${machine.zone} is not ${job.zone}`);
     if (machine.spot && !job.spot) reject('a spot machine');
-    const zones = [...record.machineByTask].filter(([name]) => name !== task).map(([, other]) => other.zone);
+    const zones = [...record.machineByTask]
+      .filter(([name]) => name !== task)
+      .map(([, otherMachine]) => otherMachine.zone);
     if (job.sameZone && zones.some((z) => z !== machine.zone)) reject('another zone than its other tasks');
-    const here = zones.filter((z) => z === machine.zone).length + 1;
-    if (job.spread && here > Math.ceil(job.tasks / 2)) reject(`${here} of ${job.tasks} tasks in one zone`);
+    const tasksInZone = zones.filter((z) => z === machine.zone).length + 1;
+    if (job.spread && tasksInZone > Math.ceil(job.tasks / 2))
+      reject(`${tasksInZone} of ${job.tasks} tasks in one zone`);
   }
 
   responseReceived(response: UserResponse): void {
@@ -159,8 +166,8 @@
   }
 
   private checkQuota(team: string): void {
-    const limit = this.options.teams.find((t) => t.name === team);
-    if (!limit) return;
+    const quota = this.options.teams.find((t) => t.name === team);
+    if (!quota) return;
     let cpus = 0;
     let gpus = 0;
     for (const { job, machineByTask } of this.jobs.values()) {
@@ -168,10 +175,10 @@
       cpus += machineByTask.size * job.cpus;
       gpus += machineByTask.size * job.gpus;
     }
-    if (limit.cpusMax > 0 && cpus > limit.cpusMax + EPSILON)
-      this.reportViolation('quota', team, `${team} uses ${cpus} CPUs of at most ${limit.cpusMax}`);
-    if (limit.gpusMax > 0 && gpus > limit.gpusMax + EPSILON)
-      this.reportViolation('quota', team, `${team} uses ${gpus} GPUs of at most ${limit.gpusMax}`);
+    if (quota.cpusMax > 0 && cpus > quota.cpusMax + EPSILON)
+      this.reportViolation('quota', team, `${team} uses ${cpus} CPUs of at most ${quota.cpusMax}`);
+    if (quota.gpusMax > 0 && gpus > quota.gpusMax + EPSILON)
+      this.reportViolation('quota', team, `${team} uses ${gpus} GPUs of at most ${quota.gpusMax}`);
   }
 
   private scheduleReview(): void {
--- a/src/simulation/key-value-table.ts
+++ b/src/simulation/key-value-table.ts
@@ -78,8 +78,8 @@
   private appendToHistory(change: StoredChange): void {
     this.history.push(change);
     if (this.history.length < 2 * this.minKeptChanges) return;
-    const old = this.history.splice(0, this.history.length - this.minKeptChanges);
-    this.compactedRevision = old.at(-1)?.entry ?? this.compactedRevision;
+    const discarded = this.history.splice(0, this.history.length - this.minKeptChanges);
+    this.compactedRevision = discarded.at(-1)?.entry ?? this.compactedRevision;
   }
 
   grantLease(): number {
--- a/src/simulation/load-balancer.ts
+++ b/src/simulation/load-balancer.ts
@@ -11,9 +11,9 @@
 const PROBE_TIMEOUT_MS = 1000;
 const PROBE_WINDOW = 6;
 const UNHEALTHY_FAILURE_COUNT = 3;
-const MIN_REMOVAL_MS = 3000;
-const MAX_REMOVAL_MS = 60_000;
-const REMOVAL_MEMORY_MS = 120_000;
+const MIN_EJECTION_MS = 3000;
+const MAX_EJECTION_MS = 60_000;
+const EJECTION_MEMORY_MS = 120_000;
 const SLOW_START_MS = 10_000;
 const CONNECT_TIMEOUT_MS = 500;
 const MAX_ATTEMPTS = 3;
@@ -32,8 +32,8 @@
   /** Results of the last probes, oldest first; true if the answer was 200. */
   probes: boolean[];
   healthySince: number;
-  removedAt: number;
-  removalMs: number;
+  ejectedAt: number;
+  ejectionMs: number;
   openConnections: number;
   consecutiveFailures: number;
   skipUntil: number;
@@ -56,8 +56,8 @@
       everHealthy: false,
       probes: [],
       healthySince: 0,
-      removedAt: -Infinity,
-      removalMs: 0,
+      ejectedAt: -Infinity,
+      ejectionMs: 0,
       openConnections: 0,
       consecutiveFailures: 0,
       skipUntil: 0,
@@ -79,20 +79,22 @@
   private updateHealth(backend: Backend, succeeded: boolean): void {
     const { now } = this.queue;
     backend.probes = [...backend.probes, succeeded].slice(-PROBE_WINDOW);
-    const lastTwo = backend.probes.slice(-2);
+    const lastTwoProbes = backend.probes.slice(-2);
     const failures = backend.probes.filter((succeeded) => !succeeded).length;
     if (backend.healthy) {
-      if (lastTwo.some(Boolean) && failures < UNHEALTHY_FAILURE_COUNT) return;
+      if (lastTwoProbes.some(Boolean) && failures < UNHEALTHY_FAILURE_COUNT) return;
       backend.healthy = false;
-      backend.removalMs =
-        now - backend.removedAt < REMOVAL_MEMORY_MS
-          ? Math.min(MAX_REMOVAL_MS, backend.removalMs * 2)
-          : MIN_REMOVAL_MS;
-      backend.removedAt = now;
+      backend.ejectionMs =
+        now - backend.ejectedAt < EJECTION_MEMORY_MS
+          ? Math.min(MAX_EJECTION_MS, backend.ejectionMs * 2)
+          : MIN_EJECTION_MS;
+      backend.ejectedAt = now;
       return;
     }
-    const enough = backend.everHealthy ? lastTwo.length === 2 && lastTwo.every(Boolean) : succeeded;
-    if (!enough || (backend.everHealthy && now - backend.removedAt < backend.removalMs)) return;
+    const becomesHealthy = backend.everHealthy
+      ? lastTwoProbes.length === 2 && lastTwoProbes.every(Boolean)
+      : succeeded;
+    if (!becomesHealthy || (backend.everHealthy && now - backend.ejectedAt < backend.ejectionMs)) return;
     backend.healthy = true;
     backend.healthySince = backend.everHealthy ? now : now - SLOW_START_MS;
     backend.everHealthy = true;
--- a/src/simulation/machine-faults.ts
+++ b/src/simulation/machine-faults.ts
@@ -1,5 +1,5 @@
 /** Faults of machines, their workers and their links. */
-import { partition, type EndFault, type FaultActivation, type FaultTarget } from './fault-target.js';
+import { startPartition, type EndFault, type FaultActivation, type FaultTarget } from './fault-target.js';
 import type { SimulatedMachine } from './machines.js';
 import type { Fault } from './scenario-schema.js';
 
@@ -17,16 +17,16 @@
   { event, random }: FaultActivation,
   spotOnly = false,
 ): SimulatedMachine[] {
-  const up = target.machines.all();
-  const concerned = up.filter((machine) => machine.spec.id === event?.machine);
-  if (fault.machine === 'event' && concerned.length > 0) return concerned;
-  const all = up.filter(
+  const running = target.machines.all();
+  const eventMachines = running.filter((machine) => machine.spec.id === event?.machine);
+  if (fault.machine === 'event' && eventMachines.length > 0) return eventMachines;
+  const candidates = running.filter(
     (machine) =>
       (fault.zone === undefined || machine.spec.zone === fault.zone) && (!spotOnly || machine.spec.spot),
   );
-  const everything = fault.zone !== undefined && fault.count === undefined && fault.share === undefined;
-  const number = fault.count ?? Math.ceil(all.length * (fault.share ?? 0));
-  return everything ? all : random.sample(all, Math.max(1, number));
+  const selectsWholeZone = fault.zone !== undefined && fault.count === undefined && fault.share === undefined;
+  const count = fault.count ?? Math.ceil(candidates.length * (fault.share ?? 0));
+  return selectsWholeZone ? candidates : random.sample(candidates, Math.max(1, count));
 }
 
 /** Begins a fault of machines; returns undefined for other kinds. */
@@ -70,9 +70,9 @@
 ): () => void {
   const hosts = new Set(selectMachines(target, fault, activation).map((machine) => machine.host));
   if (fault.kind === 'machine_cut')
-    return partition(target, fault.mode, (a, b) => hosts.has(a) || hosts.has(b));
+    return startPartition(target, fault.mode, (a, b) => hosts.has(a) || hosts.has(b));
   const { links } = target;
-  const set = fault.kind === 'machine_deaf' ? links.inboundLost : links.heartbeatsLost;
-  for (const host of hosts) set.add(host);
-  return () => hosts.forEach((host) => set.delete(host));
+  const affectedHosts = fault.kind === 'machine_deaf' ? links.inboundLost : links.heartbeatsLost;
+  for (const host of hosts) affectedHosts.add(host);
+  return () => hosts.forEach((host) => affectedHosts.delete(host));
 }
--- a/src/simulation/machines.ts
+++ b/src/simulation/machines.ts
@@ -23,7 +23,7 @@
 const FETCH_RATE_FACTOR = { low: 0.75, high: 1.25 };
 /** An interrupted spot machine ends after its notice period multiplied by a factor in this range. */
 const NOTICE_FACTOR = { low: 0.5, high: 1.5 };
-const MIN_LATE_HEARTBEAT_MS = 2000;
+const MIN_LATE_HEARTBEAT_DELAY_MS = 2000;
 /** A machine counts as usable only this long after it is up. */
 const USABLE_AFTER_MS = 30_000;
 
@@ -36,7 +36,7 @@
 
 /** Faults of messages between workers and controllers, in addition to the faults of the network. */
 export class WorkerLinks {
-  lateHeartbeats = { share: 0, forNext: false };
+  delayedHeartbeatOptions = { share: 0, heldUntilFailover: false };
   lateCommandShare = 0;
   /** Machines that receive no answers and no commands. */
   readonly inboundLost = new Set<Host>();
@@ -175,7 +175,7 @@
   private async sendHeartbeat(host: Host, controller: number, body: object): Promise<Response | null> {
     const { links, nodes, random, network } = this.environment;
     const node = nodes[controller] as ControllerNode;
-    if (random.chance(links.lateHeartbeats.share)) this.scheduleHeartbeatCopy(host, node, body);
+    if (random.chance(links.delayedHeartbeatOptions.share)) this.scheduleHeartbeatCopy(host, node, body);
     const call = heartbeatCall(body);
     const outcome = await network.exchange({
       from: host,
@@ -193,11 +193,11 @@
 
   private scheduleHeartbeatCopy(host: Host, node: ControllerNode, body: object): void {
     const { links, queue, random, times } = this.environment;
-    if (links.lateHeartbeats.forNext) {
+    if (links.delayedHeartbeatOptions.heldUntilFailover) {
       links.delayHeartbeat(host, body);
       return;
     }
-    const delay = random.between(MIN_LATE_HEARTBEAT_MS, 2 * times.leaseMs);
+    const delay = random.between(MIN_LATE_HEARTBEAT_DELAY_MS, 2 * times.leaseMs);
     queue.after(delay, () => this.deliverHeartbeatCopy(node, body));
   }
 
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -74,9 +74,9 @@
   /** Removes a partition and delivers held messages in the order in which they were sent. */
   heal(partition: Partition): void {
     this.partitions.delete(partition);
-    const waiting = this.heldMessages;
+    const released = this.heldMessages;
     this.heldMessages = [];
-    for (const message of waiting) this.send(message.from, message.to, message.arrive);
+    for (const message of released) this.send(message.from, message.to, message.arrive);
   }
 
   blockingPartition(from: Host, to: Host): Partition | null {
@@ -85,10 +85,10 @@
   }
 
   private latency(from: Host, to: Host): number {
-    const near = from.zone !== null && from.zone === to.zone;
-    const base = near ? this.options.sameZoneMs : this.options.crossZoneMs;
-    const lost = this.random.chance(this.options.loss) ? RESEND_DELAY_MS : 0;
-    return base * (1 + this.options.jitter * this.random.unit()) + lost;
+    const isSameZone = from.zone !== null && from.zone === to.zone;
+    const base = isSameZone ? this.options.sameZoneMs : this.options.crossZoneMs;
+    const resendDelayMs = this.random.chance(this.options.loss) ? RESEND_DELAY_MS : 0;
+    return base * (1 + this.options.jitter * this.random.unit()) + resendDelayMs;
   }
 
   /** Sends one packet; packets between two hosts arrive in order. */
@@ -127,27 +127,27 @@
         // The handshake takes a round trip.
         from.after(2 * this.latency(from, to), () => this.request(exchange, key, resolve));
       } else {
-        const wait = result === 'refused' ? 2 * this.latency(from, to) : exchange.timeoutMs;
-        from.after(wait, () => resolve({ kind: 'unsent' }));
+        const waitMs = result === 'refused' ? 2 * this.latency(from, to) : exchange.timeoutMs;
+        from.after(waitMs, () => resolve({ kind: 'unsent' }));
       }
     });
   }
 
   private request(exchange: Exchange, key: string, resolve: (outcome: ExchangeOutcome) => void): void {
     const { from, to } = exchange;
-    let settled = false;
+    let resolved = false;
     this.connections.set(key, this.queue.now + CONNECTION_IDLE_TIMEOUT_MS);
-    const giveUp = from.after(exchange.timeoutMs, () => {
-      settled = true;
+    const timeoutTimer = from.after(exchange.timeoutMs, () => {
+      resolved = true;
       this.connections.delete(key);
       resolve({ kind: 'unknown' });
     });
     const reply = (response: Response): void => {
       const copy = JSON.parse(JSON.stringify(response)) as Response;
       this.send(to, from, () => {
-        if (settled) return;
-        settled = true;
-        giveUp.cancel();
+        if (resolved) return;
+        resolved = true;
+        timeoutTimer.cancel();
         this.connections.set(key, this.queue.now + CONNECTION_IDLE_TIMEOUT_MS);
         resolve({ kind: 'answer', ...copy });
       });
--- a/src/simulation/random.ts
+++ b/src/simulation/random.ts
@@ -55,10 +55,10 @@
 
   /** Returns up to `count` distinct items, in random order. */
   sample<T>(items: readonly T[], count: number): T[] {
-    const rest = [...items];
-    const out: T[] = [];
-    while (out.length < count && rest.length > 0)
-      out.push(...rest.splice(this.integer(0, rest.length - 1), 1));
-    return out;
+    const remaining = [...items];
+    const sampled: T[] = [];
+    while (sampled.length < count && remaining.length > 0)
+      sampled.push(...remaining.splice(this.integer(0, remaining.length - 1), 1));
+    return sampled;
   }
 }
--- a/src/simulation/rules.ts
+++ b/src/simulation/rules.ts
@@ -85,8 +85,8 @@
   cancelled: number;
 }
 
-/** Reports a violation, once per rule and subject; `about` identifies the job, task or team. */
-export type ReportViolation = (rule: Rule, about: string, detail: string) => void;
+/** Reports a violation, once per rule and subject; `subject` identifies the job, task or team. */
+export type ReportViolation = (rule: Rule, subject: string, detail: string) => void;
 
 /** Returns the job id of a task name `job/index`. */
 export const jobIdOf = (task: string): string => task.slice(0, task.lastIndexOf('/'));
--- a/src/simulation/scenario-generator.ts
+++ b/src/simulation/scenario-generator.ts
@@ -8,8 +8,8 @@
 /** Share of schedules with gangs. */
 const GANG_SHARE = 0.8;
 /** Faults begin between these times; the rest of the run shows whether the cluster recovers. */
-const FAULTS_FROM_S = 12;
-const FAULTS_UNTIL_S = 75;
+const MIN_FAULT_START_S = 12;
+const MAX_FAULT_START_S = 75;
 const DURATION_S = 240;
 /** No job arrives after this time. */
 const LOAD_UNTIL_S = 110;
@@ -24,7 +24,7 @@
 function randomGangFaults(random: RandomStream, deployment: Deployment): FaultInput[] {
   return Array.from({ length: random.integer(0, 2) }, () => ({
     ...random.pick(GANG_FAULT_GENERATORS)(random, deployment),
-    at_s: Math.round(random.between(FAULTS_FROM_S, FAULTS_UNTIL_S - MAX_FAULT_SPREAD_S) * 100) / 100,
+    at_s: Math.round(random.between(MIN_FAULT_START_S, MAX_FAULT_START_S - MAX_FAULT_SPREAD_S) * 100) / 100,
   }));
 }
 
@@ -34,21 +34,21 @@
     { length: random.integer(2, 4) },
     (_, i) => zones[i % zones.length] as string,
   );
-  const lease = random.pick([8, 12, 16]);
-  const most = random.pick([24, 48, 96]);
+  const leaseS = random.pick([8, 12, 16]);
+  const maxCpus = random.pick([24, 48, 96]);
   return {
     zones,
     controllers,
     report_s: random.pick([1.5, 2.5]),
-    lease_s: lease,
-    cancel_s: lease + random.pick([20, 25]),
+    lease_s: leaseS,
+    cancel_s: leaseS + random.pick([20, 25]),
     state: { rps: random.pick([80, 200]), write_rps: random.pick([15, 30]) },
     cloud: { capacity: random.pick([0, 4, 12]), list_lag_s: random.pick([2, 6]) },
     types: [
       { name: 'birch', cpus: 8, memory_gb: 32, boot_s: 6 },
       { name: 'spruce', cpus: 16, memory_gb: 64, boot_s: 12 },
     ],
-    teams: TEAMS.map((name) => ({ name, cpus: most / 2, cpus_max: most })),
+    teams: TEAMS.map((name) => ({ name, cpus: maxCpus / 2, cpus_max: maxCpus })),
     machines: zones.flatMap((zone) => [
       { type: random.pick(['birch', 'spruce']), zone, count: random.integer(2, 4) },
       ...(random.chance(0.4) ? [{ type: 'birch', zone, spot: true, count: random.integer(1, 2) }] : []),
@@ -139,11 +139,11 @@
 
 function randomFaults(random: RandomStream, deployment: Deployment): FaultInput[] {
   const faults: FaultInput[] = [];
-  const number = random.integer(2, 5);
+  const faultCount = random.integer(2, 5);
   // All faults begin within `spread` seconds, so that they overlap.
-  const start = random.between(FAULTS_FROM_S, FAULTS_UNTIL_S - MAX_FAULT_SPREAD_S);
+  const start = random.between(MIN_FAULT_START_S, MAX_FAULT_START_S - MAX_FAULT_SPREAD_S);
   const spread = random.pick([1, 8, MAX_FAULT_SPREAD_S]);
-  for (let i = 0; i < number; i += 1) {
+  for (let i = 0; i < faultCount; i += 1) {
     const fault = random.pick(FAULT_GENERATORS)(random, deployment);
     fault.at_s = Math.round((start + random.between(0, spread)) * 100) / 100;
     if (fault.on === undefined && random.chance(0.3)) {
@@ -166,7 +166,7 @@
     ...randomFaults(random.fork('faults'), deployment),
     ...(gangs ? randomGangFaults(random.fork('gang faults'), deployment) : []),
   ];
-  const usable = faults.filter(
+  const applicableFaults = faults.filter(
     (fault) => fault.kind !== 'surge' || loads.some((load) => load.class === fault.class),
   );
   const input: ScenarioInput = {
@@ -175,7 +175,7 @@
     duration_s: base?.duration_s ?? DURATION_S,
     deployment,
     load: loads,
-    faults: usable,
+    faults: applicableFaults,
   };
   return checkScenario(input, `fuzz-${seed}`);
 }
--- a/src/simulation/scenario-schema.ts
+++ b/src/simulation/scenario-schema.ts
@@ -155,13 +155,14 @@
   nth: v.optional(positiveInteger, 1),
   after_ms: v.optional(nonNegativeNumber, 0),
 };
-const lasting = { ...timing, for_s: v.optional(nonNegativeNumber, 10) };
+/** Timing of a fault that lasts for a while. */
+const timespan = { ...timing, for_s: v.optional(nonNegativeNumber, 10) };
 /** A controller by index, or the controller of the event; by default a random one. */
-const oneNode = {
+const nodeSelector = {
   node: v.optional(v.union([nonNegativeInteger, v.literal('event')], 'a number or "event"')),
 };
 /** Machines by count, share or zone, or the machine of the event; by default one random machine. */
-const some = {
+const machineSelector = {
   count: v.optional(positiveInteger),
   share: v.optional(fraction),
   zone: v.optional(nonEmptyString),
@@ -173,49 +174,49 @@
   v.strictObject({ kind: v.literal(kind), ...entries });
 
 const faultSchema = v.variant('kind', [
-  faultKind('controller_end', { ...timing, ...oneNode, restart_s: v.optional(nonNegativeNumber) }),
+  faultKind('controller_end', { ...timing, ...nodeSelector, restart_s: v.optional(nonNegativeNumber) }),
   faultKind('all_controllers_end', { ...timing, restart_s: v.optional(nonNegativeNumber) }),
   faultKind('controllers_restart', { ...timing, gap_s: v.optional(positiveNumber, 8) }),
-  faultKind('controller_pause', { ...lasting, ...oneNode }),
+  faultKind('controller_pause', { ...timespan, ...nodeSelector }),
   faultKind('node_cut', {
-    ...lasting,
-    ...oneNode,
+    ...timespan,
+    ...nodeSelector,
     ...mode,
     from_state: optionalFlag,
     from_peers: optionalFlag,
     from_workers: optionalFlag,
     from_users: optionalFlag,
   }),
-  faultKind('peers_refused', lasting),
-  faultKind('zone_cut', { ...lasting, ...mode, zone: nonEmptyString }),
-  faultKind('zones_cut', { ...lasting, ...mode, zone: nonEmptyString, other_zone: nonEmptyString }),
-  faultKind('state_outage', lasting),
-  faultKind('state_refuses', { ...lasting, ...oneNode }),
-  faultKind('state_slow', { ...lasting, slow_ms: v.optional(positiveNumber, 400) }),
-  faultKind('late_writes', { ...lasting, share: v.optional(fraction, 0.3), at_once: optionalFlag }),
-  faultKind('late_reports', { ...lasting, share: v.optional(fraction, 0.3), for_next: optionalFlag }),
-  faultKind('late_commands', { ...lasting, share: v.optional(fraction, 0.3) }),
-  faultKind('cloud_outage', lasting),
-  faultKind('cloud_empty', lasting),
-  faultKind('late_rentals', { ...lasting, share: v.optional(fraction, 0.5) }),
-  faultKind('fast_boots', lasting),
-  faultKind('machine_deaf', { ...lasting, ...some }),
-  faultKind('machine_mute', { ...lasting, ...some }),
-  faultKind('machine_cut', { ...lasting, ...mode, ...some }),
-  faultKind('machine_hang', { ...lasting, ...some }),
-  faultKind('machine_sick', { ...lasting, ...some }),
-  faultKind('machine_slow', { ...lasting, ...some, times: v.optional(positiveNumber, 3) }),
-  faultKind('machine_end', { ...timing, ...some }),
-  faultKind('spot_wave', { ...timing, ...some, notice_s: v.optional(nonNegativeNumber, 10) }),
+  faultKind('peers_refused', timespan),
+  faultKind('zone_cut', { ...timespan, ...mode, zone: nonEmptyString }),
+  faultKind('zones_cut', { ...timespan, ...mode, zone: nonEmptyString, other_zone: nonEmptyString }),
+  faultKind('state_outage', timespan),
+  faultKind('state_refuses', { ...timespan, ...nodeSelector }),
+  faultKind('state_slow', { ...timespan, slow_ms: v.optional(positiveNumber, 400) }),
+  faultKind('late_writes', { ...timespan, share: v.optional(fraction, 0.3), at_once: optionalFlag }),
+  faultKind('late_reports', { ...timespan, share: v.optional(fraction, 0.3), for_next: optionalFlag }),
+  faultKind('late_commands', { ...timespan, share: v.optional(fraction, 0.3) }),
+  faultKind('cloud_outage', timespan),
+  faultKind('cloud_empty', timespan),
+  faultKind('late_rentals', { ...timespan, share: v.optional(fraction, 0.5) }),
+  faultKind('fast_boots', timespan),
+  faultKind('machine_deaf', { ...timespan, ...machineSelector }),
+  faultKind('machine_mute', { ...timespan, ...machineSelector }),
+  faultKind('machine_cut', { ...timespan, ...mode, ...machineSelector }),
+  faultKind('machine_hang', { ...timespan, ...machineSelector }),
+  faultKind('machine_sick', { ...timespan, ...machineSelector }),
+  faultKind('machine_slow', { ...timespan, ...machineSelector, times: v.optional(positiveNumber, 3) }),
+  faultKind('machine_end', { ...timing, ...machineSelector }),
+  faultKind('spot_wave', { ...timing, ...machineSelector, notice_s: v.optional(nonNegativeNumber, 10) }),
   faultKind('cancel_now', {
     ...timing,
     count: v.optional(positiveInteger, 1),
     hang_s: v.optional(nonNegativeNumber, 0),
   }),
-  faultKind('cancel_at_end', { ...lasting, share: v.optional(fraction, 0.3) }),
-  faultKind('odd_requests', lasting),
-  faultKind('close_looks', lasting),
-  faultKind('surge', { ...lasting, class: nonEmptyString, times: v.optional(positiveNumber, 4) }),
+  faultKind('cancel_at_end', { ...timespan, share: v.optional(fraction, 0.3) }),
+  faultKind('odd_requests', timespan),
+  faultKind('close_looks', timespan),
+  faultKind('surge', { ...timespan, class: nonEmptyString, times: v.optional(positiveNumber, 4) }),
 ]);
 
 /** Schema of a whole scenario file. */
--- a/src/simulation/scenario.ts
+++ b/src/simulation/scenario.ts
@@ -12,7 +12,7 @@
 type ExpectKnown = (field: string, known: readonly string[], used: string | undefined) => void;
 
 /** Checks that every name that the scenario refers to is defined in it, and that `cancel_s` is more than `lease_s`. */
-function checkNames(scenario: Scenario, file: string): void {
+function checkConsistency(scenario: Scenario, file: string): void {
   const { lease_s: leaseS, cancel_s: cancelS } = scenario.deployment;
   if (cancelS <= leaseS)
     throw new ScenarioError(`${file}: deployment.cancel_s: expected more than lease_s (${leaseS})`);
@@ -20,12 +20,12 @@
     if (used !== undefined && !known.includes(used))
       throw new ScenarioError(`${file}: ${field}: expected one of ${known.join(', ')}, got "${used}"`);
   };
-  checkDeploymentNames(scenario.deployment, expectKnown);
-  checkLoadNames(scenario, expectKnown);
+  checkDeploymentReferences(scenario.deployment, expectKnown);
+  checkLoadReferences(scenario, expectKnown);
   checkFaults(scenario, file, expectKnown);
 }
 
-function checkDeploymentNames(deployment: Deployment, expectKnown: ExpectKnown): void {
+function checkDeploymentReferences(deployment: Deployment, expectKnown: ExpectKnown): void {
   const { zones, types, machines, controllers } = deployment;
   const typeNames = types.map((type) => type.name);
   controllers.forEach((zone, index) => expectKnown(`deployment.controllers[${index}]`, zones, zone));
@@ -40,7 +40,7 @@
   });
 }
 
-function checkLoadNames({ deployment, load: loads }: Scenario, expectKnown: ExpectKnown): void {
+function checkLoadReferences({ deployment, load: loads }: Scenario, expectKnown: ExpectKnown): void {
   const typeNames = deployment.types.map((type) => type.name);
   const teamNames = deployment.teams.map((team) => team.name);
   loads.forEach((load, index) => {
@@ -78,13 +78,13 @@
     if (issue.received === 'undefined')
       throw new ScenarioError(`${file}: ${fieldPath(issue)}: expected a value, got nothing`);
     const expected = issue.kind === 'schema' && issue.expected ? issue.expected : issue.message;
-    const wanted = issue.message.startsWith('Invalid') ? expected : issue.message;
-    const what = wanted === 'never' ? 'no such field' : wanted;
+    const constraint = issue.message.startsWith('Invalid') ? expected : issue.message;
+    const expectedText = constraint === 'never' ? 'no such field' : constraint;
     throw new ScenarioError(
-      `${file}: ${fieldPath(issue) || '(top)'}: expected ${what}, got ${issue.received}`,
+      `${file}: ${fieldPath(issue) || '(top)'}: expected ${expectedText}, got ${issue.received}`,
     );
   }
-  checkNames(result.output, file);
+  checkConsistency(result.output, file);
   return result.output;
 }
 
@@ -94,9 +94,9 @@
   try {
     data = parse(text);
   } catch (error) {
-    const where = error instanceof TomlError ? `${file}:${error.line}:${error.column}` : file;
-    const [why] = (error as Error).message.split('\n');
-    throw new ScenarioError(`${where}: expected valid TOML: ${why}`);
+    const location = error instanceof TomlError ? `${file}:${error.line}:${error.column}` : file;
+    const [reason] = (error as Error).message.split('\n');
+    throw new ScenarioError(`${location}: expected valid TOML: ${reason}`);
   }
   return checkScenario(data, file);
 }
--- a/src/simulation/service-faults.ts
+++ b/src/simulation/service-faults.ts
@@ -20,12 +20,12 @@
       storeService.extraDelayMs = fault.slow_ms;
       return () => (storeService.extraDelayMs = 0);
     case 'late_writes': {
-      const late = (): number => random.within(LATE_WRITE_DELAY_MS);
-      storeService.nextTransactionFate = () => {
+      const drawDelayMs = (): number => random.within(LATE_WRITE_DELAY_MS);
+      storeService.nextTransactionFault = () => {
         if (!random.chance(fault.share)) return { kind: 'normal' };
-        return fault.at_once ? { kind: 'answer-lost' } : { kind: 'late', delayMs: late() };
+        return fault.at_once ? { kind: 'answer-lost' } : { kind: 'late', delayMs: drawDelayMs() };
       };
-      return () => (storeService.nextTransactionFate = () => ({ kind: 'normal' }));
+      return () => (storeService.nextTransactionFault = () => ({ kind: 'normal' }));
     }
     default:
       return undefined;
@@ -37,8 +37,8 @@
   const { cloud, links } = target;
   switch (fault.kind) {
     case 'late_reports':
-      links.lateHeartbeats = { share: fault.share, forNext: fault.for_next };
-      return () => (links.lateHeartbeats = { share: 0, forNext: false });
+      links.delayedHeartbeatOptions = { share: fault.share, heldUntilFailover: fault.for_next };
+      return () => (links.delayedHeartbeatOptions = { share: 0, heldUntilFailover: false });
     case 'late_commands':
       links.lateCommandShare = fault.share;
       return () => (links.lateCommandShare = 0);
@@ -49,8 +49,8 @@
       cloud.outOfCapacity = true;
       return () => (cloud.outOfCapacity = false);
     case 'late_rentals':
-      cloud.lateShare = fault.share;
-      return () => (cloud.lateShare = 0);
+      cloud.lateExecutionShare = fault.share;
+      return () => (cloud.lateExecutionShare = 0);
     case 'fast_boots':
       cloud.fastBoots = true;
       return () => (cloud.fastBoots = false);
--- a/src/simulation/shrink.ts
+++ b/src/simulation/shrink.ts
@@ -25,7 +25,7 @@
   private runs = 0;
 
   constructor(
-    private best: Scenario,
+    private smallest: Scenario,
     private readonly trial: Trial,
   ) {}
 
@@ -35,7 +35,7 @@
     const violatedAtS = await this.trial(candidate);
     if (violatedAtS === null) return false;
     const endS = Math.ceil((violatedAtS + AFTER_VIOLATION_S) * STEPS_PER_S) / STEPS_PER_S;
-    this.best = { ...candidate, duration_s: Math.min(candidate.duration_s, endS) };
+    this.smallest = { ...candidate, duration_s: Math.min(candidate.duration_s, endS) };
     return true;
   }
 
@@ -43,34 +43,34 @@
   private async removeItems<T>(
     itemsOf: (scenario: Scenario) => readonly T[],
     replace: (scenario: Scenario, items: T[]) => Scenario,
-    least: number,
+    minItems: number,
   ): Promise<boolean> {
     let changed = false;
-    for (let i = itemsOf(this.best).length - 1; i >= 0; i -= 1) {
-      const rest = itemsOf(this.best).filter((_, at) => at !== i);
-      if (rest.length < least) continue;
-      if (await this.accept(replace(this.best, rest))) changed = true;
+    for (let i = itemsOf(this.smallest).length - 1; i >= 0; i -= 1) {
+      const remaining = itemsOf(this.smallest).filter((_, at) => at !== i);
+      if (remaining.length < minItems) continue;
+      if (await this.accept(replace(this.smallest, remaining))) changed = true;
     }
     return changed;
   }
 
   private async shortenFaults(): Promise<boolean> {
     let changed = false;
-    for (let i = 0; i < this.best.faults.length; i += 1) {
-      const fault = this.best.faults[i] as Fault;
+    for (let i = 0; i < this.smallest.faults.length; i += 1) {
+      const fault = this.smallest.faults[i] as Fault;
       if (!('for_s' in fault) || fault.for_s / 2 < MIN_FAULT_DURATION_S) continue;
       const shorter = { ...fault, for_s: fault.for_s / 2 };
-      const faults = this.best.faults.map((f, at) => (at === i ? shorter : f));
-      if (await this.accept({ ...this.best, faults })) changed = true;
+      const faults = this.smallest.faults.map((f, at) => (at === i ? shorter : f));
+      if (await this.accept({ ...this.smallest, faults })) changed = true;
     }
     return changed;
   }
 
   async run(): Promise<Scenario> {
     // Shortens the run first, so that every later trial is as short.
-    if (!(await this.accept(this.best))) return this.best;
-    for (let again = true; again;) {
-      again = await this.removeItems(
+    if (!(await this.accept(this.smallest))) return this.smallest;
+    for (let changed = true; changed;) {
+      changed = await this.removeItems(
         (scenario) => scenario.faults,
         (scenario, faults) => ({ ...scenario, faults }),
         0,
@@ -82,10 +82,10 @@
           1,
         )
       )
-        again = true;
-      if (await this.shortenFaults()) again = true;
+        changed = true;
+      if (await this.shortenFaults()) changed = true;
     }
-    return this.best;
+    return this.smallest;
   }
 }
 
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -28,7 +28,7 @@
 
 /** Relative rate error: 0.0005 is 0.05% fast. */
 const MAX_CLOCK_DRIFT = 0.0005;
-const STANDARD_ERROR = 2;
+const STDERR_FD = 2;
 /** Heartbeats that were held back until the next failover arrive this long after a controller claims a shard. */
 const DELAYED_HEARTBEAT_MS = { low: 1, high: 50 };
 /** Controllers and machines of the deployment start within this time. */
@@ -233,7 +233,7 @@
         ? silentLog()
         : pino(
             { level, base: { node: name }, timestamp: () => `,"atS":${this.queue.now / 1000}` },
-            pino.destination({ fd: STANDARD_ERROR, sync: true }),
+            pino.destination({ fd: STDERR_FD, sync: true }),
           );
     const buildEnvironment = (name: string): ControllerEnvironment => ({
       queue: this.queue,
@@ -245,8 +245,8 @@
         serve: (from, call, reply) => this.storeService.serve(from, call, reply),
       },
       cloud: { host: this.cloudHost, serve: (call, reply) => this.cloud.serve(call, reply) },
-      machine: (address) => this.machines.endpointAt(address),
-      node: (other) => this.nodes.find((node) => node.name === other),
+      findMachine: (address) => this.machines.endpointAt(address),
+      findPeer: (other) => this.nodes.find((node) => node.name === other),
       tuning: deployment.properties,
     });
     return deployment.controllers.map((_, index) => {
@@ -283,7 +283,7 @@
       },
       taskEnded: (machine: MachineSpec, task: string, done: boolean) => {
         checker.taskEnded(machine, task, done);
-        if (done) this.countCompleted(task);
+        if (done) this.countCompletedTask(task);
       },
       gangStarted: (job) => {
         checker.gangStarted(job);
@@ -298,7 +298,7 @@
   }
 
   /** Counts completed tasks; a user may cancel a job at the moment its last task completes. */
-  private countCompleted(task: string): void {
+  private countCompletedTask(task: string): void {
     const job = this.storage.jobOf(task);
     if (!job) return;
     const done = (this.completedTasksByJob.get(job.id) ?? 0) + 1;
--- a/src/simulation/startable-jobs.ts
+++ b/src/simulation/startable-jobs.ts
@@ -15,7 +15,7 @@
   { jobs, teams }: Cluster,
 ): boolean {
   const { job } = record;
-  const limit = teams.find((t) => t.name === job.team);
+  const quota = teams.find((t) => t.name === job.team);
   // All tasks of a gang are counted here, so the loop skips the tasks of the job itself.
   const tasks = job.shape === 'gang' ? job.tasks : 1;
   let cpus = job.cpus * tasks;
@@ -26,8 +26,9 @@
     cpus += other.cpus;
     gpus += other.gpus;
   }
-  const under = (used: number, most: number): boolean => most === 0 || used <= most + EPSILON;
-  return limit !== undefined && under(cpus, limit.cpusMax) && under(gpus, limit.gpusMax);
+  const isWithinLimit = (used: number, maximum: number): boolean =>
+    maximum === 0 || used <= maximum + EPSILON;
+  return quota !== undefined && isWithinLimit(cpus, quota.cpusMax) && isWithinLimit(gpus, quota.gpusMax);
 }
 
 /** Returns whether a job without tasks on machines could start a task now; for a gang that does not run, all tasks. */
@@ -39,8 +40,8 @@
   const { job } = record;
   if (!fitsTeamQuota(record, machines, cluster)) return false;
   if (job.shape === 'gang') return !record.gangRunning && gangFits(job, machines);
-  const held = machines.some((m) => m.occupyingTasks.some((t) => jobIdOf(t) === job.id));
-  return !held && record.machineByTask.size === 0 && machines.some((m) => slotsOn(m, job) > 0);
+  const occupiesMachine = machines.some((m) => m.occupyingTasks.some((t) => jobIdOf(t) === job.id));
+  return !occupiesMachine && record.machineByTask.size === 0 && machines.some((m) => slotsOn(m, job) > 0);
 }
 
 /** Returns how many tasks of the job fit on the machine, including those that occupy it already. */
@@ -49,10 +50,14 @@
   if (job.types && !job.types.includes(spec.type)) return 0;
   if (job.zone !== null && job.zone !== spec.zone) return 0;
   if (spec.spot && !job.spot) return 0;
-  const fit = (has: number, needs: number): number =>
-    needs > 0 ? Math.floor(has / needs + EPSILON) : Infinity;
-  const more = Math.min(fit(free.cpus, job.cpus), fit(free.gpus, job.gpus), fit(free.memoryGb, job.memoryGb));
-  return more + machine.occupyingTasks.filter((t) => jobIdOf(t) === job.id).length;
+  const slotsFor = (available: number, needed: number): number =>
+    needed > 0 ? Math.floor(available / needed + EPSILON) : Infinity;
+  const additionalTasks = Math.min(
+    slotsFor(free.cpus, job.cpus),
+    slotsFor(free.gpus, job.gpus),
+    slotsFor(free.memoryGb, job.memoryGb),
+  );
+  return additionalTasks + machine.occupyingTasks.filter((t) => jobIdOf(t) === job.id).length;
 }
 
 /** Returns whether all tasks of a gang fit, under its single-zone or spread constraint. */
@@ -65,6 +70,6 @@
     );
   const zones = [...byZone.values()];
   if (job.sameZone) return zones.some((slots) => slots >= job.tasks);
-  const most = job.spread ? Math.ceil(job.tasks / 2) : job.tasks;
-  return zones.reduce((sum, slots) => sum + Math.min(most, slots), 0) >= job.tasks;
+  const maxPerZone = job.spread ? Math.ceil(job.tasks / 2) : job.tasks;
+  return zones.reduce((sum, slots) => sum + Math.min(maxPerZone, slots), 0) >= job.tasks;
 }
--- a/src/simulation/store-service.ts
+++ b/src/simulation/store-service.ts
@@ -17,7 +17,7 @@
 }
 
 /** Fault injected into a transaction. */
-export type TransactionFate =
+export type TransactionFault =
   | { readonly kind: 'normal' }
   | { readonly kind: 'answer-lost' }
   /** The transaction is applied later and gets no answer. */
@@ -54,7 +54,7 @@
   maxListedKeys = MAX_LISTED_KEYS;
   /** Additional delay of every response. */
   extraDelayMs = 0;
-  nextTransactionFate: () => TransactionFate = () => ({ kind: 'normal' });
+  nextTransactionFault: () => TransactionFault = () => ({ kind: 'normal' });
   onCommit: (body: TransactionBody, from: string) => void = () => undefined;
   /** Number of requests that were refused because of a rate limit. */
   throttledRequests = 0;
@@ -134,9 +134,9 @@
   }
 
   private transaction(from: string, body: TransactionBody, reply: Reply): void {
-    const malformed = this.validationError(body);
-    if (malformed) {
-      reply({ status: HTTP_STATUS.badRequest, body: { error: malformed } });
+    const validationError = this.validationError(body);
+    if (validationError) {
+      reply({ status: HTTP_STATUS.badRequest, body: { error: validationError } });
       return;
     }
     const operationCount = body.apply?.length ?? 0;
@@ -144,15 +144,15 @@
       this.throttle(reply);
       return;
     }
-    const fate = operationCount === 0 ? { kind: 'normal' as const } : this.nextTransactionFate();
-    if (fate.kind === 'late') {
-      this.queue.after(fate.delayMs, () => {
+    const fault = operationCount === 0 ? { kind: 'normal' as const } : this.nextTransactionFault();
+    if (fault.kind === 'late') {
+      this.queue.after(fault.delayMs, () => {
         if (!this.outage) this.apply(from, body);
       });
       return;
     }
     const response = this.apply(from, body);
-    if (fate.kind === 'normal') reply(response);
+    if (fault.kind === 'normal') reply(response);
   }
 
   private validationError(body: TransactionBody): string | null {
@@ -181,11 +181,11 @@
   private lease(from: string, call: Call, path: string): Response {
     const id = Number(/^\/leases\/(\d+)/.exec(path)?.[1] ?? 0);
     if (path === '/leases') {
-      const granted = this.table.grantLease();
+      const newLease = this.table.grantLease();
       const { ttlMs } = call.body as { ttlMs: number };
-      this.leases.set(granted, { ttlMs, owner: from, endsAt: this.queue.now + ttlMs });
-      this.scheduleLeaseExpiry(granted);
-      return { status: HTTP_STATUS.ok, body: { mooring: granted } };
+      this.leases.set(newLease, { ttlMs, owner: from, endsAt: this.queue.now + ttlMs });
+      this.scheduleLeaseExpiry(newLease);
+      return { status: HTTP_STATUS.ok, body: { mooring: newLease } };
     }
     const lease = this.leases.get(id);
     if (!lease) return { status: HTTP_STATUS.notFound, body: {} };
@@ -198,12 +198,12 @@
   private scheduleLeaseExpiry(id: number): void {
     const lease = this.leases.get(id);
     if (!lease) return;
-    const wait = lease.endsAt - this.queue.now;
-    if (wait <= 0 && !this.outage) {
+    const remainingMs = lease.endsAt - this.queue.now;
+    if (remainingMs <= 0 && !this.outage) {
       this.endLease(id);
       return;
     }
-    this.queue.after(Math.max(wait, 1) + this.random.between(0, MAX_LEASE_EXPIRY_DELAY_MS), () =>
+    this.queue.after(Math.max(remainingMs, 1) + this.random.between(0, MAX_LEASE_EXPIRY_DELAY_MS), () =>
       this.scheduleLeaseExpiry(id),
     );
   }
--- a/src/simulation/user-faults.ts
+++ b/src/simulation/user-faults.ts
@@ -35,15 +35,15 @@
 }
 
 /** Cancels random unfinished jobs at nearly the same time, and makes some of their machines hang. */
-function cancelNow(target: FaultTarget, number: number, hangS: number, random: RandomStream): void {
+function cancelNow(target: FaultTarget, count: number, hangS: number, random: RandomStream): void {
   const { users, queue, machines } = target;
-  const chosen = random.sample(users.unfinished(), number).map((job) => job.id);
-  for (const id of chosen) queue.after(random.between(0, CANCEL_SPREAD_MS), () => users.cancel(id));
+  const jobIds = random.sample(users.openJobs(), count).map((job) => job.id);
+  for (const id of jobIds) queue.after(random.between(0, CANCEL_SPREAD_MS), () => users.cancel(id));
   if (hangS <= 0) return;
-  const runsChosen = (machine: SimulatedMachine): boolean =>
+  const runsChosenJob = (machine: SimulatedMachine): boolean =>
     machine.worker.tasks
       .occupyingTasks()
-      .some((task) => chosen.includes(task.slice(0, task.lastIndexOf('/'))));
-  for (const machine of machines.all().filter(runsChosen).slice(0, MAX_HANGING_MACHINES))
+      .some((task) => jobIds.includes(task.slice(0, task.lastIndexOf('/'))));
+  for (const machine of machines.all().filter(runsChosenJob).slice(0, MAX_HANGING_MACHINES))
     machine.worker.hang(hangS * 1000);
 }
--- a/src/simulation/user-jobs.ts
+++ b/src/simulation/user-jobs.ts
@@ -66,15 +66,15 @@
   keepLastCheckpoint(key: string, job: UserJob, progressMs: number): void {
     const intervalMs = job.checkpointIntervalS * 1000;
     if (intervalMs <= 0) return;
-    const kept = Math.floor(progressMs / intervalMs) * intervalMs;
-    this.checkpoints.set(key, Math.max(this.checkpoints.get(key) ?? 0, kept));
+    const savedMs = Math.floor(progressMs / intervalMs) * intervalMs;
+    this.checkpoints.set(key, Math.max(this.checkpoints.get(key) ?? 0, savedMs));
   }
 
   /** Returns the job of a task with the name `job/index`, or null if there is no such task. */
   jobOf(task: string): UserJob | null {
-    const cut = task.lastIndexOf('/');
-    const job = this.jobs.get(task.slice(0, cut));
-    const index = Number(task.slice(cut + 1));
+    const separator = task.lastIndexOf('/');
+    const job = this.jobs.get(task.slice(0, separator));
+    const index = Number(task.slice(separator + 1));
     return job && index >= 0 && index < job.tasks ? job : null;
   }
 }
--- a/src/simulation/user-response-checker.ts
+++ b/src/simulation/user-response-checker.ts
@@ -88,11 +88,11 @@
   }
 
   private checkRejection(record: JobObservation, response: UserResponse): void {
-    const known = record.acceptedAt !== null && response.sentAt >= record.acceptedAt;
-    if (known && response.status === NOT_FOUND_STATUS)
+    const wasAccepted = record.acceptedAt !== null && response.sentAt >= record.acceptedAt;
+    if (wasAccepted && response.status === NOT_FOUND_STATUS)
       this.report('forgotten', response.job, `${response.job} was accepted and gets 404`);
     if (response.kind !== 'submit' || !REJECTED_STATUSES.includes(response.status)) return;
-    if (known)
+    if (wasAccepted)
       this.report(
         'forgotten',
         response.job,
@@ -105,20 +105,20 @@
     if (record.acceptedAt === null) this.counts.accepted += 1;
     record.acceptedAt ??= response.answeredAt;
     const { finalState: final } = record;
-    const differs = final !== null && response.state !== final.state;
-    const opposite = response.state === 'done' || response.state === 'cancelled';
-    if (differs && (opposite || response.sentAt >= final.at))
+    const contradictsFinalState = final !== null && response.state !== final.state;
+    const isFinalState = response.state === 'done' || response.state === 'cancelled';
+    if (contradictsFinalState && (isFinalState || response.sentAt >= final.at))
       this.report(
         'went_back',
         response.job,
         `${response.job} was called ${final.state} and then ${response.state}`,
       );
     if (response.state === 'done' && record.completed.size < record.job.tasks) {
-      const left = record.job.tasks - record.completed.size;
+      const incompleteTasks = record.job.tasks - record.completed.size;
       this.report(
         'not_done',
         response.job,
-        `${response.job} is called done while ${left} of its tasks are not`,
+        `${response.job} is called done while ${incompleteTasks} of its tasks are not`,
       );
     }
     if (response.state === 'cancelled' && !record.cancelRequested)
@@ -151,8 +151,12 @@
     if (unansweredSince === null) return;
     if (othersServed && now - unansweredSince > UNANSWERED_WHILE_OTHERS_SERVED_MS)
       this.report('forgotten', job.id, `no question about ${job.id} is answered for 90 s, others are`);
-    const from = faultFreeSince === null ? null : Math.max(faultFreeSince, unansweredSince);
-    if (from !== null && now - from > UNANSWERED_WITHOUT_FAULTS_MS)
+    const unansweredWithoutFaultsSince =
+      faultFreeSince === null ? null : Math.max(faultFreeSince, unansweredSince);
+    if (
+      unansweredWithoutFaultsSince !== null &&
+      now - unansweredWithoutFaultsSince > UNANSWERED_WITHOUT_FAULTS_MS
+    )
       this.report('forgotten', job.id, `no question about ${job.id} is answered for 75 s after the faults`);
   }
 }
--- a/src/simulation/users.ts
+++ b/src/simulation/users.ts
@@ -17,10 +17,10 @@
 const RETRY_DELAY_MS = 1000;
 const POLL_INTERVAL_FACTOR = { low: 0.9, high: 1.1 };
 /** Number of requests after a job's end, the pause before each, and the share of them that repeat the submission. */
-const LATE_REQUESTS = 2;
+const LATE_REQUEST_COUNT = 2;
 const LATE_REQUEST_DELAY_MS = { low: 1000, high: 40_000 };
 const LATE_SUBMISSION_SHARE = 0.3;
-const IRREGULAR_REQUEST_KINDS = 5;
+const IRREGULAR_REQUEST_KIND_COUNT = 5;
 /** More CPUs than any machine has. */
 const IMPOSSIBLE_CPUS = 1e6;
 const MAX_RETRY_DELAY_S = 30;
@@ -100,9 +100,9 @@
   private updateKnownState(answer: UserResponse): void {
     const job = this.trackedJobs.get(answer.job);
     if (!job || answer.state === null || job.state === 'done' || job.state === 'cancelled') return;
-    const first = job.state === null;
+    const isFirstState = job.state === null;
     job.state = answer.state;
-    if (first) this.notify('accepted', answer.job);
+    if (isFirstState) this.notify('accepted', answer.job);
     if (job.state === 'cancelled') this.notify('cancel_confirmed', answer.job);
     if (job.state === 'done') this.notify('job_done', answer.job);
   }
@@ -115,7 +115,7 @@
   /** Polls all nodes in rounds a few milliseconds apart, and repeats the submission in each round. */
   private async pollAllNodes(id: string): Promise<void> {
     const job = this.trackedJobs.get(id)?.job;
-    for (let look = 0; look < POLL_ROUNDS; look += 1) {
+    for (let round = 0; round < POLL_ROUNDS; round += 1) {
       for (let node = 0; node < this.options.controllers; node += 1) void this.request('ask', id, { node });
       if (job) {
         const node = this.random.integer(0, this.options.controllers - 1);
@@ -137,7 +137,7 @@
       await this.wait(POLL_INTERVAL_MS * this.random.within(POLL_INTERVAL_FACTOR));
       await this.request('ask', job.id);
     }
-    for (let again = 0; again < LATE_REQUESTS; again += 1) {
+    for (let count = 0; count < LATE_REQUEST_COUNT; count += 1) {
       await this.wait(this.random.within(LATE_REQUEST_DELAY_MS));
       const kind = this.random.chance(LATE_SUBMISSION_SHARE) ? 'submit' : 'ask';
       await this.request(kind, job.id, { body: encodeSubmission(job) });
@@ -145,8 +145,8 @@
   }
 
   private async submit(job: UserJob): Promise<boolean> {
-    const until = this.queue.now + SUBMIT_RETRY_PERIOD_MS;
-    while (this.queue.now < until) {
+    const deadline = this.queue.now + SUBMIT_RETRY_PERIOD_MS;
+    while (this.queue.now < deadline) {
       const { answer, retryAfterS } = await this.request('submit', job.id, { body: encodeSubmission(job) });
       if (answer.state !== null) return true;
       if (answer.status === HTTP_STATUS.badRequest || answer.status === HTTP_STATUS.unprocessableContent)
@@ -174,7 +174,7 @@
   }
 
   /** Returns jobs that are pending or running as far as users know and not being cancelled, in order of submission. */
-  unfinished(): UserJob[] {
+  openJobs(): UserJob[] {
     return [...this.trackedJobs.values()]
       .filter(
         (tracked) => (tracked.state === 'pending' || tracked.state === 'running') && !tracked.cancelling,
@@ -187,30 +187,30 @@
    * that lacks a field, a malformed job, or a status request for a job that does not exist.
    */
   sendIrregularRequest(number: number): void {
-    const done = [...this.trackedJobs.values()].filter((tracked) => tracked.state === 'done');
-    const open = this.unfinished();
-    const choice = this.random.integer(0, IRREGULAR_REQUEST_KINDS - 1);
-    if (choice === 0 && open.length > 0) {
-      const job = this.random.pick(open);
+    const doneJobs = [...this.trackedJobs.values()].filter((tracked) => tracked.state === 'done');
+    const openJobs = this.openJobs();
+    const choice = this.random.integer(0, IRREGULAR_REQUEST_KIND_COUNT - 1);
+    if (choice === 0 && openJobs.length > 0) {
+      const job = this.random.pick(openJobs);
       void this.request('submit', job.id, { body: encodeSubmission(job) });
-    } else if (choice === 1 && done.length > 0) {
-      void this.request('cancel', this.random.pick(done).job.id);
-    } else if (choice === 2 && open.length > 0) {
+    } else if (choice === 1 && doneJobs.length > 0) {
+      void this.request('cancel', this.random.pick(doneJobs).job.id);
+    } else if (choice === 2 && openJobs.length > 0) {
       // A repeated submission that lacks a field: the job is known, so the request must not be refused.
-      const job = this.random.pick(open);
-      void this.request('submit', job.id, { body: without(encodeSubmission(job), 'vcpus') });
+      const job = this.random.pick(openJobs);
+      void this.request('submit', job.id, { body: omitField(encodeSubmission(job), 'vcpus') });
     } else if (choice === 3) this.submitMalformed(number);
     else void this.request('ask', `req-nobody${number}`, { irregular: true });
   }
 
   private submitMalformed(number: number): void {
-    const any = [...this.trackedJobs.values()][0]?.job;
-    if (!any) return;
+    const template = [...this.trackedJobs.values()][0]?.job;
+    if (!template) return;
     const id = `req-odd${number}`;
-    const plain = encodeSubmission({ ...any, id });
+    const validBody = encodeSubmission({ ...template, id });
     const body = this.random.chance(0.5)
-      ? without(plain, 'legs')
-      : { ...plain, vcpus: IMPOSSIBLE_CPUS, hulls: null };
+      ? omitField(validBody, 'legs')
+      : { ...validBody, vcpus: IMPOSSIBLE_CPUS, hulls: null };
     void this.request('submit', id, { body, irregular: true });
   }
 }
@@ -219,7 +219,7 @@
 const retryDelayMs = (retryAfterS: number): number =>
   Math.max(RETRY_DELAY_MS, Math.min(MAX_RETRY_DELAY_S, retryAfterS) * 1000);
 
-function without(body: Record<string, unknown>, field: string): Record<string, unknown> {
+function omitField(body: Record<string, unknown>, field: string): Record<string, unknown> {
   return Object.fromEntries(Object.entries(body).filter(([name]) => name !== field));
 }
 
--- a/src/simulation/worker-task.ts
+++ b/src/simulation/worker-task.ts
@@ -46,7 +46,7 @@
   saved: boolean;
   /** When the current run began, and the progress that was restored at its start, in milliseconds of run time. */
   runningSince: number;
-  progressBefore: number;
+  restoredProgressMs: number;
   timer: ScheduledTimer | null;
   /** The gang attempt that it has joined, once its image is fetched; null for tasks of other jobs. */
   gang: { readonly attempt: GangAttempt; readonly member: GangMember } | null;
--- a/src/simulation/worker-tasks.ts
+++ b/src/simulation/worker-tasks.ts
@@ -70,7 +70,7 @@
   private launch(command: WireCommand, key: string): void {
     const job = this.environment.storage.jobOf(command.leg);
     const free = this.freeResources;
-    const busy = this.occupyingTasks().includes(command.leg);
+    const isDuplicate = this.occupyingTasks().includes(command.leg);
     const task: WorkerTask = {
       name: command.leg,
       attempt: command.sailing,
@@ -79,7 +79,7 @@
       cause: null,
       saved: false,
       runningSince: 0,
-      progressBefore: 0,
+      restoredProgressMs: 0,
       timer: null,
       gang: null,
     };
@@ -88,7 +88,7 @@
       this.exit(task, 'unknown');
       return;
     }
-    if (busy) {
+    if (isDuplicate) {
       this.exit(task, 'busy');
       return;
     }
@@ -113,7 +113,7 @@
     }
     task.status = 'running';
     task.runningSince = queue.now;
-    task.progressBefore = storage.checkpoints.get(task.name) ?? 0;
+    task.restoredProgressMs = storage.checkpoints.get(task.name) ?? 0;
     trace.add(`${this.spec.id} starts ${task.name} (attempt ${task.attempt})`);
     observer.taskStarted(this.spec, task.name);
     this.scheduleExit(task);
@@ -140,7 +140,7 @@
 
   private gangMember(task: WorkerTask): GangMember {
     const { slowness, host } = this;
-    const show = (status: 'running' | 'saving'): void => {
+    const setStatus = (status: 'running' | 'saving'): void => {
       if (task.status === 'exited') return;
       task.status = status;
       this.noteStatusChange();
@@ -151,8 +151,8 @@
       get hanging() {
         return host.paused;
       },
-      run: () => show('running'),
-      beginCheckpoint: () => show('saving'),
+      run: () => setStatus('running'),
+      beginCheckpoint: () => setStatus('saving'),
       exit: (cause, saved) => {
         if (task.status === 'exited') return;
         task.saved = saved;
@@ -179,7 +179,7 @@
       this.exitAfter(task, 'done', FALSE_COMPLETION_DELAY_MS);
       return;
     }
-    const remainingMs = (job.runS * 1000 - task.progressBefore) * this.slowness;
+    const remainingMs = (job.runS * 1000 - task.restoredProgressMs) * this.slowness;
     if (Number.isFinite(remainingMs)) this.exitAfter(task, 'done', remainingMs);
   }
 
@@ -189,7 +189,7 @@
 
   /** Progress so far, in milliseconds of run time at nominal speed. */
   private progressMs(task: WorkerTask): number {
-    return task.progressBefore + (this.environment.queue.now - task.runningSince) / this.slowness;
+    return task.restoredProgressMs + (this.environment.queue.now - task.runningSince) / this.slowness;
   }
 
   private kill(task: WorkerTask, graceS: number): void {
@@ -199,17 +199,17 @@
       task.gang.attempt.stop(task.gang.member, graceS);
       return;
     }
-    const saves =
+    const savesProgress =
       task.status === 'running' && job && job.checkpointIntervalS > 0 && graceS >= job.checkpointDurationS;
-    if (!saves) {
+    if (!savesProgress) {
       if (task.status !== 'saving' || graceS <= 0) this.exit(task, 'halted');
       return;
     }
     task.timer?.cancel();
-    const reached = this.progressMs(task);
+    const savedProgressMs = this.progressMs(task);
     task.status = 'saving';
     task.timer = this.host.after(job.checkpointDurationS * 1000, () => {
-      this.environment.storage.checkpoints.set(task.name, reached);
+      this.environment.storage.checkpoints.set(task.name, savedProgressMs);
       task.saved = true;
       this.exit(task, 'halted');
     });
@@ -228,7 +228,7 @@
     const { observer, storage, defects } = this.environment;
     task.timer?.cancel();
     if (task.status === 'pulling' && task.job)
-      this.images.abandon(task.job.image, `${task.name}#${task.attempt}`);
+      this.images.cancelRequest(task.job.image, `${task.name}#${task.attempt}`);
     if (task.status === 'pulling' || task.status === 'exited') return;
     task.gang?.attempt.leave(task.gang.member);
     if (task.status === 'running' && !task.gang && task.job)
@@ -243,23 +243,23 @@
     for (const { gang } of this.tasks.values()) gang?.attempt.hang(gang.member);
   }
 
-  /** Resumes tasks after a hang that began at `from`; their exits are postponed by its duration. */
-  resumeAfterHang(from: number): void {
+  /** Resumes tasks after a hang that began at `hangStartedAt`; their exits are postponed by its duration. */
+  resumeAfterHang(hangStartedAt: number): void {
     const { queue } = this.environment;
     for (const task of this.tasks.values()) {
       task.gang?.attempt.resume();
       if (task.status !== 'running' || task.gang) continue;
       task.timer?.cancel();
-      task.runningSince += queue.now - from;
+      task.runningSince += queue.now - hangStartedAt;
       this.rescheduleExit(task);
     }
   }
 
   private rescheduleExit(task: WorkerTask): void {
-    const done = this.environment.queue.now - task.runningSince;
-    const total = ((task.job?.runS ?? 0) * 1000 - task.progressBefore) * this.slowness;
-    if (Number.isFinite(total))
-      this.exitAfter(task, this.failing ? 'error' : 'done', Math.max(0, total - done));
+    const elapsedMs = this.environment.queue.now - task.runningSince;
+    const totalMs = ((task.job?.runS ?? 0) * 1000 - task.restoredProgressMs) * this.slowness;
+    if (Number.isFinite(totalMs))
+      this.exitAfter(task, this.failing ? 'error' : 'done', Math.max(0, totalMs - elapsedMs));
   }
 
   /** Ends and forgets every task. */
--- a/src/simulation/worker.ts
+++ b/src/simulation/worker.ts
@@ -88,8 +88,8 @@
 
   private scheduleHeartbeat(delay: number): void {
     this.nextHeartbeat?.cancel();
-    const earliest = this.lastHeartbeatAt + MIN_HEARTBEAT_INTERVAL_MS - this.environment.queue.now;
-    this.nextHeartbeat = this.host.after(Math.max(delay, earliest), () => void this.sendHeartbeat());
+    const minDelay = this.lastHeartbeatAt + MIN_HEARTBEAT_INTERVAL_MS - this.environment.queue.now;
+    this.nextHeartbeat = this.host.after(Math.max(delay, minDelay), () => void this.sendHeartbeat());
   }
 
   private noteStatusChange(): void {
@@ -109,9 +109,9 @@
     this.expireLease();
     this.heartbeatInFlight = false;
     if (response?.status === HTTP_STATUS.ok) {
-      const current =
+      const isCurrentEpoch =
         agentEpoch === this.agentEpoch || this.environment.defects.has('worker-ignores-sessions');
-      if (current) this.acceptResponse(response.body, sentAt);
+      if (isCurrentEpoch) this.acceptResponse(response.body, sentAt);
       this.scheduleHeartbeat(
         this.statusChanged ? 0 : times.heartbeatIntervalMs * random.within(HEARTBEAT_INTERVAL_FACTOR),
       );
@@ -181,8 +181,9 @@
     const body = JSON.parse(JSON.stringify(call.body ?? {})) as DirectCommandBody;
     if (body.helm === undefined || body.watch === undefined)
       return { status: HTTP_STATUS.badRequest, body: {} };
-    const current = body.watch === this.agentEpoch || this.environment.defects.has('worker-ignores-sessions');
-    if (!current || !this.acceptFencingToken(body.helm))
+    const isCurrentEpoch =
+      body.watch === this.agentEpoch || this.environment.defects.has('worker-ignores-sessions');
+    if (!isCurrentEpoch || !this.acceptFencingToken(body.helm))
       return { status: HTTP_STATUS.conflict, body: this.buildHeartbeat() };
     for (const command of body.orders ?? []) this.tasks.execute(command);
     return { status: HTTP_STATUS.ok, body: this.buildHeartbeat() };
@@ -196,14 +197,14 @@
   /** Makes the machine hang for a while; its tasks make no progress meanwhile. */
   hang(duration: number): void {
     if (this.hangingSince !== null) return;
-    const from = this.environment.queue.now;
-    this.hangingSince = from;
+    const hangStartedAt = this.environment.queue.now;
+    this.hangingSince = hangStartedAt;
     this.host.pause(duration);
     this.tasks.hang();
     this.host.after(duration, () => {
       this.hangingSince = null;
       this.expireLease();
-      this.tasks.resumeAfterHang(from);
+      this.tasks.resumeAfterHang(hangStartedAt);
     });
   }
 
--- a/test/simulation/gang-model.test.ts
+++ b/test/simulation/gang-model.test.ts
@@ -11,8 +11,8 @@
 import { Worker } from '../../src/simulation/worker.js';
 import { SAMPLE_USER_JOB } from '../support/user-job.js';
 
-const WAIT_MS = 20_000;
-const PEER_MS = 5000;
+const START_TIMEOUT_MS = 20_000;
+const PEER_TIMEOUT_MS = 5000;
 const CHECKPOINT_S = 5;
 const CHECKPOINT_DURATION_S = 2;
 const JOB = SAMPLE_USER_JOB.id;
@@ -54,20 +54,20 @@
     };
     const { queue, storage, trace } = this;
     const random = new RandomStream(7);
-    const times = { startTimeoutMs: WAIT_MS, peerTimeoutMs: PEER_MS };
+    const times = { startTimeoutMs: START_TIMEOUT_MS, peerTimeoutMs: PEER_TIMEOUT_MS };
     this.gangs = new GangRegistry({ queue, random, storage, trace, observer, times });
     for (let i = 0; i < machines; i += 1)
       this.addWorker(`m-${i}`, i === machines - 1 ? 'ridge' : 'fjord', observer);
-    const whole = { ...GANG, ...job };
-    storage.jobs.set(JOB, whole);
-    this.checker.jobSubmitted(whole);
+    const userJob = { ...GANG, ...job };
+    storage.jobs.set(JOB, userJob);
+    this.checker.jobSubmitted(userJob);
   }
 
   private addWorker(id: string, zone: string, observer: Observer): void {
-    const facts = { id, type: 'birch', zone, spot: false, cpus: 8, gpus: 0, memoryGb: 32 };
+    const spec = { id, type: 'birch', zone, spot: false, cpus: 8, gpus: 0, memoryGb: 32 };
     const host = new Host(id, zone, this.queue);
     const worker = new Worker(
-      facts,
+      spec,
       host,
       `${id}:9000`,
       { gbPerS: 1000, cacheGb: 60 },
@@ -260,25 +260,25 @@
 });
 
 test('a stop that reaches a task too late, or has too short a grace period, falls back to the last checkpoint', async () => {
-  const late = new WorkersFixture();
-  late.launchAll(1);
-  await late.runTo(9);
-  late.sendCommand('m-0', 'kill', 0, 1, CHECKPOINT_DURATION_S);
-  late.sendCommand('m-1', 'kill', 1, 1, CHECKPOINT_DURATION_S);
-  await late.runTo(13.8);
-  assert.deepEqual(late.taskStates(), ['saving', 'saving', 'running']);
-  await late.runTo(19.2);
-  assert.equal(late.taskStates()[2], 'peers');
-  assert.ok([0, 1, 2].every((i) => late.heartbeatTasks(`m-${i}`).every((t) => t.saved !== true)));
-  assert.equal(late.progressS(), 5);
-  const hasty = new WorkersFixture();
-  hasty.launchAll(1);
-  await hasty.runTo(9);
-  hasty.sendCommand('m-0', 'kill', 0, 1, CHECKPOINT_DURATION_S / 2);
-  assert.equal(hasty.taskStates()[0], 'halted');
-  await hasty.runTo(14.2);
-  assert.deepEqual(hasty.taskStates(), ['halted', 'peers', 'peers']);
-  assert.equal(hasty.progressS(), 5);
+  const lateStop = new WorkersFixture();
+  lateStop.launchAll(1);
+  await lateStop.runTo(9);
+  lateStop.sendCommand('m-0', 'kill', 0, 1, CHECKPOINT_DURATION_S);
+  lateStop.sendCommand('m-1', 'kill', 1, 1, CHECKPOINT_DURATION_S);
+  await lateStop.runTo(13.8);
+  assert.deepEqual(lateStop.taskStates(), ['saving', 'saving', 'running']);
+  await lateStop.runTo(19.2);
+  assert.equal(lateStop.taskStates()[2], 'peers');
+  assert.ok([0, 1, 2].every((i) => lateStop.heartbeatTasks(`m-${i}`).every((t) => t.saved !== true)));
+  assert.equal(lateStop.progressS(), 5);
+  const shortGrace = new WorkersFixture();
+  shortGrace.launchAll(1);
+  await shortGrace.runTo(9);
+  shortGrace.sendCommand('m-0', 'kill', 0, 1, CHECKPOINT_DURATION_S / 2);
+  assert.equal(shortGrace.taskStates()[0], 'halted');
+  await shortGrace.runTo(14.2);
+  assert.deepEqual(shortGrace.taskStates(), ['halted', 'peers', 'peers']);
+  assert.equal(shortGrace.progressS(), 5);
 });
 
 test('a gang task whose result is already stored exits as done as soon as its image is fetched', async () => {
--- a/test/simulation/schedules.test.ts
+++ b/test/simulation/schedules.test.ts
@@ -1,4 +1,4 @@
-/** Replays shrunk schedules that once broke a rule: each must break none. Open faults are listed in KNOWN-RED.txt. */
+/** Replays shrunk schedules that once broke a rule: each must break none. Those that still do are listed in KNOWN-RED.txt. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { test } from 'node:test';
--- a/test/simulation/simulation.test.ts
+++ b/test/simulation/simulation.test.ts
@@ -132,11 +132,14 @@
     fault({ kind: 'state_outage', key: 'c/' }),
     /faults\[0\]\.key: expected only with on = "commit"/,
   );
-  const hasty = { ...smallInput().deployment, cancel_s: 5 };
-  expectError(text(smallInput({ deployment: hasty })), /deployment\.cancel_s: expected more than lease_s/);
-  const stranger = smallInput();
-  const load = stranger.load.map((load) => ({ ...load, team: 'nobody' }));
-  expectError(text({ ...stranger, load }), /load\[0\]\.team: expected one of atlas, got "nobody"/);
+  const shortCancelTime = { ...smallInput().deployment, cancel_s: 5 };
+  expectError(
+    text(smallInput({ deployment: shortCancelTime })),
+    /deployment\.cancel_s: expected more than lease_s/,
+  );
+  const unknownTeam = smallInput();
+  const load = unknownTeam.load.map((load) => ({ ...load, team: 'nobody' }));
+  expectError(text({ ...unknownTeam, load }), /load\[0\]\.team: expected one of atlas, got "nobody"/);
 });
 
 test('a formatted scenario parses back to the same scenario', () => {
@@ -351,14 +354,14 @@
   {
     rule: 'forgotten',
     name: 'every status request for a job fails for 90 s while others are answered',
-    broken: (fixture) => pollsOfTwoJobs(fixture, () => null),
-    sound: (fixture) => pollsOfTwoJobs(fixture, (at) => (at === 60_000 ? 200 : null)),
+    broken: (fixture) => pollTwoJobs(fixture, () => null),
+    sound: (fixture) => pollTwoJobs(fixture, (at) => (at === 60_000 ? 200 : null)),
   },
   {
     rule: 'forgotten',
     name: 'no status request is answered for 75 s after all faults',
-    broken: (fixture) => pollsInQuiet(fixture, 80_000),
-    sound: (fixture) => pollsInQuiet(fixture, 70_000),
+    broken: (fixture) => pollWithoutAnswers(fixture, 80_000),
+    sound: (fixture) => pollWithoutAnswers(fixture, 70_000),
   },
   {
     rule: 'invented',
@@ -371,12 +374,12 @@
     name: 'a job is called done before its last task',
     broken: (fixture) => {
       fixture.submit();
-      complete(fixture, 1);
+      completeTasks(fixture, 1);
       fixture.answer('ask', 200, 'done');
     },
     sound: (fixture) => {
       fixture.submit();
-      complete(fixture, 2);
+      completeTasks(fixture, 2);
       fixture.answer('ask', 200, 'done');
     },
   },
@@ -385,14 +388,14 @@
     name: 'a job called done is later called running',
     broken: async (fixture) => {
       fixture.submit();
-      complete(fixture, 2);
+      completeTasks(fixture, 2);
       fixture.answer('ask', 200, 'done');
       await fixture.queue.run(10);
       fixture.answer('ask', 200, 'running');
     },
     sound: async (fixture) => {
       fixture.submit();
-      complete(fixture, 2);
+      completeTasks(fixture, 2);
       await fixture.queue.run(10);
       fixture.answer('ask', 200, 'done');
       // Sent before the previous answer arrived, so the answer may report the earlier state.
@@ -430,20 +433,20 @@
   {
     rule: 'left_waiting',
     name: 'a job waits while there is room',
-    broken: (fixture) => waitsBesideFreeCapacity(fixture, 2),
-    sound: (fixture) => waitsBesideFreeCapacity(fixture, 1),
+    broken: (fixture) => waitWithFreeCapacity(fixture, 2),
+    sound: (fixture) => waitWithFreeCapacity(fixture, 1),
   },
   {
     rule: 'left_waiting',
     name: 'a gang waits while there is room for all of it',
-    broken: (fixture) => waitsBesideFreeCapacity(fixture, 4, { shape: 'gang', tasks: 2 }),
-    sound: (fixture) => waitsBesideFreeCapacity(fixture, 3, { shape: 'gang', tasks: 2 }),
+    broken: (fixture) => waitWithFreeCapacity(fixture, 4, { shape: 'gang', tasks: 2 }),
+    sound: (fixture) => waitWithFreeCapacity(fixture, 3, { shape: 'gang', tasks: 2 }),
   },
   {
     rule: 'left_waiting',
     name: 'a gang gathers and never runs though there is room for all of it',
-    broken: (fixture) => gangJoinsSlowly(fixture, false),
-    sound: (fixture) => gangJoinsSlowly(fixture, true),
+    broken: (fixture) => gatherWithFreeCapacity(fixture, false),
+    sound: (fixture) => gatherWithFreeCapacity(fixture, true),
   },
   {
     rule: 'gang_rejoined',
@@ -460,14 +463,14 @@
   },
 ];
 
-function complete(fixture: CheckerFixture, tasks: number): void {
+function completeTasks(fixture: CheckerFixture, tasks: number): void {
   for (let i = 0; i < tasks; i += 1) {
     fixture.checker.taskStarted(fixture.machine('m-1'), `req-1/${i}`);
     fixture.checker.taskEnded(fixture.machine('m-1'), `req-1/${i}`, true);
   }
 }
 
-async function pollsOfTwoJobs(fixture: CheckerFixture, status: (at: number) => number | null): Promise<void> {
+async function pollTwoJobs(fixture: CheckerFixture, status: (at: number) => number | null): Promise<void> {
   fixture.submit();
   fixture.submit({ id: 'req-2' });
   fixture.answer('submit', 201, 'pending');
@@ -479,7 +482,7 @@
   }
 }
 
-async function pollsInQuiet(fixture: CheckerFixture, until: number): Promise<void> {
+async function pollWithoutAnswers(fixture: CheckerFixture, until: number): Promise<void> {
   fixture.submit();
   fixture.answer('submit', 201, 'pending');
   fixture.checker.setFaultsOver(true);
@@ -488,7 +491,7 @@
 }
 
 /** A job waits while a machine has `cpus` free CPUs; each task needs two. */
-async function waitsBesideFreeCapacity(
+async function waitWithFreeCapacity(
   fixture: CheckerFixture,
   cpus: number,
   job: Partial<UserJob> = {},
@@ -503,7 +506,7 @@
 }
 
 /** One of a gang's two tasks is on a machine, which has room for the other. */
-async function gangJoinsSlowly(fixture: CheckerFixture, runs: boolean): Promise<void> {
+async function gatherWithFreeCapacity(fixture: CheckerFixture, runs: boolean): Promise<void> {
   fixture.submit({ shape: 'gang' });
   fixture.answer('submit', 201, 'pending');
   fixture.checker.setFaultsOver(true);
@@ -705,37 +708,39 @@
 });
 
 /** Sends requests before and during a partition of this mode; returns when they arrive and how each exchange ends. */
-async function exchangeThroughCut(mode: PartitionMode): Promise<{ arrived: number[]; outcomes: string[] }> {
+async function exchangeThroughPartition(
+  mode: PartitionMode,
+): Promise<{ arrived: number[]; outcomes: string[] }> {
   const queue = new EventQueue();
   const options = { sameZoneMs: 1, crossZoneMs: 1, jitter: 0, loss: 0 };
   const network = new Network(queue, options, new RandomStream(1));
   const [from, to] = [new Host('n0', 'fjord', queue), new Host('n1', 'fjord', queue)];
   const arrived: number[] = [];
   const outcomes: string[] = [];
-  const ask = (): void => {
+  const sendRequest = (): void => {
     const serve = (reply: (r: { status: number; body: unknown }) => void): void => {
       arrived.push(Math.round(queue.now));
       reply({ status: 200, body: {} });
     };
     void network.exchange({ from, to, timeoutMs: 1000, serve }).then((o) => outcomes.push(o.kind));
   };
-  const cut = { mode, blocks: (): boolean => true };
-  ask();
-  queue.after(100, () => network.addPartition(cut));
+  const partition = { mode, blocks: (): boolean => true };
+  sendRequest();
+  queue.after(100, () => network.addPartition(partition));
   // The first request uses the open connection, the second needs a new one.
-  queue.after(200, ask);
-  queue.after(2000, ask);
-  queue.after(5000, () => network.heal(cut));
+  queue.after(200, sendRequest);
+  queue.after(2000, sendRequest);
+  queue.after(5000, () => network.heal(partition));
   await queue.run(10_000);
   return { arrived, outcomes };
 }
 
-test('in a partition a sent request may be held and arrive late; a failed connection attempt delivers nothing', async () => {
-  const held = await exchangeThroughCut('hold');
+test('partitions drop, hold or refuse: sent requests may arrive late, failed connection attempts deliver nothing', async () => {
+  const held = await exchangeThroughPartition('hold');
   assert.deepEqual(held, { arrived: [3, 5001], outcomes: ['answer', 'unknown', 'unsent'] });
-  const dropped = await exchangeThroughCut('drop');
+  const dropped = await exchangeThroughPartition('drop');
   assert.deepEqual(dropped, { arrived: [3], outcomes: ['answer', 'unknown', 'unsent'] });
-  const refused = await exchangeThroughCut('refuse');
+  const refused = await exchangeThroughPartition('refuse');
   assert.deepEqual(refused, { arrived: [3], outcomes: ['answer', 'unknown', 'unsent'] });
 });
 
