--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud: provisions machines by type, zone and kind, boots them, lists them late, and interrupts spot machines. */
+/** Simulated cloud: provisions, boots, lists (with a lag) and deletes machines, and interrupts spot machines. */
 import type { Call } from '../http/client.js';
 import { HTTP_STATUS } from '../http/status.js';
 import type { EventQueue } from './clock.js';
@@ -14,14 +14,14 @@
 import { TokenBucket } from './token-bucket.js';
 import type { Trace } from './trace.js';
 
-/** What the cloud offers and its limits: requests a second, and how many seconds its list lags behind. */
+/** Catalog and limits of the cloud: `rps` in requests per second; the machine list lags by `listLagS` seconds. */
 export interface CloudOptions {
   readonly types: readonly SimulatedInstanceType[];
   readonly rps: number;
   readonly listLagS: number;
-  /** Machines to be had of each type, zone and kind. */
+  /** Maximum number of machines per type and zone, spot and on-demand each. */
   readonly capacity: number;
-  /** The first half of every machine's address. */
+  /** First two octets of every machine's address. */
   readonly addressPrefix: string;
 }
 
@@ -39,30 +39,30 @@
 const FAILED_BOOT_SHARE = 0.01;
 const INITIAL_MACHINE_AGE_MS = 600_000;
 const RESPONSE_DELAY_MS = { low: 30, high: 150 };
-const LATE_EXECUTION_MS = { low: 2000, high: 12_000 };
+const LATE_EXECUTION_DELAY_MS = { low: 2000, high: 12_000 };
 const FAST_BOOT_MS = { low: 300, high: 2000 };
-/** Boots take this many times what their type says; slow ones that many times longer. */
+/** Factors on the boot time of a machine's type: of every boot, and in addition of slow boots. */
 const BOOT_TIME_FACTOR = { low: 0.6, high: 1.5 };
 const SLOW_BOOT_FACTOR = { low: 2, high: 4 };
-/** How old a list may be, as a share of the lag that the settings tell. */
+/** Age of a list, as a share of the configured lag; a stale list may reach `STALE_LIST_LAG_SHARE`. */
 const MIN_LIST_LAG_SHARE = 0.5;
 const MAX_LIST_LAG_SHARE = 1.2;
 const STALE_LIST_LAG_SHARE = 2;
 const STALE_LIST_PROBABILITY = 0.2;
 const MAX_LISTED_MACHINES = 500;
 const MACHINES_PER_SUBNET = 250;
-/** Seconds' worth of requests that may come at once. */
+/** Burst of the request limit, in seconds' worth of requests. */
 const REQUEST_BURST_S = 2;
 
-/** Serves the HTTP interface of the cloud and decides when machines boot, fail and end. */
+/** Serves the HTTP interface of the cloud and controls when machines boot, fail and end. */
 export class SimulatedCloud {
   readonly machines = new Map<string, CloudMachine>();
   outage = false;
-  /** Machines are up within a second or two. */
+  /** While set, machines boot within two seconds. */
   fastBoots = false;
-  /** Share of scale-out and scale-in requests that get no answer and are carried out later. */
-  lateShare = 0;
-  /** Refuses to scale out while set. */
+  /** Share of scale-out and scale-in requests that get no answer and are executed later. */
+  lateExecutionShare = 0;
+  /** While set, scale-out requests are refused. */
   outOfCapacity = false;
   private readonly machinesByIdempotencyKey = new Map<string, string[]>();
   private readonly requestBucket: TokenBucket;
@@ -97,12 +97,12 @@
     if (url.pathname === '/catalog')
       return { status: HTTP_STATUS.ok, body: { hulls: this.options.types.map(encodeInstanceType) } };
     if (call.method === 'GET') return this.list(url);
-    const carryOut = (): Response =>
+    const execute = (): Response =>
       url.pathname === '/hosts/delete'
         ? this.scaleIn(call.body as { berths: string[] })
         : this.scaleOut(call.body as ScaleOutBody);
-    if (!this.random.chance(this.lateShare)) return carryOut();
-    this.queue.after(this.random.within(LATE_EXECUTION_MS), carryOut);
+    if (!this.random.chance(this.lateExecutionShare)) return execute();
+    this.queue.after(this.random.within(LATE_EXECUTION_DELAY_MS), execute);
     return null;
   }
 
@@ -113,14 +113,14 @@
     const valid =
       type?.zones.includes(body.harbor) && body.number >= 1 && body.number <= MAX_MACHINES_PER_SCALE_OUT;
     if (!type || !valid) return { status: HTTP_STATUS.badRequest, body: { error: 'malformed' } };
-    const rented = [...this.machines.values()].filter(
+    const existingCount = [...this.machines.values()].filter(
       (machine) =>
         machine.removedAt === Infinity &&
         machine.type === type &&
         machine.zone === body.harbor &&
         machine.spot === body.driftboats,
     ).length;
-    const count = Math.min(body.number, this.options.capacity - rented);
+    const count = Math.min(body.number, this.options.capacity - existingCount);
     if (count <= 0 || this.outOfCapacity)
       return { status: HTTP_STATUS.serviceUnavailable, body: { error: 'no capacity' } };
     const machineIds = Array.from(
@@ -134,34 +134,34 @@
     return { status: HTTP_STATUS.ok, body: { berths: machineIds } };
   }
 
-  /** A machine that boots by itself, as long as its type takes; or one of the start, up after `bootMs`. */
+  /** Creates a machine; `bootMs` is the boot time in the initial deployment, null to draw one for the type. */
   create(
     type: SimulatedInstanceType,
     zone: string,
     spot: boolean,
     bootMs: number | null = null,
   ): CloudMachine {
-    // Machines that are up at the start were created long before.
-    const age = bootMs === null ? 0 : INITIAL_MACHINE_AGE_MS;
-    const number = this.machines.size;
+    // Machines of the initial deployment were created long before the start.
+    const ageMs = bootMs === null ? 0 : INITIAL_MACHINE_AGE_MS;
+    const index = this.machines.size;
     const machine: CloudMachine = {
-      id: `m-${String(number).padStart(6, '0')}`,
+      id: `m-${String(index).padStart(6, '0')}`,
       type,
       zone,
       spot,
-      endpoint: `${this.options.addressPrefix}.${Math.floor(number / MACHINES_PER_SUBNET)}.${number % MACHINES_PER_SUBNET}:9000`,
-      rentedAt: this.queue.now - age,
+      endpoint: `${this.options.addressPrefix}.${Math.floor(index / MACHINES_PER_SUBNET)}.${index % MACHINES_PER_SUBNET}:9000`,
+      rentedAt: this.queue.now - ageMs,
       readyAt: Infinity,
       failedAt: Infinity,
       removedAt: Infinity,
     };
     this.machines.set(machine.id, machine);
-    const boot = bootMs ?? this.bootTime(type);
-    if (Number.isFinite(boot)) this.queue.after(boot, () => this.boot(machine));
+    const bootTimeMs = bootMs ?? this.drawBootTimeMs(type);
+    if (Number.isFinite(bootTimeMs)) this.queue.after(bootTimeMs, () => this.boot(machine));
     return machine;
   }
 
-  private bootTime(type: SimulatedInstanceType): number {
+  private drawBootTimeMs(type: SimulatedInstanceType): number {
     if (this.random.chance(FAILED_BOOT_SHARE)) return Infinity;
     if (this.fastBoots) return this.random.within(FAST_BOOT_MS);
     const slowness = this.random.chance(SLOW_BOOT_SHARE) ? this.random.within(SLOW_BOOT_FACTOR) : 1;
@@ -187,7 +187,7 @@
     return { status: HTTP_STATUS.ok, body: {} };
   }
 
-  /** The machine stops on its own. */
+  /** Makes a machine fail on its own; the list shows the failure with a delay. */
   fail(machine: CloudMachine): void {
     if (machine.removedAt !== Infinity || machine.failedAt !== Infinity) return;
     machine.failedAt = this.queue.now;
@@ -195,7 +195,7 @@
     this.onRemoved(machine);
   }
 
-  /** The cloud interrupts a spot machine: it is off at once. */
+  /** Interrupts a spot machine: it ends at once. */
   interrupt(machine: CloudMachine): void {
     if (machine.removedAt !== Infinity) return;
     machine.removedAt = this.queue.now;
@@ -203,7 +203,7 @@
     this.onRemoved(machine);
   }
 
-  /** As things stood some time ago; a list may be older than the one before it. */
+  /** Lists the machines as of some time ago; a list may be older than the previous one. */
   private list(url: URL): Response {
     const lagMs = this.options.listLagS * 1000;
     const maxShare = this.random.chance(STALE_LIST_PROBABILITY) ? STALE_LIST_LAG_SHARE : MAX_LIST_LAG_SHARE;
--- a/src/simulation/controller-node.ts
+++ b/src/simulation/controller-node.ts
@@ -1,4 +1,4 @@
-/** The real controllers, each on a host of its own, with ports that lead into the model. */
+/** Runs a real controller on a simulated host, with ports connected to the simulated services. */
 import { Controller } from '../controller/controller.js';
 import type { Ports } from '../controller/ports.js';
 import type { Call, CallOutcome } from '../http/client.js';
@@ -15,7 +15,7 @@
 
 const RESPONSE_TIMEOUT_MS = 4500;
 
-/** What a controller's requests reach. */
+/** Services, machines and peers that a controller can reach. */
 export interface ControllerEnvironment {
   readonly queue: EventQueue;
   readonly network: Network;
@@ -23,15 +23,15 @@
   readonly log: Log;
   readonly store: { readonly host: Host; serve(from: Host, call: Call, reply: Reply): void };
   readonly cloud: { readonly host: Host; serve(call: Call, reply: Reply): void };
-  /** The machine at an address; null: nobody is there. */
-  readonly machine: (
+  /** Returns the machine at an address, or null. */
+  readonly findMachine: (
     address: Address,
   ) => { readonly host: Host; serve(call: Call, reply: Reply): void } | null;
-  readonly node: (name: string) => ControllerNode | undefined;
+  readonly findPeer: (name: string) => ControllerNode | undefined;
   readonly tuning: string;
 }
 
-/** A production controller on a simulated host, started again as a new process after each end. */
+/** A production controller on a simulated host; each start after an end is a new process. */
 export class ControllerNode {
   readonly host: Host;
   private handler: Handler | null = null;
@@ -65,7 +65,7 @@
     this.receive = null;
   }
 
-  /** A request has arrived at this node. */
+  /** Handles a request that has arrived at this node. */
   serve(call: Call, reply: Reply): void {
     if (!this.handler) {
       reply({ status: HTTP_STATUS.serviceUnavailable, body: { error: 'starting' } });
@@ -97,17 +97,17 @@
   }
 
   private ports(): Ports {
-    const { store: state, cloud, machine } = this.environment;
-    const storeCaller = this.caller(state.host, (call, reply) => state.serve(this.host, call, reply));
+    const { store, cloud, findMachine } = this.environment;
+    const storeClient = this.buildClient(store.host, (call, reply) => store.serve(this.host, call, reply));
     return {
-      state: storeCaller,
-      stateWatch: storeCaller,
-      cloud: this.caller(cloud.host, (call, reply) => cloud.serve(call, reply)),
+      state: storeClient,
+      stateWatch: storeClient,
+      cloud: this.buildClient(cloud.host, (call, reply) => cloud.serve(call, reply)),
       worker: (address) => ({
         call: (call) => {
-          const target = machine(address);
+          const target = findMachine(address);
           if (!target) return this.unreachable(call);
-          return this.caller(target.host, (received, reply) => target.serve(received, reply)).call(call);
+          return this.buildClient(target.host, (received, reply) => target.serve(received, reply)).call(call);
         },
         close: () => undefined,
       }),
@@ -120,8 +120,8 @@
     };
   }
 
-  /** A process that has ended never learns an outcome: its promises stay open. */
-  private caller(
+  /** Builds a client for a service; promises of a process that has ended are never resolved. */
+  private buildClient(
     to: Host,
     serve: (call: Call, reply: Reply) => void,
   ): { call: (call: Call) => Promise<CallOutcome> } {
@@ -144,7 +144,7 @@
   private mesh(receive: (message: unknown) => void): PeerTransport {
     this.receive = receive;
     const send = (to: string, message: unknown): void => {
-      const peer = this.environment.node(to);
+      const peer = this.environment.findPeer(to);
       if (!peer?.host.up) return;
       const bytes = frame(message);
       this.environment.network.send(this.host, peer.host, () => {
--- a/src/simulation/fuzz.ts
+++ b/src/simulation/fuzz.ts
@@ -1,11 +1,11 @@
-/** Many random schedules over several processes. Which schedules are run depends on the first seed only. */
+/** Runs many random schedules in several processes. The schedules depend only on the first seed. */
 import { fork, type ChildProcess } from 'node:child_process';
 import type { FuzzOutcome } from './fuzz-run.js';
 import type { FuzzRequest } from './fuzz-process.js';
 import type { Rule } from './invariant-checker.js';
 import { formatScenario, type Scenario } from './scenario.js';
 
-/** Which schedules to run, how many processes to use at once, and who receives each outcome. */
+/** Options of a fuzz: schedules to run, number of concurrent processes, and the callback for outcomes. */
 export interface FuzzOptions {
   readonly firstSeed: number;
   readonly runs: number;
@@ -15,16 +15,16 @@
   readonly onOutcome: (outcome: FuzzOutcome) => void;
 }
 
-/** Sends one process a schedule after another until none is left. */
-function drive(
+/** Sends schedules to one child process, one at a time, until none is left. */
+function runSchedules(
   child: ChildProcess,
-  next: () => FuzzRequest | null,
-  done: FuzzOptions['onOutcome'],
+  nextRequest: () => FuzzRequest | null,
+  onOutcome: FuzzOptions['onOutcome'],
 ): Promise<void> {
   return new Promise((resolve, reject) => {
     let finished = false;
     const send = (): void => {
-      const request = next();
+      const request = nextRequest();
       if (request) child.send(request);
       else {
         finished = true;
@@ -32,7 +32,7 @@
       }
     };
     child.on('message', (outcome) => {
-      done(outcome as FuzzOutcome);
+      onOutcome(outcome as FuzzOutcome);
       send();
     });
     child.on('error', reject);
@@ -44,12 +44,12 @@
   });
 }
 
-/** All outcomes in the order of their seeds. */
+/** Runs all schedules and returns their outcomes in the order of their seeds. */
 export async function fuzz(options: FuzzOptions): Promise<FuzzOutcome[]> {
   const base = options.base === null ? null : formatScenario(options.base);
   const outcomes: FuzzOutcome[] = [];
   let started = 0;
-  const next = (): FuzzRequest | null => {
+  const nextRequest = (): FuzzRequest | null => {
     if (started >= options.runs) return null;
     started += 1;
     return { seed: options.firstSeed + started - 1, base, rules: options.rules };
@@ -59,7 +59,7 @@
   const children = Array.from({ length: jobs }, () => fork(program, { execArgv: [] }));
   await Promise.all(
     children.map((child) =>
-      drive(child, next, (outcome) => {
+      runSchedules(child, nextRequest, (outcome) => {
         outcomes.push(outcome);
         options.onOutcome(outcome);
       }),
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -1,6 +1,6 @@
 /**
- * Checks every rule of PROTOCOL by what can be seen from outside: tasks on machines, and what users ask and are told.
- * It shares no code and no state with the controllers, nor with the workers that it watches.
+ * Checks every rule of PROTOCOL against what is visible from outside the controllers: tasks on machines, and users'
+ * requests with their answers. Shares no code and no state with the controllers or the workers that it observes.
  */
 import type { EventQueue } from './clock.js';
 import type { UserJob } from './user-jobs.js';
@@ -23,10 +23,10 @@
 
 const REVIEW_INTERVAL_MS = 2000;
 const MAX_STARTABLE_WAIT_MS = 90_000;
-/** Observes the simulated cluster and collects violations; `finish` checks what only the end can tell. */
+/** Observes the simulated cluster and collects violations; `finish` checks the rules that apply to the whole run. */
 export class InvariantChecker implements Observer {
   readonly violations: Violation[] = [];
-  /** Counted, not rules: starts after a confirmed cancellation, and accepted jobs that were malformed. */
+  /** Statistics. Starts after a confirmed cancellation and accepted malformed jobs are counted, not reported. */
   readonly counts: ObservationCounts = {
     starts: 0,
     gangStarts: 0,
@@ -53,18 +53,18 @@
       jobs,
       counts,
       cancelS: options.cancelS,
-      report: (rule, about, detail) => this.reportViolation(rule, about, detail),
+      report: (rule, subject, detail) => this.reportViolation(rule, subject, detail),
     });
     this.scheduleReview();
   }
 
-  /** The last fault is over, or one has begun. */
+  /** Records whether all faults have ended; `over` is false while a fault is active or has yet to reach its time. */
   setFaultsOver(over: boolean): void {
     this.faultFreeSince = over ? this.queue.now : null;
   }
 
-  private reportViolation(rule: Rule, about: string, detail: string): void {
-    const key = `${rule} ${about}`;
+  private reportViolation(rule: Rule, subject: string, detail: string): void {
+    const key = `${rule} ${subject}`;
     if (this.reportedViolations.has(key)) return;
     this.reportedViolations.add(key);
     const violation = { rule, atS: this.queue.now / 1000, event: this.queue.count, detail };
@@ -101,9 +101,13 @@
       this.reportViolation('invented', task, `${task} starts, and nobody has submitted its job`);
       return;
     }
-    const other = record.machineByTask.get(task);
-    if (other)
-      this.reportViolation('ran_twice', task, `${task} starts on ${machine.id} while it is on ${other.id}`);
+    const otherMachine = record.machineByTask.get(task);
+    if (otherMachine)
+      this.reportViolation(
+        'ran_twice',
+        task,
+        `${task} starts on ${machine.id} while it is on ${otherMachine.id}`,
+      );
     this.checkPlacement(record, machine, task);
     record.machineByTask.set(task, machine);
     this.checkCancelled(record, task);
@@ -118,7 +122,7 @@
     if (completed) record.completed.add(task);
   }
 
-  /** The machine that a task is on. */
+  /** Returns the id of the machine that the task is on, or null. */
   machineOf(task: string): string | null {
     return this.jobs.get(jobIdOf(task))?.machineByTask.get(task)?.id ?? null;
   }
@@ -129,22 +133,25 @@
     this.counts.gangStarts += 1;
   }
 
-  /** Once a gang runs, a task that it has lost ends it: nobody waits for another. */
+  /** Reports a task that joins a running attempt: a gang that loses a task ends and waits for no replacement. */
   gangRejoined(job: string, task: string): void {
     this.reportViolation('gang_rejoined', job, `${task} joins an attempt that had started`);
   }
 
   private checkPlacement(record: JobObservation, machine: MachineSpec, task: string): void {
     const { job } = record;
-    const reject = (why: string): void =>
-      this.reportViolation('wrong_place', task, `${task} on ${machine.id}: ${why}`);
+    const reject = (reason: string): void =>
+      this.reportViolation('wrong_place', task, `${task} on ${machine.id}: ${reason}`);
     if (job.types && !job.types.includes(machine.type)) reject(`type ${machine.type} is not allowed`);
     if (job.zone !== null && job.zone !== machine.zone) reject(`zone ${machine.zone} is not ${job.zone}`);
     if (machine.spot && !job.spot) reject('a spot machine');
-    const zones = [...record.machineByTask].filter(([name]) => name !== task).map(([, other]) => other.zone);
+    const zones = [...record.machineByTask]
+      .filter(([name]) => name !== task)
+      .map(([, otherMachine]) => otherMachine.zone);
     if (job.sameZone && zones.some((z) => z !== machine.zone)) reject('another zone than its other tasks');
-    const here = zones.filter((z) => z === machine.zone).length + 1;
-    if (job.spread && here > Math.ceil(job.tasks / 2)) reject(`${here} of ${job.tasks} tasks in one zone`);
+    const tasksInZone = zones.filter((z) => z === machine.zone).length + 1;
+    if (job.spread && tasksInZone > Math.ceil(job.tasks / 2))
+      reject(`${tasksInZone} of ${job.tasks} tasks in one zone`);
   }
 
   responseReceived(response: UserResponse): void {
@@ -159,8 +166,8 @@
   }
 
   private checkQuota(team: string): void {
-    const limit = this.options.teams.find((t) => t.name === team);
-    if (!limit) return;
+    const quota = this.options.teams.find((t) => t.name === team);
+    if (!quota) return;
     let cpus = 0;
     let gpus = 0;
     for (const { job, machineByTask } of this.jobs.values()) {
@@ -168,10 +175,10 @@
       cpus += machineByTask.size * job.cpus;
       gpus += machineByTask.size * job.gpus;
     }
-    if (limit.cpusMax > 0 && cpus > limit.cpusMax + EPSILON)
-      this.reportViolation('quota', team, `${team} uses ${cpus} CPUs of at most ${limit.cpusMax}`);
-    if (limit.gpusMax > 0 && gpus > limit.gpusMax + EPSILON)
-      this.reportViolation('quota', team, `${team} uses ${gpus} GPUs of at most ${limit.gpusMax}`);
+    if (quota.cpusMax > 0 && cpus > quota.cpusMax + EPSILON)
+      this.reportViolation('quota', team, `${team} uses ${cpus} CPUs of at most ${quota.cpusMax}`);
+    if (quota.gpusMax > 0 && gpus > quota.gpusMax + EPSILON)
+      this.reportViolation('quota', team, `${team} uses ${gpus} GPUs of at most ${quota.gpusMax}`);
   }
 
   private scheduleReview(): void {
@@ -192,8 +199,8 @@
   }
 
   /**
-   * No task of the job is anywhere, though a machine has had room for one and the team was under its limit. A gang: it
-   * does not run, though there has been room for all of its tasks.
+   * Reports a job that has no task on any machine although a machine has had room for a task and the team was below its
+   * quota; and a gang that does not run although there has been room for all of its tasks.
    */
   private checkLeftWaiting(record: JobObservation, now: number, machines: readonly MachineView[]): void {
     const startable =
@@ -211,7 +218,7 @@
       );
   }
 
-  /** The end of the simulation. */
+  /** Runs the checks at the end of the simulation. */
   finish(): void {
     if (this.counts.starts === 0 && this.counts.accepted > 0)
       this.reportViolation('nothing_ran', 'all', 'no task was started');
--- a/src/simulation/load-balancer.ts
+++ b/src/simulation/load-balancer.ts
@@ -1,4 +1,4 @@
-/** The load balancer before the controllers: health probes, removal with growing pauses, fewest open connections. */
+/** Load balancer in front of the controllers: health probes, ejection with growing periods, least connections. */
 import type { Call } from '../http/client.js';
 import { HTTP_STATUS } from '../http/status.js';
 import type { Millis } from '../model/units.js';
@@ -11,35 +11,35 @@
 const PROBE_TIMEOUT_MS = 1000;
 const PROBE_WINDOW = 6;
 const UNHEALTHY_FAILURE_COUNT = 3;
-const MIN_REMOVAL_MS = 3000;
-const MAX_REMOVAL_MS = 60_000;
-const REMOVAL_MEMORY_MS = 120_000;
+const MIN_EJECTION_MS = 3000;
+const MAX_EJECTION_MS = 60_000;
+const EJECTION_MEMORY_MS = 120_000;
 const SLOW_START_MS = 10_000;
 const CONNECT_TIMEOUT_MS = 500;
 const MAX_ATTEMPTS = 3;
 const SKIP_BACKEND_MS = 3000;
 const SKIP_AFTER_FAILURES = 3;
 const PROBE_INTERVAL_FACTOR = { low: 0.95, high: 1.05 };
-/** Share of the requests with which a backend that has just turned healthy begins. */
+/** Initial share of its normal load that a backend gets when it has just become healthy. */
 const SLOW_START_SHARE = 0.05;
-/** How long the other side takes to refuse a connection. */
+/** Time that a refused connection attempt takes. */
 const REFUSAL_DELAY_MS = 1;
 
 interface Backend {
   readonly node: ControllerNode;
   healthy: boolean;
   everHealthy: boolean;
-  /** Latest last; true: answered 200. */
+  /** Results of the last probes, oldest first; true if the answer was 200. */
   probes: boolean[];
   healthySince: number;
-  removedAt: number;
-  removalMs: number;
+  ejectedAt: number;
+  ejectionMs: number;
   openConnections: number;
   consecutiveFailures: number;
   skipUntil: number;
 }
 
-/** Forwards the requests of users to healthy controllers. */
+/** Forwards users' requests to healthy controllers. */
 export class LoadBalancer {
   private readonly backends: Backend[];
 
@@ -56,8 +56,8 @@
       everHealthy: false,
       probes: [],
       healthySince: 0,
-      removedAt: -Infinity,
-      removalMs: 0,
+      ejectedAt: -Infinity,
+      ejectionMs: 0,
       openConnections: 0,
       consecutiveFailures: 0,
       skipUntil: 0,
@@ -79,20 +79,22 @@
   private updateHealth(backend: Backend, succeeded: boolean): void {
     const { now } = this.queue;
     backend.probes = [...backend.probes, succeeded].slice(-PROBE_WINDOW);
-    const lastTwo = backend.probes.slice(-2);
+    const lastTwoProbes = backend.probes.slice(-2);
     const failures = backend.probes.filter((succeeded) => !succeeded).length;
     if (backend.healthy) {
-      if (lastTwo.some(Boolean) && failures < UNHEALTHY_FAILURE_COUNT) return;
+      if (lastTwoProbes.some(Boolean) && failures < UNHEALTHY_FAILURE_COUNT) return;
       backend.healthy = false;
-      backend.removalMs =
-        now - backend.removedAt < REMOVAL_MEMORY_MS
-          ? Math.min(MAX_REMOVAL_MS, backend.removalMs * 2)
-          : MIN_REMOVAL_MS;
-      backend.removedAt = now;
+      backend.ejectionMs =
+        now - backend.ejectedAt < EJECTION_MEMORY_MS
+          ? Math.min(MAX_EJECTION_MS, backend.ejectionMs * 2)
+          : MIN_EJECTION_MS;
+      backend.ejectedAt = now;
       return;
     }
-    const enough = backend.everHealthy ? lastTwo.length === 2 && lastTwo.every(Boolean) : succeeded;
-    if (!enough || (backend.everHealthy && now - backend.removedAt < backend.removalMs)) return;
+    const becomesHealthy = backend.everHealthy
+      ? lastTwoProbes.length === 2 && lastTwoProbes.every(Boolean)
+      : succeeded;
+    if (!becomesHealthy || (backend.everHealthy && now - backend.ejectedAt < backend.ejectionMs)) return;
     backend.healthy = true;
     backend.healthySince = backend.everHealthy ? now : now - SLOW_START_MS;
     backend.everHealthy = true;
@@ -105,7 +107,7 @@
     return this.network.exchange({ from: this.host, to: node.host, timeoutMs: call.timeout, serve });
   }
 
-  /** Fewest open connections first; a node that has just turned healthy gets its share gradually. */
+  /** Returns healthy backends, fewest open connections first; the load of a newly healthy backend grows gradually. */
   private candidates(): Backend[] {
     const { now } = this.queue;
     const load = (backend: Backend): number =>
@@ -118,7 +120,7 @@
       .map(({ backend }) => backend);
   }
 
-  /** One request on a new connection. */
+  /** Forwards one request on a new connection; tries up to `MAX_ATTEMPTS` backends. */
   async request(call: Call): Promise<ExchangeOutcome> {
     for (const backend of this.candidates().slice(0, MAX_ATTEMPTS)) {
       if (await this.canConnect(backend)) return this.forward(backend, call);
@@ -153,7 +155,7 @@
     return outcome;
   }
 
-  /** A request straight to one node, as `close_looks` does at all of them. */
+  /** Sends a request directly to one controller, as the fault `close_looks` does with every controller. */
   requestAt(node: number, call: Call): Promise<ExchangeOutcome> {
     return this.exchange(this.backends[node] as Backend, call);
   }
--- a/src/simulation/scenario-schema.ts
+++ b/src/simulation/scenario-schema.ts
@@ -1,6 +1,6 @@
 /**
- * The schema of scenario files: a deployment, a load and a schedule of faults, with the defaults of all fields. Names and
- * defaults are a format that kept scenarios rely on.
+ * Schema of scenario files: a deployment, a load and a schedule of faults, with the defaults of all fields. Stored
+ * scenarios rely on the names and the defaults.
  */
 import * as v from 'valibot';
 
@@ -33,11 +33,11 @@
   report_s: v.optional(positiveNumber, 2),
   lease_s: v.optional(positiveNumber, 14),
   cancel_s: v.optional(positiveNumber, 34),
-  /** How long a gang's task waits for the others, and within which time it notices that one is lost. */
+  /** How long a gang's task waits for the others to start, and the time within which it detects the loss of another. */
   gang_wait_s: v.optional(positiveNumber, 20),
   gang_peer_s: v.optional(positiveNumber, 5),
   max_connections: v.optional(positiveInteger, 1500),
-  /** Operators' properties, one a line. */
+  /** Operators' properties, one per line. */
   properties: v.optional(v.string('a text'), ''),
   state: v.optional(
     v.strictObject({
@@ -52,7 +52,7 @@
     v.strictObject({
       rps: v.optional(positiveNumber, 6),
       list_lag_s: v.optional(nonNegativeNumber, 4),
-      /** Machines to be had of each type, zone and kind. */
+      /** Maximum number of machines per type and zone, spot and on-demand each. */
       capacity: v.optional(nonNegativeInteger, 20),
     }),
     {},
@@ -92,7 +92,7 @@
       gpus_max: v.optional(nonNegativeNumber, 0),
     }),
   ),
-  /** Machines that are up at the start. */
+  /** Machines that are running at the start. */
   machines: v.optional(
     v.array(
       v.strictObject({
@@ -121,7 +121,7 @@
   per_minute: v.optional(nonNegativeNumber, 0),
   at_start: v.optional(nonNegativeInteger, 0),
   until_s: v.optional(positiveNumber, 1e9),
-  /** Share of the jobs that their users cancel, and when, counted from their acceptance. */
+  /** Share of jobs that their users cancel, and the time of the cancellation after the job was accepted. */
   cancel_share: v.optional(fraction, 0),
   cancel_after_s: v.optional(range, [1, 30]),
   types: v.optional(v.array(nonEmptyString)),
@@ -133,7 +133,7 @@
   save_s: v.optional(nonNegativeNumber, 0),
 });
 
-/** What may set off a fault; `nth` counts from the time `at_s`. */
+/** Events that can trigger a fault; `nth` counts the events after `at_s`. */
 const EVENTS = [
   'part_claimed',
   'commit',
@@ -150,18 +150,19 @@
 const timing = {
   at_s: v.optional(nonNegativeNumber, 0),
   on: v.optional(v.picklist(EVENTS, `one of ${EVENTS.join(', ')}`)),
-  /** With `on = "commit"`: the key, or what it begins with. */
+  /** With `on = "commit"`: the prefix of a committed key. */
   key: v.optional(nonEmptyString),
   nth: v.optional(positiveInteger, 1),
   after_ms: v.optional(nonNegativeNumber, 0),
 };
-const lasting = { ...timing, for_s: v.optional(nonNegativeNumber, 10) };
-/** A controller by its number, or the one of the event; none: any. */
-const oneNode = {
+/** Timing of a fault that lasts for a while. */
+const timespan = { ...timing, for_s: v.optional(nonNegativeNumber, 10) };
+/** A controller by index, or the controller of the event; by default a random one. */
+const nodeSelector = {
   node: v.optional(v.union([nonNegativeInteger, v.literal('event')], 'a number or "event"')),
 };
-/** Machines by number, share or zone, or the one that the event concerns; none: one. */
-const some = {
+/** Machines by count, share or zone, or the machine of the event; by default one random machine. */
+const machineSelector = {
   count: v.optional(positiveInteger),
   share: v.optional(fraction),
   zone: v.optional(nonEmptyString),
@@ -173,52 +174,52 @@
   v.strictObject({ kind: v.literal(kind), ...entries });
 
 const faultSchema = v.variant('kind', [
-  faultKind('controller_end', { ...timing, ...oneNode, restart_s: v.optional(nonNegativeNumber) }),
+  faultKind('controller_end', { ...timing, ...nodeSelector, restart_s: v.optional(nonNegativeNumber) }),
   faultKind('all_controllers_end', { ...timing, restart_s: v.optional(nonNegativeNumber) }),
   faultKind('controllers_restart', { ...timing, gap_s: v.optional(positiveNumber, 8) }),
-  faultKind('controller_pause', { ...lasting, ...oneNode }),
+  faultKind('controller_pause', { ...timespan, ...nodeSelector }),
   faultKind('node_cut', {
-    ...lasting,
-    ...oneNode,
+    ...timespan,
+    ...nodeSelector,
     ...mode,
     from_state: optionalFlag,
     from_peers: optionalFlag,
     from_workers: optionalFlag,
     from_users: optionalFlag,
   }),
-  faultKind('peers_refused', lasting),
-  faultKind('zone_cut', { ...lasting, ...mode, zone: nonEmptyString }),
-  faultKind('zones_cut', { ...lasting, ...mode, zone: nonEmptyString, other_zone: nonEmptyString }),
-  faultKind('state_outage', lasting),
-  faultKind('state_refuses', { ...lasting, ...oneNode }),
-  faultKind('state_slow', { ...lasting, slow_ms: v.optional(positiveNumber, 400) }),
-  faultKind('late_writes', { ...lasting, share: v.optional(fraction, 0.3), at_once: optionalFlag }),
-  faultKind('late_reports', { ...lasting, share: v.optional(fraction, 0.3), for_next: optionalFlag }),
-  faultKind('late_commands', { ...lasting, share: v.optional(fraction, 0.3) }),
-  faultKind('cloud_outage', lasting),
-  faultKind('cloud_empty', lasting),
-  faultKind('late_rentals', { ...lasting, share: v.optional(fraction, 0.5) }),
-  faultKind('fast_boots', lasting),
-  faultKind('machine_deaf', { ...lasting, ...some }),
-  faultKind('machine_mute', { ...lasting, ...some }),
-  faultKind('machine_cut', { ...lasting, ...mode, ...some }),
-  faultKind('machine_hang', { ...lasting, ...some }),
-  faultKind('machine_sick', { ...lasting, ...some }),
-  faultKind('machine_slow', { ...lasting, ...some, times: v.optional(positiveNumber, 3) }),
-  faultKind('machine_end', { ...timing, ...some }),
-  faultKind('spot_wave', { ...timing, ...some, notice_s: v.optional(nonNegativeNumber, 10) }),
+  faultKind('peers_refused', timespan),
+  faultKind('zone_cut', { ...timespan, ...mode, zone: nonEmptyString }),
+  faultKind('zones_cut', { ...timespan, ...mode, zone: nonEmptyString, other_zone: nonEmptyString }),
+  faultKind('state_outage', timespan),
+  faultKind('state_refuses', { ...timespan, ...nodeSelector }),
+  faultKind('state_slow', { ...timespan, slow_ms: v.optional(positiveNumber, 400) }),
+  faultKind('late_writes', { ...timespan, share: v.optional(fraction, 0.3), at_once: optionalFlag }),
+  faultKind('late_reports', { ...timespan, share: v.optional(fraction, 0.3), for_next: optionalFlag }),
+  faultKind('late_commands', { ...timespan, share: v.optional(fraction, 0.3) }),
+  faultKind('cloud_outage', timespan),
+  faultKind('cloud_empty', timespan),
+  faultKind('late_rentals', { ...timespan, share: v.optional(fraction, 0.5) }),
+  faultKind('fast_boots', timespan),
+  faultKind('machine_deaf', { ...timespan, ...machineSelector }),
+  faultKind('machine_mute', { ...timespan, ...machineSelector }),
+  faultKind('machine_cut', { ...timespan, ...mode, ...machineSelector }),
+  faultKind('machine_hang', { ...timespan, ...machineSelector }),
+  faultKind('machine_sick', { ...timespan, ...machineSelector }),
+  faultKind('machine_slow', { ...timespan, ...machineSelector, times: v.optional(positiveNumber, 3) }),
+  faultKind('machine_end', { ...timing, ...machineSelector }),
+  faultKind('spot_wave', { ...timing, ...machineSelector, notice_s: v.optional(nonNegativeNumber, 10) }),
   faultKind('cancel_now', {
     ...timing,
     count: v.optional(positiveInteger, 1),
     hang_s: v.optional(nonNegativeNumber, 0),
   }),
-  faultKind('cancel_at_end', { ...lasting, share: v.optional(fraction, 0.3) }),
-  faultKind('odd_requests', lasting),
-  faultKind('close_looks', lasting),
-  faultKind('surge', { ...lasting, class: nonEmptyString, times: v.optional(positiveNumber, 4) }),
+  faultKind('cancel_at_end', { ...timespan, share: v.optional(fraction, 0.3) }),
+  faultKind('odd_requests', timespan),
+  faultKind('close_looks', timespan),
+  faultKind('surge', { ...timespan, class: nonEmptyString, times: v.optional(positiveNumber, 4) }),
 ]);
 
-/** The schema of a whole scenario file. */
+/** Schema of a whole scenario file. */
 export const scenarioSchema = v.strictObject({
   name: nonEmptyString,
   seed: v.optional(nonNegativeInteger, 1),
@@ -228,17 +229,17 @@
   faults: v.optional(v.array(faultSchema), []),
 });
 
-/** A checked scenario with all defaults filled in; its field names are those of the file. */
+/** A validated scenario with all defaults filled in; its field names are those of the file. */
 export type Scenario = v.InferOutput<typeof scenarioSchema>;
-/** A scenario as a file gives it, with defaults left out. */
+/** A scenario as written in a file; fields with defaults may be omitted. */
 export type ScenarioInput = v.InferInput<typeof scenarioSchema>;
 /** The deployment of a scenario: zones, controllers, limits, teams and machines. */
 export type Deployment = Scenario['deployment'];
-/** One class of jobs and how they arrive. */
+/** One class of jobs and its arrival rate. */
 export type Load = Scenario['load'][number];
-/** One fault, told apart by `kind`. */
+/** One fault; `kind` selects its fields. */
 export type Fault = Scenario['faults'][number];
-/** A fault as a file gives it, with defaults left out. */
+/** A fault as written in a file; fields with defaults may be omitted. */
 export type FaultInput = NonNullable<ScenarioInput['faults']>[number];
-/** Name of an event that may set off a fault. */
+/** Name of an event that can trigger a fault. */
 export type EventName = (typeof EVENTS)[number];
--- a/src/simulation/shrink.ts
+++ b/src/simulation/shrink.ts
@@ -1,19 +1,19 @@
-/** Makes a scenario that breaks a rule smaller, as long as it still breaks the same rule. */
+/** Shrinks a scenario that breaks a rule to a smaller one that still breaks the same rule. */
 import type { Rule } from './invariant-checker.js';
 import type { Fault, Scenario } from './scenario.js';
 import { Simulation } from './simulation.js';
 
-/** Runs that one shrinking may cost. */
+/** Maximum number of simulation runs per shrink. */
 const MAX_RUNS = 80;
 const AFTER_VIOLATION_S = 0.5;
 const MIN_FAULT_DURATION_S = 0.5;
-/** Shrunk durations are whole tenths of a second. */
+/** Shrunk durations are rounded up to tenths of a second. */
 const STEPS_PER_S = 10;
 
-/** When the scenario breaks the rule first, in simulated seconds, or null. */
+/** Returns when the scenario first breaks the rule, in simulated seconds, or null. */
 export type Trial = (scenario: Scenario) => Promise<number | null>;
 
-/** Tries a scenario with its own seed, up to the first break of the rule. */
+/** Returns a trial that runs a scenario with its own seed up to the first violation of the rule. */
 export const trialForRule =
   (rule: Rule): Trial =>
   async (scenario) => {
@@ -25,7 +25,7 @@
   private runs = 0;
 
   constructor(
-    private best: Scenario,
+    private smallest: Scenario,
     private readonly trial: Trial,
   ) {}
 
@@ -35,42 +35,42 @@
     const violatedAtS = await this.trial(candidate);
     if (violatedAtS === null) return false;
     const endS = Math.ceil((violatedAtS + AFTER_VIOLATION_S) * STEPS_PER_S) / STEPS_PER_S;
-    this.best = { ...candidate, duration_s: Math.min(candidate.duration_s, endS) };
+    this.smallest = { ...candidate, duration_s: Math.min(candidate.duration_s, endS) };
     return true;
   }
 
-  /** Leaves out one item after another, the last first; true: something could be left out. */
+  /** Tries to remove each item, the last first; returns whether any could be removed. */
   private async removeItems<T>(
     itemsOf: (scenario: Scenario) => readonly T[],
     replace: (scenario: Scenario, items: T[]) => Scenario,
-    least: number,
+    minItems: number,
   ): Promise<boolean> {
     let changed = false;
-    for (let i = itemsOf(this.best).length - 1; i >= 0; i -= 1) {
-      const rest = itemsOf(this.best).filter((_, at) => at !== i);
-      if (rest.length < least) continue;
-      if (await this.accept(replace(this.best, rest))) changed = true;
+    for (let i = itemsOf(this.smallest).length - 1; i >= 0; i -= 1) {
+      const remaining = itemsOf(this.smallest).filter((_, at) => at !== i);
+      if (remaining.length < minItems) continue;
+      if (await this.accept(replace(this.smallest, remaining))) changed = true;
     }
     return changed;
   }
 
   private async shortenFaults(): Promise<boolean> {
     let changed = false;
-    for (let i = 0; i < this.best.faults.length; i += 1) {
-      const fault = this.best.faults[i] as Fault;
+    for (let i = 0; i < this.smallest.faults.length; i += 1) {
+      const fault = this.smallest.faults[i] as Fault;
       if (!('for_s' in fault) || fault.for_s / 2 < MIN_FAULT_DURATION_S) continue;
       const shorter = { ...fault, for_s: fault.for_s / 2 };
-      const faults = this.best.faults.map((f, at) => (at === i ? shorter : f));
-      if (await this.accept({ ...this.best, faults })) changed = true;
+      const faults = this.smallest.faults.map((f, at) => (at === i ? shorter : f));
+      if (await this.accept({ ...this.smallest, faults })) changed = true;
     }
     return changed;
   }
 
   async run(): Promise<Scenario> {
-    // The shortest run first: every later trial is as short.
-    if (!(await this.accept(this.best))) return this.best;
-    for (let again = true; again;) {
-      again = await this.removeItems(
+    // Shortens the run first, so that every later trial is as short.
+    if (!(await this.accept(this.smallest))) return this.smallest;
+    for (let changed = true; changed;) {
+      changed = await this.removeItems(
         (scenario) => scenario.faults,
         (scenario, faults) => ({ ...scenario, faults }),
         0,
@@ -82,13 +82,13 @@
           1,
         )
       )
-        again = true;
-      if (await this.shortenFaults()) again = true;
+        changed = true;
+      if (await this.shortenFaults()) changed = true;
     }
-    return this.best;
+    return this.smallest;
   }
 }
 
-/** A smaller scenario that still breaks the rule of `trial`, or the scenario itself; costs at most `MAX_RUNS` runs. */
+/** Returns a smaller scenario that breaks the rule of `trial`, or the scenario itself; takes at most `MAX_RUNS` runs. */
 export const shrink = (scenario: Scenario, trial: Trial): Promise<Scenario> =>
   new Shrinker(scenario, trial).run();
--- a/src/simulation/worker-tasks.ts
+++ b/src/simulation/worker-tasks.ts
@@ -1,4 +1,4 @@
-/** The tasks of one simulated worker: launch, images, run time, checkpoints, gangs and exit, as PROTOCOL says. */
+/** Tasks of one simulated worker: launch, image fetch, run time, checkpoints, gangs and exit, as in PROTOCOL. */
 import type { Host } from './clock.js';
 import type { GangMember } from './gangs.js';
 import type { ImageCache } from './image-cache.js';
@@ -12,17 +12,17 @@
   type WorkerTask,
 } from './worker-task.js';
 
-/** How long after its start a task of a failing machine fails. */
+/** A task on a failing machine fails this long after its start. */
 const FAILURE_DELAY_MS = { low: 200, high: 1500 };
-/** With the defect `worker-claims-done`: when a task pretends to be done. */
+/** With the defect `worker-claims-done`, a task reports completion this long after its start. */
 const FALSE_COMPLETION_DELAY_MS = 1000;
 const EPSILON = 1e-9;
 
-/** Starts and ends tasks on one machine; `noteStatusChange` is called whenever a heartbeat would say something new. */
+/** Starts and ends tasks on one machine; calls `noteStatusChange` when the content of the next heartbeat has changed. */
 export class WorkerTasks {
-  /** Every task that it starts fails. */
+  /** While set, every task that starts on the machine fails. */
   failing = false;
-  /** How much longer than normal its tasks run. */
+  /** Factor by which the run time of tasks is longer than nominal. */
   slowness = 1;
   private readonly tasks = new Map<string, WorkerTask>();
 
@@ -45,17 +45,17 @@
     return free;
   }
 
-  /** Names of the tasks that hold room here, those that wait for their image included. */
+  /** Names of the tasks that occupy resources here, including those that wait for their image. */
   occupyingTasks(): string[] {
     return [...this.tasks.values()].filter((task) => task.status !== 'exited').map((task) => task.name);
   }
 
-  /** What a heartbeat says of all tasks. */
+  /** Encodes the statuses of all tasks for a heartbeat. */
   encodeStatuses(): object[] {
     return [...this.tasks.values()].map(encodeTaskStatus);
   }
 
-  /** Carries out a command; one that does not fit the state of its task has no effect. */
+  /** Executes a command; it has no effect if the task's state does not allow it. */
   execute(command: WireCommand): void {
     const key = `${command.leg}#${command.sailing}`;
     const existing = this.tasks.get(key);
@@ -70,7 +70,7 @@
   private launch(command: WireCommand, key: string): void {
     const job = this.environment.storage.jobOf(command.leg);
     const free = this.freeResources;
-    const busy = this.occupyingTasks().includes(command.leg);
+    const isDuplicate = this.occupyingTasks().includes(command.leg);
     const task: WorkerTask = {
       name: command.leg,
       attempt: command.sailing,
@@ -79,7 +79,7 @@
       cause: null,
       saved: false,
       runningSince: 0,
-      progressBefore: 0,
+      restoredProgressMs: 0,
       timer: null,
       gang: null,
     };
@@ -88,7 +88,7 @@
       this.exit(task, 'unknown');
       return;
     }
-    if (busy) {
+    if (isDuplicate) {
       this.exit(task, 'busy');
       return;
     }
@@ -103,7 +103,7 @@
     this.images.request(job.image, job.imageGb, key, () => this.startTask(task));
   }
 
-  /** The image is here: the task is on the machine from now on. */
+  /** Starts a task whose image has been fetched; it counts as being on the machine from now on. */
   private startTask(task: WorkerTask): void {
     const { observer, storage, queue, trace } = this.environment;
     if (task.status !== 'pulling') return;
@@ -113,14 +113,14 @@
     }
     task.status = 'running';
     task.runningSince = queue.now;
-    task.progressBefore = storage.checkpoints.get(task.name) ?? 0;
+    task.restoredProgressMs = storage.checkpoints.get(task.name) ?? 0;
     trace.add(`${this.spec.id} starts ${task.name} (attempt ${task.attempt})`);
     observer.taskStarted(this.spec, task.name);
     this.scheduleExit(task);
     this.noteStatusChange();
   }
 
-  /** The image is here: the task is on the machine, and waits for the others of its gang. */
+  /** Starts a gang's task whose image has been fetched; it waits for the other tasks of its attempt. */
   private joinGang(task: WorkerTask, job: UserJob): void {
     const { observer, storage, trace, random, gangs } = this.environment;
     task.status = 'gathering';
@@ -140,7 +140,7 @@
 
   private gangMember(task: WorkerTask): GangMember {
     const { slowness, host } = this;
-    const show = (status: 'running' | 'saving'): void => {
+    const setStatus = (status: 'running' | 'saving'): void => {
       if (task.status === 'exited') return;
       task.status = status;
       this.noteStatusChange();
@@ -151,8 +151,8 @@
       get hanging() {
         return host.paused;
       },
-      run: () => show('running'),
-      beginCheckpoint: () => show('saving'),
+      run: () => setStatus('running'),
+      beginCheckpoint: () => setStatus('saving'),
       exit: (cause, saved) => {
         if (task.status === 'exited') return;
         task.saved = saved;
@@ -162,7 +162,7 @@
     };
   }
 
-  /** Sets the timer of what comes next: completion, failure, or the next checkpoint. */
+  /** Schedules the exit of a task that has just started: completion or failure. */
   private scheduleExit(task: WorkerTask): void {
     const { storage, defects, random } = this.environment;
     const { job } = task;
@@ -179,7 +179,7 @@
       this.exitAfter(task, 'done', FALSE_COMPLETION_DELAY_MS);
       return;
     }
-    const remainingMs = (job.runS * 1000 - task.progressBefore) * this.slowness;
+    const remainingMs = (job.runS * 1000 - task.restoredProgressMs) * this.slowness;
     if (Number.isFinite(remainingMs)) this.exitAfter(task, 'done', remainingMs);
   }
 
@@ -187,9 +187,9 @@
     task.timer = this.host.after(delay, () => this.exit(task, cause));
   }
 
-  /** Run time so far, in normal speed. */
+  /** Progress so far, in milliseconds of run time at nominal speed. */
   private progressMs(task: WorkerTask): number {
-    return task.progressBefore + (this.environment.queue.now - task.runningSince) / this.slowness;
+    return task.restoredProgressMs + (this.environment.queue.now - task.runningSince) / this.slowness;
   }
 
   private kill(task: WorkerTask, graceS: number): void {
@@ -199,17 +199,17 @@
       task.gang.attempt.stop(task.gang.member, graceS);
       return;
     }
-    const saves =
+    const savesProgress =
       task.status === 'running' && job && job.checkpointIntervalS > 0 && graceS >= job.checkpointDurationS;
-    if (!saves) {
+    if (!savesProgress) {
       if (task.status !== 'saving' || graceS <= 0) this.exit(task, 'halted');
       return;
     }
     task.timer?.cancel();
-    const reached = this.progressMs(task);
+    const savedProgressMs = this.progressMs(task);
     task.status = 'saving';
     task.timer = this.host.after(job.checkpointDurationS * 1000, () => {
-      this.environment.storage.checkpoints.set(task.name, reached);
+      this.environment.storage.checkpoints.set(task.name, savedProgressMs);
       task.saved = true;
       this.exit(task, 'halted');
     });
@@ -223,12 +223,12 @@
     this.noteStatusChange();
   }
 
-  /** Takes the task off the machine; what it saved by itself is kept. */
+  /** Removes the task from the machine; keeps the progress up to its last regular checkpoint. */
   private removeTask(task: WorkerTask, completed: boolean): void {
     const { observer, storage, defects } = this.environment;
     task.timer?.cancel();
     if (task.status === 'pulling' && task.job)
-      this.images.abandon(task.job.image, `${task.name}#${task.attempt}`);
+      this.images.cancelRequest(task.job.image, `${task.name}#${task.attempt}`);
     if (task.status === 'pulling' || task.status === 'exited') return;
     task.gang?.attempt.leave(task.gang.member);
     if (task.status === 'running' && !task.gang && task.job)
@@ -238,31 +238,31 @@
     observer.taskEnded(this.spec, task.name, reallyCompleted);
   }
 
-  /** The machine hangs from now on: the gangs of its tasks make no progress. */
+  /** Handles the start of a hang: the gangs of the machine's tasks stop making progress. */
   hang(): void {
     for (const { gang } of this.tasks.values()) gang?.attempt.hang(gang.member);
   }
 
-  /** The machine goes on after having hung since `from`. */
-  resumeAfterHang(from: number): void {
+  /** Resumes tasks after a hang that began at `hangStartedAt`; their exits are postponed by its duration. */
+  resumeAfterHang(hangStartedAt: number): void {
     const { queue } = this.environment;
     for (const task of this.tasks.values()) {
       task.gang?.attempt.resume();
       if (task.status !== 'running' || task.gang) continue;
       task.timer?.cancel();
-      task.runningSince += queue.now - from;
+      task.runningSince += queue.now - hangStartedAt;
       this.rescheduleExit(task);
     }
   }
 
   private rescheduleExit(task: WorkerTask): void {
-    const done = this.environment.queue.now - task.runningSince;
-    const total = ((task.job?.runS ?? 0) * 1000 - task.progressBefore) * this.slowness;
-    if (Number.isFinite(total))
-      this.exitAfter(task, this.failing ? 'error' : 'done', Math.max(0, total - done));
+    const elapsedMs = this.environment.queue.now - task.runningSince;
+    const totalMs = ((task.job?.runS ?? 0) * 1000 - task.restoredProgressMs) * this.slowness;
+    if (Number.isFinite(totalMs))
+      this.exitAfter(task, this.failing ? 'error' : 'done', Math.max(0, totalMs - elapsedMs));
   }
 
-  /** Ends every task without a trace on the machine. */
+  /** Ends and forgets every task. */
   forgetAll(): void {
     for (const task of this.tasks.values()) this.removeTask(task, false);
     this.tasks.clear();
--- a/test/simulation/simulation.test.ts
+++ b/test/simulation/simulation.test.ts
@@ -1,4 +1,4 @@
-/** The simulator: determinism, scenario errors, a judge that finds each broken rule, shrinking, and a short fuzz. */
+/** The simulator: determinism, scenario errors, detection of each violated rule, shrinking, and a short fuzz. */
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -82,7 +82,7 @@
   ...new Set(result.violations.map((v) => v.rule)),
 ];
 
-test('the same scenario and seed give the same history, another seed another one', async () => {
+test('the same scenario and seed give the same history, and a different seed gives a different one', async () => {
   const scenario = randomScenario(11, null);
   const short = { ...scenario, duration_s: 60 };
   const [first, second] = [await runScenario(short), await runScenario(short)];
@@ -93,7 +93,7 @@
   assert.notEqual(first.hash, other.hash);
 });
 
-test('every example scenario runs, with its faults and without a violated invariant', async () => {
+test('every example scenario runs with all its faults and without a violated invariant', async () => {
   const files = readdirSync(SCENARIOS).filter((f) => f.endsWith('.toml'));
   assert.ok(files.length >= 5);
   for (const file of files) {
@@ -105,7 +105,7 @@
   }
 });
 
-test('a scenario that cannot be run is refused in one line that names the field', () => {
+test('an invalid scenario is rejected with a one-line error that names the field', () => {
   const text = (candidate: ScenarioInput): string => formatScenario(candidate as Scenario);
   const expectError = (file: string, pattern: RegExp): void =>
     assert.throws(
@@ -132,21 +132,24 @@
     fault({ kind: 'state_outage', key: 'c/' }),
     /faults\[0\]\.key: expected only with on = "commit"/,
   );
-  const hasty = { ...smallInput().deployment, cancel_s: 5 };
-  expectError(text(smallInput({ deployment: hasty })), /deployment\.cancel_s: expected more than lease_s/);
-  const stranger = smallInput();
-  const load = stranger.load.map((load) => ({ ...load, team: 'nobody' }));
-  expectError(text({ ...stranger, load }), /load\[0\]\.team: expected one of atlas, got "nobody"/);
+  const shortCancelTime = { ...smallInput().deployment, cancel_s: 5 };
+  expectError(
+    text(smallInput({ deployment: shortCancelTime })),
+    /deployment\.cancel_s: expected more than lease_s/,
+  );
+  const unknownTeam = smallInput();
+  const load = unknownTeam.load.map((load) => ({ ...load, team: 'nobody' }));
+  expectError(text({ ...unknownTeam, load }), /load\[0\]\.team: expected one of atlas, got "nobody"/);
 });
 
-test('a scenario written as a file reads back as it was', () => {
+test('a formatted scenario parses back to the same scenario', () => {
   for (let seed = 1; seed <= 200; seed += 1) {
     const scenario = randomScenario(seed, null);
     assert.deepEqual(parseScenario(formatScenario(scenario), 'copy'), scenario);
   }
 });
 
-/** A judge of its own with a clock, and what a broken history is made of. */
+/** An invariant checker with its own event queue, and helpers to build histories. */
 class CheckerFixture {
   readonly queue = new EventQueue();
   machines: MachineView[] = [];
@@ -190,7 +193,7 @@
 
 type History = (fixture: CheckerFixture) => void | Promise<void>;
 
-/** For each rule histories that break it, and next to them one that does not. */
+/** For each rule, histories that break it, each paired with a similar history that does not. */
 const HISTORIES: readonly { rule: Rule; name: string; broken: History; sound: History }[] = [
   {
     rule: 'ran_twice',
@@ -350,19 +353,19 @@
   },
   {
     rule: 'forgotten',
-    name: 'every question about a job fails for 90 s while others are answered',
-    broken: (fixture) => pollsOfTwoJobs(fixture, () => null),
-    sound: (fixture) => pollsOfTwoJobs(fixture, (at) => (at === 60_000 ? 200 : null)),
+    name: 'every status request for a job fails for 90 s while others are answered',
+    broken: (fixture) => pollTwoJobs(fixture, () => null),
+    sound: (fixture) => pollTwoJobs(fixture, (at) => (at === 60_000 ? 200 : null)),
   },
   {
     rule: 'forgotten',
-    name: 'no question is answered for 75 s after all faults',
-    broken: (fixture) => pollsInQuiet(fixture, 80_000),
-    sound: (fixture) => pollsInQuiet(fixture, 70_000),
+    name: 'no status request is answered for 75 s after all faults',
+    broken: (fixture) => pollWithoutAnswers(fixture, 80_000),
+    sound: (fixture) => pollWithoutAnswers(fixture, 70_000),
   },
   {
     rule: 'invented',
-    name: 'a job that nobody submitted gets 200',
+    name: 'a status request for a job that nobody submitted gets 200',
     broken: (fixture) => fixture.answer('ask', 200, 'running'),
     sound: (fixture) => fixture.answer('ask', 404, null),
   },
@@ -371,12 +374,12 @@
     name: 'a job is called done before its last task',
     broken: (fixture) => {
       fixture.submit();
-      complete(fixture, 1);
+      completeTasks(fixture, 1);
       fixture.answer('ask', 200, 'done');
     },
     sound: (fixture) => {
       fixture.submit();
-      complete(fixture, 2);
+      completeTasks(fixture, 2);
       fixture.answer('ask', 200, 'done');
     },
   },
@@ -385,17 +388,17 @@
     name: 'a job called done is later called running',
     broken: async (fixture) => {
       fixture.submit();
-      complete(fixture, 2);
+      completeTasks(fixture, 2);
       fixture.answer('ask', 200, 'done');
       await fixture.queue.run(10);
       fixture.answer('ask', 200, 'running');
     },
     sound: async (fixture) => {
       fixture.submit();
-      complete(fixture, 2);
+      completeTasks(fixture, 2);
       await fixture.queue.run(10);
       fixture.answer('ask', 200, 'done');
-      // Asked before the other answer came: it may say what was so then.
+      // Sent before the previous answer arrived, so the answer may report the earlier state.
       fixture.answer('ask', 200, 'running', { sentAt: 5 });
     },
   },
@@ -430,20 +433,20 @@
   {
     rule: 'left_waiting',
     name: 'a job waits while there is room',
-    broken: (fixture) => waitsBesideFreeCapacity(fixture, 2),
-    sound: (fixture) => waitsBesideFreeCapacity(fixture, 1),
+    broken: (fixture) => waitWithFreeCapacity(fixture, 2),
+    sound: (fixture) => waitWithFreeCapacity(fixture, 1),
   },
   {
     rule: 'left_waiting',
     name: 'a gang waits while there is room for all of it',
-    broken: (fixture) => waitsBesideFreeCapacity(fixture, 4, { shape: 'gang', tasks: 2 }),
-    sound: (fixture) => waitsBesideFreeCapacity(fixture, 3, { shape: 'gang', tasks: 2 }),
+    broken: (fixture) => waitWithFreeCapacity(fixture, 4, { shape: 'gang', tasks: 2 }),
+    sound: (fixture) => waitWithFreeCapacity(fixture, 3, { shape: 'gang', tasks: 2 }),
   },
   {
     rule: 'left_waiting',
     name: 'a gang gathers and never runs though there is room for all of it',
-    broken: (fixture) => gangJoinsSlowly(fixture, false),
-    sound: (fixture) => gangJoinsSlowly(fixture, true),
+    broken: (fixture) => gatherWithFreeCapacity(fixture, false),
+    sound: (fixture) => gatherWithFreeCapacity(fixture, true),
   },
   {
     rule: 'gang_rejoined',
@@ -460,14 +463,14 @@
   },
 ];
 
-function complete(fixture: CheckerFixture, tasks: number): void {
+function completeTasks(fixture: CheckerFixture, tasks: number): void {
   for (let i = 0; i < tasks; i += 1) {
     fixture.checker.taskStarted(fixture.machine('m-1'), `req-1/${i}`);
     fixture.checker.taskEnded(fixture.machine('m-1'), `req-1/${i}`, true);
   }
 }
 
-async function pollsOfTwoJobs(fixture: CheckerFixture, status: (at: number) => number | null): Promise<void> {
+async function pollTwoJobs(fixture: CheckerFixture, status: (at: number) => number | null): Promise<void> {
   fixture.submit();
   fixture.submit({ id: 'req-2' });
   fixture.answer('submit', 201, 'pending');
@@ -479,7 +482,7 @@
   }
 }
 
-async function pollsInQuiet(fixture: CheckerFixture, until: number): Promise<void> {
+async function pollWithoutAnswers(fixture: CheckerFixture, until: number): Promise<void> {
   fixture.submit();
   fixture.answer('submit', 201, 'pending');
   fixture.checker.setFaultsOver(true);
@@ -487,8 +490,8 @@
   await fixture.queue.run(until);
 }
 
-/** The machine next to it has room for that many CPUs; the job's tasks take two. */
-async function waitsBesideFreeCapacity(
+/** A job waits while a machine has `cpus` free CPUs; each task needs two. */
+async function waitWithFreeCapacity(
   fixture: CheckerFixture,
   cpus: number,
   job: Partial<UserJob> = {},
@@ -502,8 +505,8 @@
   await fixture.queue.run(100_000);
 }
 
-/** One of two tasks is on a machine, which has room for the other. */
-async function gangJoinsSlowly(fixture: CheckerFixture, runs: boolean): Promise<void> {
+/** One of a gang's two tasks is on a machine, which has room for the other. */
+async function gatherWithFreeCapacity(fixture: CheckerFixture, runs: boolean): Promise<void> {
   fixture.submit({ shape: 'gang' });
   fixture.answer('submit', 201, 'pending');
   fixture.checker.setFaultsOver(true);
@@ -516,14 +519,14 @@
   await fixture.queue.run(100_000);
 }
 
-test('the invariant checker finds each violation in a history that has it, and nothing in its neighbour', async () => {
+test('the invariant checker finds the violation in each broken history, and none in its sound counterpart', async () => {
   for (const { rule, name, broken, sound } of HISTORIES) {
     const bad = new CheckerFixture();
     await broken(bad);
     assert.deepEqual(bad.violatedRules(), [rule], name);
     const good = new CheckerFixture();
     await sound(good);
-    assert.deepEqual(good.violatedRules(), [], `next to: ${name}`);
+    assert.deepEqual(good.violatedRules(), [], `sound counterpart of: ${name}`);
   }
   assert.deepEqual(new Set(HISTORIES.map((h) => h.rule)), new Set(RULES), 'every rule has a history');
 });
@@ -542,7 +545,7 @@
   per_minute: 30,
 }));
 
-/** Faults of the model that the controllers cannot answer for, and the rule that breaks with them. */
+/** Defects of simulated services and workers, and the rule that each one violates although controllers are correct. */
 const DEFECTS: readonly { defect: Defect; rule: Rule; scenario: Scenario }[] = [
   {
     defect: 'state-ignores-conditions',
@@ -593,7 +596,7 @@
   { defect: 'worker-claims-done', rule: 'not_done', scenario: smallScenario() },
 ];
 
-test('with a defect in the model the invariant checker finds the violated rule; without it nothing is violated', async () => {
+test('with a simulated defect the invariant checker finds the violated rule; without it no rule is violated', async () => {
   for (const { defect, rule, scenario } of DEFECTS) {
     assert.deepEqual(violatedRules(await runScenario(scenario)), [], `without ${defect}`);
     const found = violatedRules(await runScenario(scenario, [defect], [rule]));
@@ -601,7 +604,7 @@
   }
 });
 
-test('a job that asks for one zone and to be spread breaks neither promise', async () => {
+test('a job that asks for a single zone and for spreading violates neither constraint', async () => {
   const load: ScenarioInput['load'] = [
     {
       class: 'pair',
@@ -618,8 +621,8 @@
   assert.deepEqual(result.violations, []);
 });
 
-test('capacity is not reserved for tasks that must be in another zone, or in none: a peer may use it', async () => {
-  // In one zone the third task of a spread job must stay away; what its controller has room for is another's.
+test('capacity is not reserved for tasks that must run in another zone or cannot run at all: a peer may use it', async () => {
+  // With one zone, the third task of a spread job cannot be placed; its controller's free capacity must go to its peer.
   const deployment: ScenarioInput['deployment'] = {
     ...smallInput().deployment,
     zones: ['fjord'],
@@ -646,7 +649,7 @@
   }
 });
 
-test('a task that no zone may take does not keep others of its size from being handed to a peer', async () => {
+test('a task that no zone can take does not prevent the transfer of other tasks of its size to a peer', async () => {
   const deployment: ScenarioInput['deployment'] = {
     ...smallInput().deployment,
     zones: ['fjord'],
@@ -673,7 +676,7 @@
   }
 });
 
-test('tasks whose hand-over is refused are placed again, also when a scheduling cycle ran while they were moving', async () => {
+test('tasks whose transfer is refused are queued again, even if a scheduling cycle ran during the transfer', async () => {
   const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, new Map());
   shard.reconciled = true;
   const spec = buildJobSpec({ id: 'req-1', tasks: 2 });
@@ -701,45 +704,47 @@
   answer({ kind: 'refused' });
   await new Promise((resolve) => setImmediate(resolve));
   assert.equal(job.waiting.size, 2);
-  assert.ok(shard.queue.has(job), 'the next round sees it');
+  assert.ok(shard.queue.has(job), 'the next scheduling cycle sees the job');
 });
 
-/** What arrives, and how each request ends, when a cut of this kind comes between two of them. */
-async function exchangeThroughCut(mode: PartitionMode): Promise<{ arrived: number[]; outcomes: string[] }> {
+/** Sends requests before and during a partition of this mode; returns when they arrive and how each exchange ends. */
+async function exchangeThroughPartition(
+  mode: PartitionMode,
+): Promise<{ arrived: number[]; outcomes: string[] }> {
   const queue = new EventQueue();
   const options = { sameZoneMs: 1, crossZoneMs: 1, jitter: 0, loss: 0 };
   const network = new Network(queue, options, new RandomStream(1));
   const [from, to] = [new Host('n0', 'fjord', queue), new Host('n1', 'fjord', queue)];
   const arrived: number[] = [];
   const outcomes: string[] = [];
-  const ask = (): void => {
+  const sendRequest = (): void => {
     const serve = (reply: (r: { status: number; body: unknown }) => void): void => {
       arrived.push(Math.round(queue.now));
       reply({ status: 200, body: {} });
     };
     void network.exchange({ from, to, timeoutMs: 1000, serve }).then((o) => outcomes.push(o.kind));
   };
-  const cut = { mode, blocks: (): boolean => true };
-  ask();
-  queue.after(100, () => network.addPartition(cut));
-  // On the connection that stands, then one for which a new connection is needed.
-  queue.after(200, ask);
-  queue.after(2000, ask);
-  queue.after(5000, () => network.heal(cut));
+  const partition = { mode, blocks: (): boolean => true };
+  sendRequest();
+  queue.after(100, () => network.addPartition(partition));
+  // The first request uses the open connection, the second needs a new one.
+  queue.after(200, sendRequest);
+  queue.after(2000, sendRequest);
+  queue.after(5000, () => network.heal(partition));
   await queue.run(10_000);
   return { arrived, outcomes };
 }
 
-test('a cut drops, holds or refuses: what was sent may arrive late, an attempt to connect never does', async () => {
-  const held = await exchangeThroughCut('hold');
+test('partitions drop, hold or refuse: sent requests may arrive late, failed connection attempts deliver nothing', async () => {
+  const held = await exchangeThroughPartition('hold');
   assert.deepEqual(held, { arrived: [3, 5001], outcomes: ['answer', 'unknown', 'unsent'] });
-  const dropped = await exchangeThroughCut('drop');
+  const dropped = await exchangeThroughPartition('drop');
   assert.deepEqual(dropped, { arrived: [3], outcomes: ['answer', 'unknown', 'unsent'] });
-  const refused = await exchangeThroughCut('refuse');
+  const refused = await exchangeThroughPartition('refuse');
   assert.deepEqual(refused, { arrived: [3], outcomes: ['answer', 'unknown', 'unsent'] });
 });
 
-test('shrinking keeps the faults without which the rule holds, and the shortest run', async () => {
+test('shrinking keeps only the faults that the violation needs, and shortens the run', async () => {
   const faults: FaultInput[] = [
     { kind: 'state_outage', at_s: 10, for_s: 20 },
     { kind: 'close_looks', at_s: 11, for_s: 20 },
@@ -756,10 +761,10 @@
   );
   assert.ok(result.duration_s <= 31);
   const outage = result.faults[0];
-  assert.ok(outage && 'for_s' in outage && outage.for_s < 2, 'what need not last is shortened');
+  assert.ok(outage && 'for_s' in outage && outage.for_s < 2, 'the duration of the outage is shortened');
 });
 
-test('a break in a real run is shrunk to a file that replays exactly', async () => {
+test('a violation in a real run is shrunk to a file that replays exactly', async () => {
   const defects: Defect[] = ['worker-ignores-tokens'];
   const faults: FaultInput[] = [
     LATE_COMMANDS,
@@ -784,7 +789,7 @@
   assert.equal(first.hash, second.hash);
 });
 
-test('a short fuzz from fixed seeds breaks no rule of safety', async () => {
+test('a short fuzz with fixed seeds breaks no safety rule', async () => {
   const safety = RULES.filter((r) => r !== 'left_waiting');
   for (let seed = 101; seed <= 104; seed += 1) {
     const outcome = await fuzzOne(seed, null, safety);
