--- a/test/support/cluster-lifetime.ts
+++ b/test/support/cluster-lifetime.ts
@@ -1,6 +1,7 @@
 /**
- * The life of a large deployment: a start, the loss of a third of the machines together with a controller, their
- * return, a restart of all. Counts messages, state requests, changes, bytes and open calls; no wall clock.
+ * A scenario for large deployments: all controllers start, a third of the machines lose the network and one controller
+ * crashes and restarts meanwhile, the machines reconnect, and then all controllers restart. Checks the protocol's rules
+ * and the limits on messages, store requests, changes, bytes and open calls; measures no wall-clock time.
  */
 import assert from 'node:assert/strict';
 import { SimulatedCluster, type JobOptions, type ClusterConfig } from './simulated-cluster.js';
@@ -17,7 +18,7 @@
   recordHeartbeats: false,
   checkIntervalMs: 500,
   machineBootS: 50,
-  // Only what is silent, dead or missing goes back.
+  // Machines are returned to the cloud only if they are silent, failed or missing, not because they are idle.
   tuning: 'fleet.idle.return.ms = 3600000',
 };
 export const TWO_ZONE_CLUSTER: ClusterConfig = {
@@ -31,7 +32,7 @@
   connections: 1900,
 };
 
-/** Machines of one type with 8 GPUs, teams limited in GPUs alone, one zone. */
+/** One zone with machines of one type with 8 GPUs; the quotas of the teams limit only GPUs. */
 export const GPU_CLUSTER: ClusterConfig = {
   ...LARGE_CLUSTER,
   zones: ['east', 'east', 'east', 'east', 'east'],
@@ -50,7 +51,7 @@
   machineBootS: 40,
 };
 
-/** What is submitted, one job a second, and on which machines. */
+/** The machine types of a scenario and the jobs that it submits, one a second. */
 export interface Workload {
   readonly machineTypes: readonly string[];
   readonly service: JobOptions;
@@ -62,7 +63,10 @@
   service: { tasks: 8, cpus: 1 },
   array: { tasks: 35, cpus: 2 },
 };
-/** Arrays that take 40 s, 5 out of 6 seconds: 8 tasks on each of 975 machines, with what the services take. */
+/**
+ * Array jobs run for 40 s and are submitted in 5 of every 6 seconds: together with the services they keep 8 tasks on
+ * each of 975 machines.
+ */
 export const GPU_WORKLOAD: Workload = {
   machineTypes: ['gpu'],
   service: { tasks: 4, cpus: 5, gpus: 1, memoryGb: 38 },
@@ -75,7 +79,7 @@
   refused: number;
 }
 
-/** Users who submit, and ask after what was accepted, while the clock goes on. */
+/** Each second submits one job and queries 20 accepted jobs; reports a violation if an accepted job is not found. */
 export async function runWorkload(
   cluster: SimulatedCluster,
   seconds: number,
@@ -99,9 +103,9 @@
       } else counts.refused += 1;
     });
     for (let k = 0; k < 20 && jobIds.length > 0; k += 1) {
-      const known = jobIds[(second * 20 + k) % jobIds.length] ?? '';
-      void cluster.request(node, 'GET', `/v2/runs/${known}`).then((answer) => {
-        if (answer?.status === 404) cluster.violations.push(`forgotten ${known}`);
+      const acceptedId = jobIds[(second * 20 + k) % jobIds.length] ?? '';
+      void cluster.request(node, 'GET', `/v2/runs/${acceptedId}`).then((answer) => {
+        if (answer?.status === 404) cluster.violations.push(`forgotten ${acceptedId}`);
       });
     }
     await cluster.step(1000);
@@ -111,31 +115,35 @@
 export const countRunningTasks = (cluster: SimulatedCluster): number =>
   [...cluster.workers.values()].reduce((sum, machine) => sum + machine.runningTasks().length, 0);
 
-/** What a controller may have open to workers at once: a tenth of its sockets, and those that are being named. */
+/**
+ * How many calls to workers a controller may have open at once: a tenth of its connections for direct commands, and the
+ * calls to machines that are being registered.
+ */
 const maxOpenCalls = (config: ClusterConfig): number =>
   Math.floor(config.connections / 10) + 2 * Math.max(config.storeLimits.txnOps, config.storeLimits.writeRps);
 
 function assertWithinLimits(cluster: SimulatedCluster): void {
-  const { store: state, config, observed: seen } = cluster;
+  const { store, config, observed } = cluster;
   assert.deepEqual(cluster.violations, []);
-  assert.ok(seen.maxOpenCalls <= maxOpenCalls(config), `${seen.maxOpenCalls} open calls to workers`);
-  assert.ok(seen.maxFrameBytes <= 64 * 1024, `a frame of ${seen.maxFrameBytes} bytes`);
+  assert.ok(observed.maxOpenCalls <= maxOpenCalls(config), `${observed.maxOpenCalls} open calls to workers`);
+  assert.ok(observed.maxFrameBytes <= 64 * 1024, `a frame of ${observed.maxFrameBytes} bytes`);
   assert.ok(
-    state.observed.maxValueBytes <= config.storeLimits.valueKb * 1024,
-    `a value of ${state.observed.maxValueBytes} bytes`,
+    store.observed.maxValueBytes <= config.storeLimits.valueKb * 1024,
+    `a value of ${store.observed.maxValueBytes} bytes`,
   );
   assert.ok(
-    state.observed.maxTransactionBytes <= 64 * 1024,
-    `a transaction of ${state.observed.maxTransactionBytes} bytes`,
+    store.observed.maxTransactionBytes <= 64 * 1024,
+    `a transaction of ${store.observed.maxTransactionBytes} bytes`,
   );
   assert.ok(
-    state.observed.maxOperations <= config.storeLimits.txnOps,
-    `a transaction of ${state.observed.maxOperations} changes`,
+    store.observed.maxOperations <= config.storeLimits.txnOps,
+    `a transaction of ${store.observed.maxOperations} changes`,
   );
-  // A burst of a second's worth is allowed, and when controllers come and go their shares may overlap for a moment.
+  // Bursts of one second's allowance are permitted, and the controllers' shares of the limit may overlap briefly while
+  // controllers start or stop.
   assert.ok(
-    state.observed.rateLimited <= state.requests.total / 100,
-    `${state.observed.rateLimited} refused for a limit`,
+    store.observed.rateLimited <= store.requests.total / 100,
+    `${store.observed.rateLimited} requests refused by the rate limit`,
   );
   assert.ok(
     cluster.cloudCalls.maxPerSecond <= 3 * config.cloudRps,
@@ -143,10 +151,10 @@
   );
 }
 
-/** Share of the state service's changes that registers machines at a start, beside those for jobs. */
+/** Fraction of the store's write limit that registers machines during startup; the rest is left for jobs. */
 const REGISTRATION_WRITE_FRACTION = 0.6;
 
-/** Runs the whole life and checks every rule and limit; returns the world as it is at the end. */
+/** Runs the whole scenario, checks the rules and limits, and returns the cluster in its final state. */
 export async function runClusterLifetime(
   config: ClusterConfig,
   machines: number,
@@ -170,11 +178,11 @@
     workload,
   );
   const registeredCount = [...cluster.store.entries.keys()].filter((k) => k.startsWith('c/machines/')).length;
-  assert.equal(registeredCount, machines, 'every machine is in use');
+  assert.equal(registeredCount, machines, 'every machine is registered');
   const before = {
     deletions: cluster.observed.deletions,
     changes: cluster.store.changes.total,
-    claims: cluster.store.countWrites('c/token'),
+    tokenWrites: cluster.store.countWrites('c/token'),
   };
   const runningBefore = countRunningTasks(cluster);
 
@@ -192,26 +200,32 @@
   assert.deepEqual(
     cutMachines.filter((machine) => !cluster.workers.has(machine)),
     [],
-    'what was cut is not returned',
+    'no disconnected machine is returned to the cloud',
   );
   assert.equal(cluster.observed.deletions, before.deletions);
-  assert.ok(cluster.store.countWrites('c/token') - before.claims <= 3, 'no storm of tokens');
+  assert.ok(
+    cluster.store.countWrites('c/token') - before.tokenWrites <= 3,
+    'at most three fencing tokens are issued',
+  );
   const changes = cluster.store.changes.total - before.changes;
   assert.ok(
     changes < cutMachines.length + 10 * counts.asked,
-    `${changes} changes: coming back costs none for each machine`,
+    `${changes} changes: reconnecting machines cause less than one write each`,
+  );
+  assert.ok(
+    countRunningTasks(cluster) > 0.8 * runningBefore,
+    'more than 80% as many tasks run as before the faults',
   );
-  assert.ok(countRunningTasks(cluster) > 0.8 * runningBefore, 'work goes on where it can');
 
-  const tokenWrites = cluster.store.countWrites('c/token');
+  const tokenWritesBeforeRestart = cluster.store.countWrites('c/token');
   for (const node of cluster.nodes.keys()) cluster.killNode(node);
   await cluster.step(1000);
   for (const node of cluster.nodes.keys()) await cluster.startNode(node);
   await runWorkload(cluster, 30, counts, jobIds, workload);
   assert.equal(
-    cluster.store.countWrites('c/token') - tokenWrites,
+    cluster.store.countWrites('c/token') - tokenWritesBeforeRestart,
     cluster.nodes.length,
-    'each claims its own part, once',
+    'each controller acquires its own shard exactly once',
   );
   assert.ok(countRunningTasks(cluster) > 0.8 * runningBefore);
   assert.ok(counts.refused <= 0.1 * counts.asked, `${counts.refused} of ${counts.asked} submissions refused`);
--- a/test/support/confirmed-job.ts
+++ b/test/support/confirmed-job.ts
@@ -1,7 +1,7 @@
-/** Brings a shard's copy of a job up to a record that the watch has shown, as most tests mean it. */
+/** Updates a shard's copy of a job from a record that the watch has delivered, which is the usual case in tests. */
 import { syncJob, type Shard } from '../../src/shards/model.js';
 
-/** `syncJob`, and the watch cache is complete up to the record's version. */
+/** Calls `syncJob` and marks the watch cache as complete up to the record's version. */
 export function syncConfirmedJob(
   shard: Shard,
   ...args: Parameters<typeof syncJob> extends [Shard, ...infer Rest] ? Rest : never
--- a/test/support/controller-builds.ts
+++ b/test/support/controller-builds.ts
@@ -1,4 +1,4 @@
-/** The versions of the service that a world can run: the working sources, and the one in production. */
+/** The builds of the service that a simulated cluster can run: the working sources and the version in production. */
 import { Controller } from '../../src/controller/controller.js';
 import { silentLog } from '../../src/logging/log.js';
 import type { Resources } from '../../src/model/resources.js';
@@ -6,7 +6,7 @@
 import type { RangeSet } from '../../src/model/ranges.js';
 import { parseSettings, parseTuning, type Team } from '../../src/settings/settings.js';
 
-/** What a world needs of a version to start a controller of it. */
+/** The exports of a build that a simulated cluster needs to start a controller. */
 export interface ControllerBuild {
   readonly Controller: typeof Controller;
   readonly parseSettings: typeof parseSettings;
@@ -16,10 +16,10 @@
 
 export const WORKING_BUILD: ControllerBuild = { Controller, parseSettings, parseTuning, silentLog };
 
-/** Made by `scripts/build-production.mjs` before the tests run; from the folder of this file once built. */
+/** Written by `scripts/build-production.mjs` before the tests run; relative to the compiled version of this file. */
 const PRODUCTION_URL = new URL('../../production/src/', import.meta.url);
 
-/** The version in production. Both speak through the same ports, so the working sources' types fit it. */
+/** Loads the version in production. Both builds use the same `Ports`, so the types of the working sources apply. */
 export async function loadProductionBuild(): Promise<ControllerBuild> {
   const load = async <T>(file: string): Promise<T> => (await import(new URL(file, PRODUCTION_URL).href)) as T;
   const controller = await load<Pick<ControllerBuild, 'Controller'>>('controller.js');
@@ -33,11 +33,11 @@
   };
 }
 
-/** A module of the version in production, as the working sources' module of that name is typed. */
+/** Loads a module of the version in production; the caller supplies its type. */
 export const loadProductionModule = async <T>(file: string): Promise<T> =>
   (await import(new URL(file, PRODUCTION_URL).href)) as T;
 
-/** A job's record in memory, by the names of the version in production. */
+/** A job's record in memory, with the member names of the version in production. */
 export interface ProductionRecord {
   readonly spec: Readonly<Record<string, unknown>>;
   readonly home: number;
@@ -60,7 +60,7 @@
   decodeFinal(value: unknown): string | null;
 }
 
-/** `parts/records.ts` of the version in production: what it reads is what is stored. */
+/** `parts/records.ts` of the version in production: it decodes the records of shards and machines in the store. */
 export interface ProductionShardRecords {
   decodePart(value: unknown): unknown;
   decodeMachine(value: unknown): unknown;
@@ -72,21 +72,21 @@
   encodeShares(team: ProductionTeam, shares: unknown): unknown;
 }
 
-/** A team's settings, by the names of the version in production. */
+/** A team's settings, with the member names of the version in production. */
 export interface ProductionTeam {
   readonly name: string;
   readonly guarantee: Resources;
   readonly limit: Resources;
 }
 
-/** A team of the working sources as the version in production holds it in memory. */
+/** Converts a team of the working sources to the version in production's form in memory. */
 export const toProductionTeam = (team: Team): ProductionTeam => ({
   name: team.name,
   guarantee: team.guaranteed,
   limit: team.quota,
 });
 
-/** A record of the working sources as the version in production holds it in memory. */
+/** Converts a job record of the working sources to the version in production's form in memory. */
 export function toProductionRecord(record: JobRecord): ProductionRecord {
   const { spec } = record;
   return {
--- a/test/support/cycle-runner.ts
+++ b/test/support/cycle-runner.ts
@@ -1,4 +1,4 @@
-/** Scheduling cycles of one shard, with their decisions as text. */
+/** Runs scheduling cycles on one shard and returns their decisions as text. */
 import { NO_REVISION } from '../../src/model/units.js';
 import type { InstanceType } from '../../src/cloud/wire.js';
 import type { JobRecord } from '../../src/jobs/record.js';
@@ -25,23 +25,23 @@
 import { syncConfirmedJob } from './confirmed-job.js';
 
 export interface CycleRunnerOptions {
-  /** Of every machine. */
+  /** The capacity of each machine. */
   readonly capacity?: Resources;
-  /** Of the teams red and blue. */
+  /** The guarantee and quota of each of the teams red and blue. */
   readonly team?: Parameters<typeof buildTeam>[0];
-  /** The quota of either team on the shard. */
+  /** Each team's quota on the shard. */
   readonly shardQuota?: Resources;
-  /** When the machines were added; the first cycle is at 1,002,000 ms. */
+  /** When the machines were added, in milliseconds; the first cycle is at 1,002,000 ms. */
   readonly machinesSince?: number;
 }
 
 export class CycleRunner {
   readonly shard: Shard;
-  /** What either team uses on other shards. */
+  /** What each team uses on other shards. */
   usedElsewhere: Resources = ZERO;
-  /** What services of either team use on other shards. */
+  /** What the services of each team use on other shards. */
   servicesElsewhere: Resources = ZERO;
-  /** False: a stopped task stays on its machine until `finishStops`. */
+  /** If false, a stopped task stays on its machine until `finishStops`. */
   stopsTakeEffectAtOnce = true;
   private now = 1_000_000;
   private readonly activeJobs = new Map<string, JobRecord>();
@@ -89,7 +89,7 @@
     syncConfirmedJob(this.shard, record, (this.activeJobs.size + 1) as never, this.now as never, false);
   }
 
-  /** A running task of red's on that machine. */
+  /** Adds a job (of the team red by default) whose first task already runs on the machine. */
   addRunningTask(id: string, machineId: string, changes: Partial<Record<keyof JobSpec, unknown>>): void {
     this.addJob(id, changes);
     const machine = this.shard.machines.get(machineId as never);
@@ -122,7 +122,7 @@
     if (machine) this.shard.recordImage(machine, image as never, 1);
   }
 
-  /** Tasks that have run this long are done; with a job only its own. */
+  /** Completes the tasks, of one job or of all, that were allocated at least `afterMs` ago. */
   finishTasksRunningFor(afterMs: number, job?: string): void {
     for (const allocation of [...this.shard.allocations.values()]) {
       const machine = this.shard.machines.get(allocation.machine);
@@ -144,7 +144,7 @@
     else stopOrRelease(this.shard, machine, allocation, graceS);
   }
 
-  /** What was told to stop is gone from its machines; with a job only its tasks. */
+  /** Releases the stopping tasks, of one job or of all, from their machines. */
   finishStops(job?: string): void {
     for (const allocation of [...this.shard.stopping]) {
       if (job !== undefined && allocation.job !== job) continue;
@@ -153,7 +153,9 @@
     }
   }
 
-  /** What was told to stop goes on, as tasks do that a late heartbeat had shown elsewhere. */
+  /**
+   * Cancels all pending stops: the tasks keep running, as after a late heartbeat that showed them on another machine.
+   */
   withdrawStops(): void {
     for (const allocation of [...this.shard.stopping]) {
       allocation.stop = null;
@@ -161,15 +163,15 @@
     }
   }
 
-  /** One cycle, all of it carried out at once, two seconds later than the one before. */
+  /** Advances the time by two seconds, runs a cycle, and applies the whole plan at once. */
   runCycle(): string {
     this.now += 2000;
     for (const machine of this.shard.machines.values()) machine.lastHeardAt = this.now as never;
     const plan = planCycle(this.shard, this.createContext());
-    return this.carryOut(plan);
+    return this.applyPlan(plan);
   }
 
-  /** Decides something in a cycle of its own, which is not carried out. */
+  /** Runs `decide` in a new cycle whose plan is not applied. */
   inCycle(decide: (cycle: SchedulingCycle) => boolean): { plan: SchedulingPlan; preempted: boolean } {
     for (const machine of this.shard.machines.values()) machine.lastHeardAt = this.now as never;
     const cycle = new SchedulingCycle(this.shard, this.createContext());
@@ -185,7 +187,7 @@
       shardQuota: () => this.shardQuota,
       usageOnOtherShards: () => this.usedElsewhere,
       servicesOnOtherShards: () => this.servicesElsewhere,
-      guaranteed: (j: string) => this.guaranteedJobs.has(j as never),
+      guaranteed: (job: string) => this.guaranteedJobs.has(job as never),
       maxLatenessFactor: () => 1,
       peerHasCapacity: () => false,
       runtimeCorrection: () => 1,
@@ -194,7 +196,7 @@
     } as unknown as SchedulingContext;
   }
 
-  private carryOut(plan: SchedulingPlan): string {
+  private applyPlan(plan: SchedulingPlan): string {
     const decisions: string[] = [];
     for (const start of plan.starts) {
       decisions.push(`start ${start.job.id}/${start.index} on ${start.machine.id}`);
--- a/test/support/fake-gang-coordinator.ts
+++ b/test/support/fake-gang-coordinator.ts
@@ -1,10 +1,10 @@
 /**
- * What workers know of each other's gang tasks, from the published protocol: the tasks of one attempt start together,
- * lose each other, save together and complete together.
+ * A fake of the coordination between the workers of a gang, written from the published protocol: the tasks of an
+ * attempt start, save and complete together, and notice when one of them is lost.
  */
 import type { SimulatedClock } from './simulated-clock.js';
 
-/** How a task of a gang is told what becomes of it. */
+/** Callbacks through which the coordinator runs and ends a task of a gang. */
 export interface GangTask {
   readonly taskId: string;
   run(): void;
@@ -14,7 +14,7 @@
 export interface GangSize {
   readonly tasks: number;
   readonly runMs: number;
-  /** 0: it never saves. */
+  /** The checkpoint interval; 0 for a gang without checkpoints. */
   readonly checkpointMs: number;
 }
 
@@ -22,17 +22,17 @@
   readonly size: GangSize;
   readonly members: Map<string, GangTask>;
   startedAt: number | null;
-  /** When the first of its tasks was told to stop. */
+  /** When the first of its tasks was ordered to stop. */
   stopRequestedAt: number | null;
-  /** Tasks that have saved and wait for the others. */
+  /** Tasks that have saved a checkpoint and wait for the other tasks. */
   readonly savedTasks: Set<string>;
   timers: { cancel(): void }[];
 }
 
 export class FakeGangCoordinator {
-  /** Progress that is safe, by job, in milliseconds. */
+  /** Progress that is saved in a checkpoint, by job, in milliseconds. */
   readonly savedProgressMs = new Map<string, number>();
-  /** Attempts that have started, by job, in their order. */
+  /** Attempts that have started, by job, in the order of their starts. */
   readonly startedAttempts = new Map<string, number[]>();
   private readonly attempts = new Map<string, GangAttempt>();
 
@@ -44,9 +44,9 @@
 
   private getOrCreateAttempt(job: string, attempt: number, size: GangSize): GangAttempt {
     const key = `${job}#${attempt}`;
-    let known = this.attempts.get(key);
-    if (!known) {
-      known = {
+    let gang = this.attempts.get(key);
+    if (!gang) {
+      gang = {
         size,
         members: new Map(),
         startedAt: null,
@@ -54,12 +54,12 @@
         savedTasks: new Set(),
         timers: [],
       };
-      this.attempts.set(key, known);
+      this.attempts.set(key, gang);
     }
-    return known;
+    return gang;
   }
 
-  /** The task has its image, and waits for the others of its attempt. */
+  /** A task has fetched its image and waits for the other tasks of its attempt. */
   join(job: string, attempt: number, size: GangSize, task: GangTask): void {
     const gang = this.getOrCreateAttempt(job, attempt, size);
     gang.members.set(task.taskId, task);
@@ -76,9 +76,9 @@
     gang.startedAt = this.clock.now();
     this.startedAttempts.set(job, [...(this.startedAttempts.get(job) ?? []), attempt]);
     for (const task of gang.members.values()) task.run();
-    const left = gang.size.runMs - (this.savedProgressMs.get(job) ?? 0);
-    if (!Number.isFinite(left)) return;
-    gang.timers.push(this.clock.after(Math.max(0, left), () => this.endAllTasks(gang, 'done')));
+    const remainingMs = gang.size.runMs - (this.savedProgressMs.get(job) ?? 0);
+    if (!Number.isFinite(remainingMs)) return;
+    gang.timers.push(this.clock.after(Math.max(0, remainingMs), () => this.endAllTasks(gang, 'done')));
   }
 
   private endAllTasks(gang: GangAttempt, cause: 'done' | 'peers'): void {
@@ -93,7 +93,7 @@
     return (this.savedProgressMs.get(job) ?? 0) + (until - (gang.startedAt ?? until));
   }
 
-  /** The task is gone: exited for a reason of its own, killed without saving, or lost with its machine. */
+  /** A task has exited on its own, was killed without saving, or was lost with its machine. */
   loseTask(job: string, attempt: number, taskId: string): void {
     const gang = this.attempts.get(`${job}#${attempt}`);
     if (!gang?.members.delete(taskId) || gang.startedAt === null) return;
@@ -105,13 +105,15 @@
   private revertToCheckpoint(job: string, gang: GangAttempt): void {
     const { checkpointMs } = gang.size;
     if (checkpointMs <= 0) return;
-    const reached = this.progressAt(job, gang, gang.stopRequestedAt ?? this.clock.now());
-    const kept = Math.floor(reached / checkpointMs) * checkpointMs;
-    this.savedProgressMs.set(job, Math.max(this.savedProgressMs.get(job) ?? 0, kept));
+    const progressMs = this.progressAt(job, gang, gang.stopRequestedAt ?? this.clock.now());
+    const checkpointedMs = Math.floor(progressMs / checkpointMs) * checkpointMs;
+    this.savedProgressMs.set(job, Math.max(this.savedProgressMs.get(job) ?? 0, checkpointedMs));
     gang.startedAt = this.clock.now();
   }
 
-  /** The task was told to stop with enough grace, and has saved: its work is safe once all of them have. */
+  /**
+   * A task was ordered to stop with enough grace to save; the progress is kept once all tasks of the gang have saved.
+   */
   requestStop(job: string, attempt: number, taskId: string, saveMs: number): void {
     const gang = this.attempts.get(`${job}#${attempt}`);
     if (!gang?.members.has(taskId) || gang.startedAt === null) return;
--- a/test/support/fake-store.ts
+++ b/test/support/fake-store.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the state service, from its published protocol: versions, leases, watches, outages. */
+/** A fake of the state service, written from its published protocol: revisions, leases, watches, outages. */
 import type { Call, CallOutcome } from '../../src/http/client.js';
 import type { SimulatedClock } from './simulated-clock.js';
 
@@ -18,11 +18,11 @@
   readonly writeRps: number;
   readonly valueKb: number;
   readonly txnOps: number;
-  /** Whether requests beyond the limits are refused. */
+  /** Whether requests beyond the rate limits are refused. */
   readonly enforced: boolean;
 }
 
-/** How much came in the busiest second. */
+/** Counts events in total and in the busiest second. */
 export class RateMeter {
   private currentSecond = 0;
   private countInSecond = 0;
@@ -40,22 +40,25 @@
   }
 }
 
-/** A token bucket with a second's worth of burst, as the service's limits are. */
+/** A token bucket that allows a burst of one second's worth, as the limits of the real service do. */
 class TokenBucket {
   private tokens: number;
   private refilledAt: number;
 
   constructor(
     private readonly clock: SimulatedClock,
-    private readonly rate: number,
+    private readonly ratePerSecond: number,
   ) {
-    this.tokens = rate;
+    this.tokens = ratePerSecond;
     this.refilledAt = clock.now();
   }
 
   tryTake(amount: number): boolean {
     const now = this.clock.now();
-    this.tokens = Math.min(this.rate, this.tokens + ((now - this.refilledAt) / 1000) * this.rate);
+    this.tokens = Math.min(
+      this.ratePerSecond,
+      this.tokens + ((now - this.refilledAt) / 1000) * this.ratePerSecond,
+    );
     this.refilledAt = now;
     if (this.tokens < amount) return false;
     this.tokens -= amount;
@@ -72,40 +75,45 @@
 export class FakeStore {
   readonly entries = new Map<string, StoredEntry>();
   private revision = 0;
-  private leases = new Map<number, { ttl: number; ends: number }>();
+  private leases = new Map<number, { ttlMs: number; expiresAt: number }>();
   private nextLease = 1;
   private history: { entry: number; put?: string; drop?: string; data?: unknown }[] = [];
   private waitingWatches = new Set<() => void>();
   outage = false;
-  /** Nodes that alone are refused. */
+  /** Nodes whose requests alone are refused with 503. */
   readonly refusedNodes = new Set<string>();
-  /** Nodes whose packets get lost: nothing arrives, nothing answers. */
+  /** Nodes whose packets are lost: requests do not arrive and get no answer. */
   readonly disconnectedNodes = new Set<string>();
-  /** How much longer than others requests for leases take. */
+  /** Additional delay of requests for leases. */
   leaseDelayMs = 0;
-  /** How much longer the answers to a node's reads are on their way, once they say what holds. */
+  /** Additional delay of the answers to a node's reads, after the store has read the values. */
   readDelayMs: (node: string, path: string) => number = () => 0;
-  /** A node's look at the changes is answered from what holds now; `blockMs`: how long it would have waited. */
+  /** Called when a node's watch request is answered from the current state; `blockMs` is its maximum blocking time. */
   onWatchAnswered: (node: string, blockMs: number) => void = () => undefined;
-  /** Nodes whose next look at the changes is told that they must read everything again. */
+  /** Nodes whose next watch request gets 410: the history is compacted, and they must list all entries again. */
   readonly compactedForNodes = new Set<string>();
   /** How long a transaction takes before it is applied. */
   transactionDelayMs: (body: TransactionBody) => number = () => 0;
-  /** Decides the fate of a transaction: lose its answer, or hold it back for some milliseconds. */
+  /**
+   * Decides whether a transaction is processed normally, its answer is lost, or its application is held back for
+   * `holdMs`.
+   */
   transactionFate: (node: string, body: TransactionBody) => 'normal' | 'lose-answer' | { holdMs: number } =
     () => 'normal';
-  /** How much later than it is carried out a request is answered. */
+  /** Delay between the execution of a request and its answer. */
   answerDelayMs: (node: string, call: Call) => number = () => 0;
-  /** Called with every transaction that has just changed something, before its answer is on its way. */
+  /** Called with each transaction that has just changed something, before its answer is sent. */
   onTransactionApplied: (body: TransactionBody) => void = () => undefined;
 
   readonly requests: RateMeter;
   readonly changes: RateMeter;
-  /** Refused for a limit, and the largest value and transaction in bytes. */
+  /**
+   * Requests refused by a rate limit; the largest value and transaction in bytes; the most changes in a transaction.
+   */
   readonly observed = { rateLimited: 0, maxValueBytes: 0, maxTransactionBytes: 0, maxOperations: 0 };
   private readonly requestBucket: TokenBucket;
   private changeBucket: TokenBucket;
-  /** Refused with 400 for their size since the limits were lowered. */
+  /** Transactions refused with 400 for their size since the limits were lowered. */
   rejectedForSize = 0;
   private loweredLimits: Pick<StoreLimits, 'valueKb' | 'txnOps'> | null = null;
 
@@ -119,30 +127,31 @@
     this.changeBucket = new TokenBucket(clock, limits.writeRps);
   }
 
-  /** From now on: larger values and transactions get 400, changes beyond the rate 429. What is stored stays. */
-  lowerLimits(next: Pick<StoreLimits, 'writeRps' | 'valueKb' | 'txnOps'>): void {
-    this.loweredLimits = next;
-    this.changeBucket = new TokenBucket(this.clock, next.writeRps);
+  /** From now on, larger values and transactions get 400 and changes beyond the rate 429; stored values stay. */
+  lowerLimits(limits: Pick<StoreLimits, 'writeRps' | 'valueKb' | 'txnOps'>): void {
+    this.loweredLimits = limits;
+    this.changeBucket = new TokenBucket(this.clock, limits.writeRps);
   }
 
   private isTooLarge(body: TransactionBody): boolean {
     const { loweredLimits: lowered } = this;
     if (!lowered) return false;
     const changes = body.apply ?? [];
-    const large = changes.some(
+    const hasLargeValue = changes.some(
       (change) => JSON.stringify(change.data ?? null).length > lowered.valueKb * 1024,
     );
-    return large || changes.length > lowered.txnOps || body.when.length > 4 * lowered.txnOps;
+    return hasLargeValue || changes.length > lowered.txnOps || body.when.length > 4 * lowered.txnOps;
   }
 
   private exceedsRateLimit(call: Call): boolean {
-    const ops = (call.body as TransactionBody | undefined)?.apply?.length ?? 0;
+    const operations = (call.body as TransactionBody | undefined)?.apply?.length ?? 0;
     this.requests.count(1);
-    this.changes.count(ops);
+    this.changes.count(operations);
     if (!this.limits.enforced) return false;
-    const over = !this.requestBucket.tryTake(1) || (ops > 0 && !this.changeBucket.tryTake(ops));
-    if (over) this.observed.rateLimited += 1;
-    return over;
+    const isOverLimit =
+      !this.requestBucket.tryTake(1) || (operations > 0 && !this.changeBucket.tryTake(operations));
+    if (isOverLimit) this.observed.rateLimited += 1;
+    return isOverLimit;
   }
 
   private recordSizes(body: TransactionBody): void {
@@ -159,9 +168,9 @@
       );
   }
 
-  /** How often a key has been put. */
+  /** How often a key has been written. */
   countWrites(key: string): number {
-    return this.history.filter((h) => h.put === key).length;
+    return this.history.filter((change) => change.put === key).length;
   }
 
   async call(node: string, call: Call): Promise<CallOutcome> {
@@ -214,8 +223,8 @@
   applyTransaction(body: TransactionBody): CallOutcome {
     this.expireLeases();
     const failed = body.when
-      .filter((c) => (this.entries.get(c.path)?.revision ?? 0) !== c.entry)
-      .map((c) => c.path);
+      .filter((condition) => (this.entries.get(condition.path)?.revision ?? 0) !== condition.entry)
+      .map((condition) => condition.path);
     if (failed.length > 0) return jsonAnswer(409, { failed, ledger: this.revision });
     for (const change of body.apply ?? []) {
       if (change.mooring !== undefined && !this.leases.has(change.mooring))
@@ -243,7 +252,7 @@
     if (this.outage) return;
     const now = this.clock.now();
     for (const [leaseId, lease] of this.leases) {
-      if (now < lease.ends) continue;
+      if (now < lease.expiresAt) continue;
       this.leases.delete(leaseId);
       for (const [key, entry] of this.entries) {
         if (entry.leaseId !== leaseId) continue;
@@ -255,10 +264,10 @@
     }
   }
 
-  /** Every lease has its full time again after an outage. */
+  /** Ends the outage; every lease gets its full time again. */
   endOutage(): void {
     this.outage = false;
-    for (const lease of this.leases.values()) lease.ends = this.clock.now() + lease.ttl;
+    for (const lease of this.leases.values()) lease.expiresAt = this.clock.now() + lease.ttlMs;
     this.notifyWatches();
   }
 
@@ -266,17 +275,17 @@
     this.expireLeases();
     if (call.path === '/leases') {
       const leaseId = this.nextLease++;
-      const ttl = (call.body as { ttlMs: number }).ttlMs;
-      this.leases.set(leaseId, { ttl, ends: this.clock.now() + ttl });
-      this.clock.after(ttl + 1, () => this.expireLeases());
+      const ttlMs = (call.body as { ttlMs: number }).ttlMs;
+      this.leases.set(leaseId, { ttlMs, expiresAt: this.clock.now() + ttlMs });
+      this.clock.after(ttlMs + 1, () => this.expireLeases());
       return jsonAnswer(200, { mooring: leaseId });
     }
     const renew = /^\/leases\/(\d+)\/renew$/.exec(call.path);
     if (renew) {
       const lease = this.leases.get(Number(renew[1]));
       if (!lease) return jsonAnswer(404, {});
-      lease.ends = this.clock.now() + lease.ttl;
-      this.clock.after(lease.ttl + 1, () => this.expireLeases());
+      lease.expiresAt = this.clock.now() + lease.ttlMs;
+      this.clock.after(lease.ttlMs + 1, () => this.expireLeases());
       return jsonAnswer(200, { mooring: Number(renew[1]) });
     }
     const url = new URL(call.path, 'http://state');
@@ -289,44 +298,48 @@
   }
 
   private handleList(url: URL): CallOutcome {
-    const under = url.searchParams.get('under') ?? '';
-    const after = url.searchParams.get('from') ?? '';
+    const prefix = url.searchParams.get('under') ?? '';
+    const afterKey = url.searchParams.get('from') ?? '';
     const limit = Number(url.searchParams.get('most') ?? 1000);
-    const keys = [...this.entries.keys()].filter((k) => k.startsWith(under) && k > after).sort();
-    const entries = keys
-      .slice(0, limit)
-      .map((k) => ({ path: k, data: this.entries.get(k)?.data, entry: this.entries.get(k)?.revision }));
+    const keys = [...this.entries.keys()].filter((key) => key.startsWith(prefix) && key > afterKey).sort();
+    const entries = keys.slice(0, limit).map((key) => ({
+      path: key,
+      data: this.entries.get(key)?.data,
+      entry: this.entries.get(key)?.revision,
+    }));
     return jsonAnswer(200, { entries, hasNext: keys.length > limit, ledger: this.revision });
   }
 
   private async handleWatch(node: string, call: Call): Promise<CallOutcome> {
     const url = new URL(call.path, 'http://state');
-    const under = url.searchParams.get('under') ?? '';
-    const from = Number(url.searchParams.get('from') ?? 0);
-    const block = Number(url.searchParams.get('blockMs') ?? 0);
-    const silent = (): boolean =>
+    const prefix = url.searchParams.get('under') ?? '';
+    const afterRevision = Number(url.searchParams.get('from') ?? 0);
+    const blockMs = Number(url.searchParams.get('blockMs') ?? 0);
+    const isUnavailable = (): boolean =>
       this.outage || this.refusedNodes.has(node) || this.disconnectedNodes.has(node);
-    if (silent()) return jsonAnswer(503, {});
+    if (isUnavailable()) return jsonAnswer(503, {});
     if (this.compactedForNodes.delete(node)) return jsonAnswer(410, {});
     const newChanges = (): typeof this.history => {
       let first = this.history.length;
-      while (first > 0 && (this.history[first - 1]?.entry ?? 0) > from) first -= 1;
-      return this.history.slice(first).filter((h) => (h.put ?? h.drop ?? '').startsWith(under));
+      while (first > 0 && (this.history[first - 1]?.entry ?? 0) > afterRevision) first -= 1;
+      return this.history
+        .slice(first)
+        .filter((change) => (change.put ?? change.drop ?? '').startsWith(prefix));
     };
-    const blockUntil = this.clock.now() + block;
+    const blockUntil = this.clock.now() + blockMs;
     const timeoutAt = this.clock.now() + call.timeout;
-    while (silent() || (newChanges().length === 0 && this.clock.now() < blockUntil)) {
+    while (isUnavailable() || (newChanges().length === 0 && this.clock.now() < blockUntil)) {
       if (this.clock.now() >= timeoutAt) return { kind: 'unknown' };
       await new Promise<void>((resolve) => {
-        const done = (): void => {
-          this.waitingWatches.delete(done);
+        const wake = (): void => {
+          this.waitingWatches.delete(wake);
           resolve();
         };
-        this.waitingWatches.add(done);
-        this.clock.after(silent() ? 200 : Math.max(1, blockUntil - this.clock.now()), done);
+        this.waitingWatches.add(wake);
+        this.clock.after(isUnavailable() ? 200 : Math.max(1, blockUntil - this.clock.now()), wake);
       });
     }
-    this.onWatchAnswered(node, block);
+    this.onWatchAnswered(node, blockMs);
     const delay = this.readDelayMs(node, call.path);
     if (delay > 0) {
       const result = jsonAnswer(200, { ledger: this.revision, news: newChanges() });
--- a/test/support/fake-worker.ts
+++ b/test/support/fake-worker.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a worker, from its published protocol: reports, orders, tokens, sessions, leases. */
+/** A fake worker, written from the published protocol: heartbeats, commands, fencing tokens, agent epochs, leases. */
 import type { Call, CallOutcome } from '../../src/http/client.js';
 import type { HttpResponse } from '../../src/http/server.js';
 import type { SimulatedClock } from './simulated-clock.js';
@@ -25,7 +25,7 @@
   readonly gpus: number;
   readonly checkpointDurationS: number;
   readonly fails: boolean;
-  /** Its tasks run together or not at all. */
+  /** Set for a gang, whose tasks run all together or not at all. */
   readonly gang?: GangSize;
 }
 
@@ -33,16 +33,19 @@
   readonly clock: SimulatedClock;
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
-  /** Whether its lease ends to the millisecond, and what reaches it while it hangs waits until it goes on. */
+  /**
+   * Whether its lease ends to the millisecond, and requests and answers that arrive while it hangs wait until it
+   * resumes.
+   */
   readonly exactLeases: boolean;
-  /** The nodes' answers to a report; null: nothing answers. */
-  readonly sendHeartbeat: (node: number, from: FakeWorker, body: unknown) => Promise<HttpResponse | null>;
+  /** Sends a heartbeat to a node; null if there is no answer. */
+  readonly sendHeartbeat: (node: number, worker: FakeWorker, body: unknown) => Promise<HttpResponse | null>;
   readonly nodes: readonly string[];
-  readonly jobOfTask: (taskId: string) => JobBehaviour | null;
+  readonly behaviourOfTask: (taskId: string) => JobBehaviour | null;
   readonly gangs: FakeGangCoordinator;
-  readonly onCommandExecuted: (from: FakeWorker, command: WorkerCommand) => void;
+  readonly onCommandExecuted: (worker: FakeWorker, command: WorkerCommand) => void;
   readonly trace: (line: string) => void;
-  /** It holds the task's image, and has it until the second call; `done`: it completed. */
+  /** Called when a task has its image, and when it ends; `done` tells whether it completed. */
   readonly onTaskStarted: (worker: FakeWorker, taskId: string) => void;
   readonly onTaskEnded: (worker: FakeWorker, taskId: string, done: boolean) => void;
 }
@@ -55,13 +58,13 @@
   private node = 0;
   private leaseStartedAt: number;
   alive = true;
-  /** A hanging machine executes nothing, and may go on within its lease. */
+  /** A hanging machine executes nothing; it may resume within its lease. */
   hanging = false;
   /** A faulty machine: every task on it fails. */
   faulty = false;
   interruptionAt: number | null = null;
   private leaseTimer: { cancel(): void } | null = null;
-  /** Direct requests and answers that came while it hangs, in their order. */
+  /** Direct requests and answers that arrived while it hangs, in the order of their arrival. */
   private readonly deferredActions: (() => void)[] = [];
   readonly images = new Set<string>();
 
@@ -84,7 +87,7 @@
     return [...this.tasks.values()].filter((t) => t.status === 'running' || t.status === 'saving');
   }
 
-  /** Tasks that hold their image, those that wait for their gang included. */
+  /** Tasks that have their image, including tasks that wait for their gang. */
   presentTasks(): WorkerTask[] {
     return [...this.tasks.values()].filter((t) => t.status !== 'pulling' && t.status !== 'exited');
   }
@@ -120,7 +123,7 @@
     };
   }
 
-  /** Checks the lease on its own timer: a worker that nobody answers kills everything by itself. */
+  /** Kills all tasks if the lease has expired: a worker that gets no answers stops its tasks on its own. */
   private checkLease(): void {
     const { clock, leaseMs, trace } = this.environment;
     if (clock.now() - this.leaseStartedAt <= leaseMs) return;
@@ -134,28 +137,28 @@
   private scheduleLeaseCheck(): void {
     if (!this.environment.exactLeases) return;
     this.leaseTimer?.cancel();
-    const left = this.leaseStartedAt + this.environment.leaseMs - this.environment.clock.now();
-    this.leaseTimer = this.environment.clock.after(left + 1e-3, () => {
+    const remainingMs = this.leaseStartedAt + this.environment.leaseMs - this.environment.clock.now();
+    this.leaseTimer = this.environment.clock.after(remainingMs + 1e-3, () => {
       if (this.alive) this.checkLease();
     });
   }
 
-  /** It executes nothing until it goes on. */
+  /** The machine executes nothing until `resume`. */
   hang(): void {
     this.hanging = true;
     this.environment.trace(`${this.id} hangs`);
   }
 
-  /** It goes on where it was, unless its lease has ended meanwhile; first with what has come in the meantime. */
+  /** Resumes with its tasks, unless its lease has expired; first handles what arrived while it was hanging. */
   resume(): void {
     if (!this.hanging) return;
     this.hanging = false;
     this.environment.trace(`${this.id} goes on`);
     if (this.alive) this.checkLease();
-    for (const act of this.deferredActions.splice(0)) act();
+    for (const action of this.deferredActions.splice(0)) action();
   }
 
-  /** A request that reaches the machine while it hangs; nobody waits for its answer any more. */
+  /** Queues a request that arrives while the machine hangs; its answer is discarded. */
   deferUntilResumed(call: Call): void {
     this.deferredActions.push(() => void this.receive(call));
   }
@@ -173,13 +176,13 @@
         await clock.sleep(100);
         continue;
       }
-      const sent = clock.now();
+      const sentAt = clock.now();
       const agentEpoch = this.agentEpoch;
       const timeout = clock.sleep(4000).then(() => null);
       const answer = await Promise.race([this.sendHeartbeat(this.nextHeartbeat()), timeout]);
       this.checkLease();
       if (answer?.status === 200 && agentEpoch === this.agentEpoch && !this.hanging)
-        this.acceptAnswer(answer.body, sent);
+        this.acceptAnswer(answer.body, sentAt);
       else if (answer?.status === 421) this.followRedirect(answer.body);
       else if (answer?.status !== 200) this.node = (this.node + 1) % this.environment.nodes.length;
       await clock.sleep(answer?.status === 200 ? heartbeatIntervalMs : answer?.status === 421 ? 300 : 1000);
@@ -193,20 +196,20 @@
   }
 
   private followRedirect(body: unknown): void {
-    const to = this.environment.nodes.indexOf((body as { harbormaster?: string }).harbormaster ?? '');
-    this.node = to < 0 || to === this.node ? (this.node + 1) % this.environment.nodes.length : to;
+    const target = this.environment.nodes.indexOf((body as { harbormaster?: string }).harbormaster ?? '');
+    this.node = target < 0 || target === this.node ? (this.node + 1) % this.environment.nodes.length : target;
   }
 
-  private acceptAnswer(body: unknown, sent: number): void {
+  private acceptAnswer(body: unknown, sentAt: number): void {
     const reply = body as { helm: number; orders: WorkerCommand[] };
     if (reply.helm < this.fencingToken) return;
     this.fencingToken = reply.helm;
-    this.leaseStartedAt = sent;
+    this.leaseStartedAt = sentAt;
     this.scheduleLeaseCheck();
     for (const command of reply.orders) this.execute(command);
   }
 
-  /** A request straight to the worker; the caller decides when it arrives. */
+  /** Handles a direct request at once; the caller models the delay of the network. */
   receive(call: Call): CallOutcome {
     if (!this.alive) return { kind: 'unsent' };
     this.checkLease();
@@ -230,15 +233,15 @@
   }
 
   private applyCommand(command: WorkerCommand): void {
-    const known = this.tasks.get(command.leg);
+    const task = this.tasks.get(command.leg);
     if (command.order === 'launch') {
-      if (known?.attempt === command.sailing) return;
-      if (known && known.status !== 'exited') return;
+      if (task?.attempt === command.sailing) return;
+      if (task && task.status !== 'exited') return;
       this.launch(command);
-    } else if (known?.attempt === command.sailing && command.order === 'kill' && known.status !== 'exited') {
-      const behaviour = this.environment.jobOfTask(command.leg);
-      if (behaviour?.gang && known.status === 'running' && canCheckpointWithin(behaviour, command)) {
-        known.status = 'saving';
+    } else if (task?.attempt === command.sailing && command.order === 'kill' && task.status !== 'exited') {
+      const behaviour = this.environment.behaviourOfTask(command.leg);
+      if (behaviour?.gang && task.status === 'running' && canCheckpointWithin(behaviour, command)) {
+        task.status = 'saving';
         this.environment.gangs.requestStop(
           jobOfTask(command.leg),
           command.sailing,
@@ -247,25 +250,25 @@
         );
         return;
       }
-      if (known.status === 'saving' && (command.ebbS ?? 0) > 0) return;
-      known.timer?.cancel();
+      if (task.status === 'saving' && (command.ebbS ?? 0) > 0) return;
+      task.timer?.cancel();
       if (
         behaviour &&
         behaviour.checkpointDurationS > 0 &&
         (command.ebbS ?? 0) >= behaviour.checkpointDurationS &&
-        known.status === 'running'
+        task.status === 'running'
       ) {
-        known.status = 'saving';
-        known.timer = this.environment.clock.after(behaviour.checkpointDurationS * 1000, () =>
-          this.exit(known, 'halted'),
+        task.status = 'saving';
+        task.timer = this.environment.clock.after(behaviour.checkpointDurationS * 1000, () =>
+          this.exit(task, 'halted'),
         );
-      } else this.exit(known, 'halted');
-    } else if (known?.attempt === command.sailing && command.order === 'clear' && known.status === 'exited')
+      } else this.exit(task, 'halted');
+    } else if (task?.attempt === command.sailing && command.order === 'clear' && task.status === 'exited')
       this.tasks.delete(command.leg);
   }
 
   private launch(command: WorkerCommand): void {
-    const behaviour = this.environment.jobOfTask(command.leg);
+    const behaviour = this.environment.behaviourOfTask(command.leg);
     const task: WorkerTask = {
       taskId: command.leg,
       attempt: command.sailing,
@@ -277,9 +280,9 @@
       this.exit(task, 'unknown');
       return;
     }
-    const present = [...this.tasks.values()].filter((t) => t.status !== 'exited');
+    const activeTasks = [...this.tasks.values()].filter((t) => t.status !== 'exited');
     const used = (kind: 'cpus' | 'gpus'): number =>
-      present.reduce((sum, t) => sum + (this.environment.jobOfTask(t.taskId)?.[kind] ?? 0), 0);
+      activeTasks.reduce((sum, t) => sum + (this.environment.behaviourOfTask(t.taskId)?.[kind] ?? 0), 0);
     if (used('cpus') > this.cpus + 1e-9 || used('gpus') > this.gpus + 1e-9) {
       this.exit(task, 'full');
       return;
@@ -293,9 +296,9 @@
       this.environment.trace(`${this.id} runs ${task.taskId}`);
       this.environment.onTaskStarted(this, task.taskId);
       const fails = behaviour.fails || this.faulty;
-      const ends = fails ? 500 : behaviour.runMs;
-      task.timer = Number.isFinite(ends)
-        ? this.environment.clock.after(ends, () => this.exit(task, fails ? 'error' : 'done'))
+      const durationMs = fails ? 500 : behaviour.runMs;
+      task.timer = Number.isFinite(durationMs)
+        ? this.environment.clock.after(durationMs, () => this.exit(task, fails ? 'error' : 'done'))
         : null;
     });
   }
@@ -323,15 +326,15 @@
   private exit(task: WorkerTask, cause: string): void {
     task.timer?.cancel();
     task.timer = null;
-    const ran = task.status !== 'pulling' && task.status !== 'exited';
+    const wasPresent = task.status !== 'pulling' && task.status !== 'exited';
     task.status = 'exited';
     task.cause = cause;
     this.environment.trace(`${this.id} ends ${task.taskId}: ${cause}`);
-    if (ran) this.environment.onTaskEnded(this, task.taskId, cause === 'done');
-    if (ran) this.environment.gangs.loseTask(jobOfTask(task.taskId), task.attempt, task.taskId);
+    if (wasPresent) this.environment.onTaskEnded(this, task.taskId, cause === 'done');
+    if (wasPresent) this.environment.gangs.loseTask(jobOfTask(task.taskId), task.attempt, task.taskId);
   }
 
-  /** Off and on again: everything is gone, and the worker is in a new session. */
+  /** Restarts the machine: its tasks are lost, and the worker begins a new agent epoch. */
   restart(): void {
     this.forgetTasks();
     this.agentEpoch += 1;
@@ -348,6 +351,6 @@
 
 const jobOfTask = (taskId: string): string => taskId.slice(0, taskId.lastIndexOf('/'));
 
-/** Is the grace of the order enough for the task to save? */
+/** Whether the grace period of the command is long enough for a checkpoint. */
 const canCheckpointWithin = (behaviour: JobBehaviour, command: WorkerCommand): boolean =>
   behaviour.checkpointDurationS > 0 && (command.ebbS ?? 0) >= behaviour.checkpointDurationS;
--- a/test/support/fault-injection-cluster.ts
+++ b/test/support/fault-injection-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * A simulated cluster with three controllers for tests of failover: calls the test back at commits, starts and direct
- * commands, delays watches and transactions, and cuts machines off or makes them hang.
+ * A simulated cluster of three controllers for failover tests: calls the test back at commits, starts and direct
+ * commands, delays watches and transactions, and disconnects machines or makes them hang.
  */
 import assert from 'node:assert/strict';
 import type { Call, CallOutcome } from '../../src/http/client.js';
@@ -11,7 +11,7 @@
 type Transaction = Parameters<FakeStore['applyTransaction']>[0];
 
 export const NODES = [0, 1, 2];
-/** CPUs: more than all machines have. */
+/** A quota in CPUs that is larger than the capacity of all machines. */
 export const UNLIMITED_CPUS = 300;
 
 interface FailoverWrite {
@@ -19,7 +19,7 @@
   readonly node: number;
 }
 
-/** The acquisition of leadership that a transaction contains, or null. */
+/** Returns the acquisition of shard leadership in a transaction, or null. */
 export function failoverIn(body: Transaction): FailoverWrite | null {
   for (const change of body.apply ?? []) {
     const leader = (change.data as { owner?: string | null } | undefined)?.owner;
@@ -30,7 +30,7 @@
   return null;
 }
 
-/** A simulated cluster that calls a test back at the moment when something happens. */
+/** A simulated cluster with callbacks at the exact moment of an event. */
 export class FaultInjectionCluster extends SimulatedCluster {
   /** A transaction has just been applied. */
   onCommit: (body: Transaction) => void = () => undefined;
@@ -38,7 +38,7 @@
   onStart: (machine: string, task: string) => void = () => undefined;
   /** A controller has just sent a direct command to a worker. */
   onDirectCall: (node: number, machine: string) => void = () => undefined;
-  /** How late (ms) answers to the watches of a controller arrive. */
+  /** Delay, in milliseconds, of the answers to a controller's watch requests. */
   watchDelayMs: (node: string) => number = () => 0;
 
   private readonly confirmedCancellations = new Set<string>();
@@ -86,27 +86,27 @@
     return worker;
   }
 
-  /** Machines on which a task of the job is now. */
+  /** Machines on which a task of the job runs now. */
   machinesRunning(job: string): string[] {
-    const condition = (cluster: FakeWorker): boolean =>
-      cluster.runningTasks().some((t) => t.taskId.startsWith(`${job}/`));
-    return [...this.workers.values()].filter(condition).map((cluster) => cluster.id);
+    const runsJob = (worker: FakeWorker): boolean =>
+      worker.runningTasks().some((t) => t.taskId.startsWith(`${job}/`));
+    return [...this.workers.values()].filter(runsJob).map((worker) => worker.id);
   }
 
   countRunningTasks(job: string): number {
     let count = 0;
-    for (const cluster of this.workers.values())
-      count += cluster.runningTasks().filter((t) => t.taskId.startsWith(`${job}/`)).length;
+    for (const worker of this.workers.values())
+      count += worker.runningTasks().filter((t) => t.taskId.startsWith(`${job}/`)).length;
     return count;
   }
 
-  /** The number of the controller that leads a shard by the record in the store; -1: nobody. */
+  /** The number of the controller that leads a shard according to its record in the store; -1 if there is no leader. */
   leaderOf(shard: number): number {
     const leader = (this.store.entries.get(`c/parts/${shard}`)?.data as { owner: string | null }).owner;
     return Number(leader?.slice(1) ?? -1);
   }
 
-  /** Cuts machines off from controllers, both ways. */
+  /** Cuts the connections between machines and controllers in both directions. */
   cutOff(machines: readonly string[], nodes: readonly number[] = NODES): void {
     for (const node of nodes) for (const machine of machines) this.networkCuts.add(`n${node}|${machine}`);
   }
@@ -115,46 +115,46 @@
     for (const node of NODES) for (const machine of machines) this.networkCuts.delete(`n${node}|${machine}`);
   }
 
-  /** A user cancels, and asks again every 300 ms, at the other controllers too, until it is confirmed. */
+  /** Cancels a job as a user, and retries every 300 ms at the next controller until the cancellation is confirmed. */
   cancel(job: string, at: number): void {
     void this.request(at, 'POST', `/v2/runs/${job}/abort`).then((answer) => {
       const state = (answer?.body as { status?: string } | undefined)?.status;
       if (answer?.status === 200 && state === 'cancelled') {
-        this.isCancellationConfirmed(job, at);
+        this.recordConfirmedCancellation(job, at);
         return;
       }
       this.clock.after(300, () => this.cancel(job, (at + 1) % NODES.length));
     });
   }
 
-  private isCancellationConfirmed(job: string, at: number): void {
+  private recordConfirmedCancellation(job: string, at: number): void {
     if (this.confirmedCancellations.has(job)) return;
     this.confirmedCancellations.add(job);
     this.trace(`user is told at n${at} that ${job} is cancelled`);
   }
 
-  /** Runs `act` once, when a controller other than the home controller first acquires the shard. */
-  onFailover(shard: number, act: (successor: number) => void): void {
-    this.onLeaderWrite(shard, (node) => node !== shard, act);
+  /** Runs `action` once, when a controller other than the home controller first acquires the shard. */
+  onFailover(shard: number, action: (successor: number) => void): void {
+    this.onLeaderWrite(shard, (node) => node !== shard, action);
   }
 
-  /** Runs `act` once, when a controller that matches first acquires the shard. */
-  onLeaderWrite(shard: number, matches: (node: number) => boolean, act: (node: number) => void): void {
-    const before = this.onCommit;
-    let over = false;
+  /** Runs `action` once, when a controller for which `matches` is true first acquires the shard. */
+  onLeaderWrite(shard: number, matches: (node: number) => boolean, action: (node: number) => void): void {
+    const previousOnCommit = this.onCommit;
+    let hasRun = false;
     this.onCommit = (body) => {
-      before(body);
+      previousOnCommit(body);
       const failover = failoverIn(body);
-      if (over || failover?.shard !== String(shard) || !matches(failover.node)) return;
-      over = true;
+      if (hasRun || failover?.shard !== String(shard) || !matches(failover.node)) return;
+      hasRun = true;
       this.trace(`n${failover.node} leads shard ${shard}`);
-      act(failover.node);
+      action(failover.node);
     };
   }
 
-  /** Lets time pass until it holds; fails after `limitMs`. */
+  /** Advances the simulation until `condition` holds; fails after `limitMs`. */
   async until(description: string, condition: () => boolean, limitMs = 20_000): Promise<void> {
-    for (let left = limitMs; left > 0 && !condition(); left -= 50) await this.step(50);
+    for (let remainingMs = limitMs; remainingMs > 0 && !condition(); remainingMs -= 50) await this.step(50);
     assert.ok(condition(), `${description}, within ${limitMs} ms:\n${this.traceLines.join('\n')}`);
   }
 
@@ -165,7 +165,10 @@
   }
 }
 
-/** Machines of 8 CPUs, registered in turns in shards 0 and 2 (east) and in shard 1 (west); all controllers run. */
+/**
+ * Starts all controllers with machines of 8 CPUs, registered alternately in shards 0 and 2 (east) and in shard 1
+ * (west).
+ */
 export async function startCluster(
   east: number,
   west: number,
@@ -209,12 +212,16 @@
   for (const machine of machines) if (cluster.workers.has(machine)) cluster.worker(machine).hanging = false;
 }
 
-/** Acts when the first failover of shard 0 reaches the store, which commits such transactions so many ms later. */
-export function whenFailoverArrives(cluster: FaultInjectionCluster, delayMs: number, act: () => void): void {
+/** Runs `action` when the first failover of shard 0 reaches the store, and delays the commit of such transactions. */
+export function whenFailoverArrives(
+  cluster: FaultInjectionCluster,
+  delayMs: number,
+  action: () => void,
+): void {
   let arrived = false;
   cluster.store.transactionDelayMs = (body) => {
     if (failoverIn(body)?.shard !== '0') return 0;
-    if (!arrived) act();
+    if (!arrived) action();
     arrived = true;
     return delayMs;
   };
--- a/test/support/idle-capacity-monitor.ts
+++ b/test/support/idle-capacity-monitor.ts
@@ -1,10 +1,10 @@
 /**
- * Watches a world from outside for jobs that wait although a machine that fits has room and their team is under its
- * limit: only what machines and users see, nothing of the controllers' memory.
+ * Detects jobs that wait although a suitable machine has free capacity and their team is below its quota. Uses only
+ * what machines and users see, not the state in the controllers' memory.
  */
 import type { SimulatedCluster } from './simulated-cluster.js';
 
-/** How long each task has been waiting for nothing, in milliseconds; the longest of all. */
+/** Measures how long each job has been waiting despite idle capacity, and records the longest wait in milliseconds. */
 export class IdleCapacityMonitor {
   private readonly waitingSince = new Map<string, number>();
   private readonly completedTasks = new Set<string>();
@@ -14,14 +14,14 @@
 
   constructor(
     private readonly cluster: SimulatedCluster,
-    /** Jobs all of whose tasks must be in one zone. */
+    /** Jobs that need all their tasks in one zone. */
     private readonly singleZoneJobs: ReadonlySet<string> = new Set(),
   ) {}
 
-  /** Steps the world and looks every second. */
+  /** Advances the cluster and checks it every second. */
   async step(ms: number): Promise<void> {
-    for (let left = ms; left > 0; left -= 1000) {
-      await this.cluster.step(Math.min(1000, left));
+    for (let remainingMs = ms; remainingMs > 0; remainingMs -= 1000) {
+      await this.cluster.step(Math.min(1000, remainingMs));
       this.check();
     }
   }
@@ -32,10 +32,10 @@
     for (const id of this.cluster.jobs.keys()) {
       if (!this.waitsDespiteCapacity(id)) this.waitingSince.delete(id);
       else {
-        const from = this.waitingSince.get(id) ?? now;
-        this.waitingSince.set(id, from);
-        if (now - from > this.longestWaitMs) this.longestWaitingJob = id;
-        this.longestWaitMs = Math.max(this.longestWaitMs, now - from);
+        const since = this.waitingSince.get(id) ?? now;
+        this.waitingSince.set(id, since);
+        if (now - since > this.longestWaitMs) this.longestWaitingJob = id;
+        this.longestWaitMs = Math.max(this.longestWaitMs, now - since);
       }
     }
   }
@@ -53,25 +53,25 @@
     const job = invariantChecker.descriptionOf(id);
     if (!job || !invariantChecker.isAcknowledged(id) || invariantChecker.finalState(id) === 'cancelled')
       return false;
-    const present = new Map<string, number>();
+    const tasksByZone = new Map<string, number>();
     let waitingTasks = 0;
     for (let i = 0; i < job.tasks; i += 1) {
       const taskId = `${id}/${i}`;
       const holder = [...this.cluster.workers.values()].find((machine) =>
         isOnMachine(machine.tasks.get(taskId)),
       );
-      if (holder) present.set(holder.zone, (present.get(holder.zone) ?? 0) + 1);
+      if (holder) tasksByZone.set(holder.zone, (tasksByZone.get(holder.zone) ?? 0) + 1);
       else if (!this.completedTasks.has(taskId)) waitingTasks += 1;
     }
     if (waitingTasks === 0) return false;
-    const limit = this.cluster.config.teams.find((task) => task.name === job.team)?.cpusMax ?? 0;
-    if (this.cpusUsedByTeam(job.team) + job.cpus > limit + 1e-9) return false;
+    const cpusMax = this.cluster.config.teams.find((team) => team.name === job.team)?.cpusMax ?? 0;
+    if (this.cpusUsedByTeam(job.team) + job.cpus > cpusMax + 1e-9) return false;
     return [...this.cluster.workers.values()].some((machine) => {
       if (machine.hanging || (machine.spot && !job.spot) || (job.types && !job.types.includes(machine.type)))
         return false;
       if (job.zone !== null && job.zone !== machine.zone) return false;
-      if (job.spread && (present.get(machine.zone) ?? 0) >= Math.ceil(job.tasks / 2)) return false;
-      if (this.singleZoneJobs.has(id) && present.size > 0 && !present.has(machine.zone)) return false;
+      if (job.spread && (tasksByZone.get(machine.zone) ?? 0) >= Math.ceil(job.tasks / 2)) return false;
+      if (this.singleZoneJobs.has(id) && tasksByZone.size > 0 && !tasksByZone.has(machine.zone)) return false;
       return machine.cpus - this.cpusUsedOnMachine(machine) >= job.cpus - 1e-9;
     });
   }
--- a/test/support/invariant-checker.ts
+++ b/test/support/invariant-checker.ts
@@ -1,9 +1,9 @@
 /**
- * Judges the rules of the protocol by what the outside sees: when a task is on which machine, and what users were
- * answered. It is told of each such event and checks the rules there; it never looks into a controller.
+ * Checks the rules of the protocol from outside the controllers: on which machine each task is and when, and which
+ * answers users got. Each such event is reported to the checker, which evaluates the rules at once.
  */
 
-/** What its user asked for, as far as the rules speak of it. */
+/** The parts of a job specification that the rules refer to. */
 export interface JobDescription {
   readonly id: string;
   readonly team: string;
@@ -27,7 +27,7 @@
 export interface TeamQuota {
   readonly name: string;
   readonly cpusMax: number;
-  /** Absent: none. A limit of 0 is none too, as the protocol has it. */
+  /** Absent or 0: no limit, as the protocol defines it. */
   readonly gpusMax?: number;
 }
 
@@ -40,23 +40,23 @@
   readonly jobState: unknown;
 }
 
-/** What users had been told of a job when a question about it was sent. */
+/** What users had been told about a job when a request about it was sent. */
 export interface KnowledgeAtRequest {
   readonly acknowledged: boolean;
   readonly finalState: string | null;
 }
 
-/** Everything known of one job from outside. */
+/** What is known about one job from outside the controllers. */
 interface JobHistory {
   readonly id: string;
-  /** null: somebody sent this id in a body that the test did not describe. */
+  /** Null if the id was submitted in a body that the test did not describe. */
   job: JobDescription | null;
-  /** A submission of it has been sent to some node. */
+  /** Whether a submission has been sent to any node. */
   submitted: boolean;
   cancelRequested: boolean;
-  /** Milliseconds by the world's clock. */
+  /** When a user was first told that the job is cancelled, in milliseconds of the simulated clock. */
   cancelledAt: number | null;
-  /** Some user has been answered 200 or 201 about it. */
+  /** Whether any user has got 200 or 201 for the job. */
   acknowledged: boolean;
   finalState: string | null;
   readonly completedTasks: Set<string>;
@@ -70,57 +70,57 @@
   gpus: number;
 }
 
-/** Sums of decimals are not exact. */
+/** Tolerance for sums of decimal fractions, which are not exact. */
 const ROUNDING_TOLERANCE = 1e-6;
 
 export class InvariantChecker {
-  /** Starts of a task after its user was told that the job is cancelled: allowed within the cancel time, and counted. */
+  /** Tasks that started after a user was told that the job is cancelled: allowed within the cancellation limit. */
   readonly startsAfterCancellation: string[] = [];
   /**
-   * Milliseconds that were left of the cancel time when a task of a cancelled job was gone, at the least; infinite
-   * while none has been on a machine after its cancellation.
+   * The least time, in milliseconds, that remained of the cancellation limit when a task of a cancelled job ended;
+   * infinite if no task was on a machine after the cancellation.
    */
   minRemainingMs = Infinity;
   private readonly histories = new Map<string, JobHistory>();
-  /** By task: the machines on which it is now. */
+  /** The machines on which each task is now. */
   private readonly machinesByTask = new Map<string, Map<string, MachineDescription>>();
   private readonly usageByTeam = new Map<string, Usage>();
   private readonly teams: ReadonlyMap<string, TeamQuota>;
-  /** Cancelled jobs with tasks on machines. */
+  /** Cancelled jobs that still have tasks on machines. */
   private readonly cancelledAndRunning = new Set<JobHistory>();
 
   constructor(
     private readonly now: () => number,
     private readonly cancellationLimitMs: number,
     teams: readonly TeamQuota[],
-    /** Broken rules, each said once; tests may add their own. */
+    /** Violations of the rules, each reported once; tests may add their own. */
     readonly violations: string[],
   ) {
-    this.teams = new Map(teams.map((t) => [t.name, t]));
+    this.teams = new Map(teams.map((team) => [team.name, team]));
   }
 
-  /** What a job asks for; said before it is sent to anybody. Once accepted it stays what it was. */
+  /** Describes a job before it is submitted; ignored once the job is accepted and while its tasks are on machines. */
   describeJob(job: JobDescription): void {
     const history = this.historyOf(job.id);
     if (!history.acknowledged && history.runningTasks === 0) history.job = job;
   }
 
-  /** What a job asks for, or null if the test did not say. */
+  /** Returns the description of a job, or null if the test did not give one. */
   descriptionOf(id: string): JobDescription | null {
     return this.historyOf(id).job;
   }
 
-  /** Some user has been told that it is accepted. */
+  /** Whether any user has been told that the job is accepted. */
   isAcknowledged(id: string): boolean {
     return this.historyOf(id).acknowledged;
   }
 
-  /** `done` or `cancelled` once some user was told so. */
+  /** Returns `done` or `cancelled` once any user has been told so. */
   finalState(id: string): string | null {
     return this.historyOf(id).finalState;
   }
 
-  /** A user sends a request, whatever becomes of it. */
+  /** Records that a user sends a request, whether or not it is answered. */
   requestSent(method: string, path: string, body: unknown): KnowledgeAtRequest {
     const id = path === '/v2/runs' ? jobIdInBody(body) : jobIdInPath(path);
     if (id === null) return { acknowledged: false, finalState: null };
@@ -131,8 +131,8 @@
   }
 
   /**
-   * A user hears an answer. It may not be older than what any user had been told, at any node, when the question was
-   * sent; an answer that another one overtakes on its way may be.
+   * Checks an answer that a user got. It must not be older than what any user had been told, by any node, when the
+   * request was sent; it may be older than answers to other requests that arrived in the meantime.
    */
   responseReceived(exchange: HttpExchange, body: unknown, knowledge: KnowledgeAtRequest): void {
     const { method, path, status, jobState: state } = exchange;
@@ -156,8 +156,9 @@
   private observeState(history: JobHistory, state: string, knowledge: KnowledgeAtRequest): void {
     const { id, job } = history;
     const isFinal = state === 'done' || state === 'cancelled';
-    const before = isFinal ? history.finalState : knowledge.finalState;
-    if (before !== null && state !== before) this.reportViolation(`went_back ${id}: ${before} then ${state}`);
+    const knownState = isFinal ? history.finalState : knowledge.finalState;
+    if (knownState !== null && state !== knownState)
+      this.reportViolation(`went_back ${id}: ${knownState} then ${state}`);
     if (state === 'cancelled' && !history.cancelRequested)
       this.reportViolation(`went_back ${id}: cancelled, and its user did not cancel it`);
     if (state === 'done' && job && history.completedTasks.size < job.tasks)
@@ -169,7 +170,7 @@
     if (history.runningTasks > 0) this.cancelledAndRunning.add(history);
   }
 
-  /** A machine holds a task's image from now on. */
+  /** Records that a machine has the image of a task, and checks the rules for starts. */
   taskStarted(machine: MachineDescription, task: string): void {
     const history = this.historyOf(jobOfTask(task));
     const machines = this.machinesByTask.get(task) ?? new Map<string, MachineDescription>();
@@ -223,7 +224,7 @@
       this.reportViolation(`quota ${job.team}: ${used.gpus} GPUs`);
   }
 
-  /** It has exited, was killed, or its machine is gone. `done`: it completed. */
+  /** Records that a task has exited, was killed or was lost with its machine; `done` tells whether it completed. */
   taskEnded(machine: MachineDescription, task: string, done: boolean): void {
     const machines = this.machinesByTask.get(task);
     if (!machines?.delete(machine.id))
@@ -232,8 +233,8 @@
     const history = this.historyOf(jobOfTask(task));
     if (done) history.completedTasks.add(task);
     history.runningTasks -= 1;
-    const left = (history.tasksByZone.get(machine.zone) ?? 0) - 1;
-    if (left > 0) history.tasksByZone.set(machine.zone, left);
+    const remainingTasks = (history.tasksByZone.get(machine.zone) ?? 0) - 1;
+    if (remainingTasks > 0) history.tasksByZone.set(machine.zone, remainingTasks);
     else history.tasksByZone.delete(machine.zone);
     if (history.job) this.addUsage(history.job, -1);
     this.checkEndAfterCancellation(history, task);
@@ -241,18 +242,18 @@
 
   private checkEndAfterCancellation(history: JobHistory, task: string): void {
     if (history.cancelledAt === null) return;
-    const left = history.cancelledAt + this.cancellationLimitMs - this.now();
-    this.minRemainingMs = Math.min(this.minRemainingMs, left);
-    if (left < 0) this.reportViolation(`ran_cancelled ${task}`);
+    const remainingMs = history.cancelledAt + this.cancellationLimitMs - this.now();
+    this.minRemainingMs = Math.min(this.minRemainingMs, remainingMs);
+    if (remainingMs < 0) this.reportViolation(`ran_cancelled ${task}`);
     if (history.runningTasks === 0) this.cancelledAndRunning.delete(history);
   }
 
-  /** Tasks that should have ended by now: no event of theirs says so. */
+  /** Reports tasks of cancelled jobs that still run after the cancellation limit, for which no event arrives. */
   checkOverdue(): void {
     for (const history of this.cancelledAndRunning) {
-      const left = (history.cancelledAt ?? 0) + this.cancellationLimitMs - this.now();
-      if (left >= 0) continue;
-      this.minRemainingMs = Math.min(this.minRemainingMs, left);
+      const remainingMs = (history.cancelledAt ?? 0) + this.cancellationLimitMs - this.now();
+      if (remainingMs >= 0) continue;
+      this.minRemainingMs = Math.min(this.minRemainingMs, remainingMs);
       for (const task of this.machinesByTask.keys())
         if (jobOfTask(task) === history.id) this.reportViolation(`ran_cancelled ${task}`);
     }
@@ -278,8 +279,8 @@
     return history;
   }
 
-  private reportViolation(what: string): void {
-    if (!this.violations.includes(what)) this.violations.push(what);
+  private reportViolation(violation: string): void {
+    if (!this.violations.includes(violation)) this.violations.push(violation);
   }
 }
 
--- a/test/support/job-specs.ts
+++ b/test/support/job-specs.ts
@@ -1,10 +1,10 @@
-/** A plain array job of the team red; each test says what differs. */
+/** Builders for teams and job specifications; the default is a simple array job of the team red. */
 import type { JobSpec } from '../../src/jobs/spec.js';
 import { UNLIMITED, ZERO } from '../../src/model/resources.js';
 import type { Team } from '../../src/settings/settings.js';
 import type { TeamId } from '../../src/model/units.js';
 
-/** The team red as its settings say it: a guarantee or limit that is left out is none. */
+/** Builds a team, by default `red`; an omitted guarantee is zero and an omitted quota is unlimited. */
 export function buildTeam(
   options: { name?: string; cpus?: number; cpusMax?: number; gpus?: number; gpusMax?: number } = {},
 ): Team {
--- a/test/support/outage-scenario.ts
+++ b/test/support/outage-scenario.ts
@@ -1,6 +1,6 @@
 /**
- * Plays one case: jobs are cancelled while the leader alone is refused by the store, and the store is down for all
- * afterwards. Measures how much of the cancel time and of the command deadline is left.
+ * Runs one case: jobs are cancelled while the store refuses only the leader, and afterwards the store is down for all
+ * controllers. Measures how much of the cancellation limit and of the command deadline remains.
  */
 import assert from 'node:assert/strict';
 import { SimulatedCluster } from './simulated-cluster.js';
@@ -21,11 +21,11 @@
   type OutageMeasurement,
 } from './outage-case.js';
 
-/** The first of these jobs that has a task on a machine. */
+/** Returns the first of `jobs` whose first task is among `tasks`. */
 const firstJobWithTask = (tasks: readonly { taskId: string }[], jobs: readonly string[]): string =>
   jobs.find((id) => tasks.some((task) => task.taskId === `${id}/0`)) ?? '';
 
-/** One case, from full machines to the end of the outage. */
+/** Runs one case, from filling the machines to the end of the outage. */
 export class OutageScenario {
   readonly cluster: SimulatedCluster;
   private refusedAt = Infinity;
@@ -33,7 +33,7 @@
   private readonly lastAnswerAt = new Map<string, number>();
   private confirmedCancellations = 0;
   private failedOver = false;
-  private outageArmed = false;
+  private outageScheduled = false;
 
   constructor(private readonly outageCase: OutageCase) {
     const cluster = new SimulatedCluster(outageCase.failover === 'none' ? WITHOUT_FAILOVER : OUTAGE_CLUSTER);
@@ -44,19 +44,20 @@
         : who.startsWith('m-')
           ? outageCase.workerClockRate
           : 1;
-    cluster.onCommandSent = (node, worker, how) => {
+    cluster.onCommandSent = (node, worker, channel) => {
       if (node !== LEADER) return;
-      this.lastCommandAt[how] = cluster.clock.now();
-      if (how === 'answer' && this.refusedAt === Infinity) this.lastAnswerAt.set(worker, cluster.clock.now());
+      this.lastCommandAt[channel] = cluster.clock.now();
+      if (channel === 'answer' && this.refusedAt === Infinity)
+        this.lastAnswerAt.set(worker, cluster.clock.now());
     };
     cluster.store.transactionFate = (node, body) => {
-      const isFailover = body.apply?.some((a) => a.put === `c/parts/${LEADER}`) ?? false;
+      const isFailover = body.apply?.some((change) => change.put === `c/parts/${LEADER}`) ?? false;
       if (isFailover && node !== `n${LEADER}` && this.refusedAt < Infinity) this.onFailover();
       return 'normal';
     };
   }
 
-  /** Ends the faults, the refusal of the old leader too, and checks that a job is served. */
+  /** Ends all faults, including the refusal of the old leader, and checks that a new job runs. */
   async recover(): Promise<void> {
     const { cluster } = this;
     cluster.store.refusedNodes.clear();
@@ -65,10 +66,10 @@
     cluster.commandDelayMs = () => null;
     cluster.networkCuts.clear();
     cluster.store.endOutage();
-    cluster.trace('all is over');
+    cluster.trace('all faults are over');
     await cluster.step(6000);
-    const served = await cluster.submit(0, 'req-after', { cpus: 1, runMs: 1000 });
-    assert.equal(served.status, 201);
+    const accepted = await cluster.submit(0, 'req-after', { cpus: 1, runMs: 1000 });
+    assert.equal(accepted.status, 201);
     await cluster.step(6000);
     const { body } = await cluster.sendUserRequest(LEADER, 'GET', '/v2/runs/req-after');
     assert.equal(body['status'], 'done');
@@ -84,29 +85,29 @@
       for (const node of cluster.nodes.keys())
         if (node !== LEADER)
           for (const machine of cluster.workers.keys()) cluster.networkCuts.add(`n${node}|${machine}`);
-    // Where the refusal falls in the intervals of heartbeats and of store requests.
+    // The seed determines at which point of the heartbeat and store request intervals the refusal falls.
     await cluster.step(1000 + ((outageCase.seed * 37) % 100));
     const jobs = this.shuffled(
       [...cluster.jobs.keys()].filter((id) => id !== 'req-queue' && id !== UNCANCELLED_JOB),
     );
-    const last = new Set(
+    const lastJobs = new Set(
       [...cluster.workers.values()].map((machine) => firstJobWithTask(machine.runningTasks(), jobs)),
     );
-    const others = jobs.filter((id) => !last.has(id));
-    others.forEach((id, i) => this.cancelAfter(id, Math.floor(i / 2) * STEP_MS));
+    const earlierJobs = jobs.filter((id) => !lastJobs.has(id));
+    earlierJobs.forEach((id, i) => this.cancelAfter(id, Math.floor(i / 2) * STEP_MS));
     this.cancelAfter('req-queue', FIRST_CANCELLATION_MS + STEP_MS);
     if (outageCase.slowAnswers !== 'list') this.pollLeader();
-    // What the leader reads is current when the store answers, and old when it arrives.
+    // The store's answers are current when sent and outdated when they reach the leader.
     if (outageCase.slowAnswers === 'watch' || outageCase.slowAnswers === 'question')
       cluster.store.readDelayMs = (node) => (node === `n${LEADER}` ? SLOW_ANSWER_MS : 0);
     await cluster.step(FIRST_CANCELLATION_MS);
-    this.refuseLeaderAfterItsNextRead([...last]);
+    this.refuseLeaderAfterItsNextRead([...lastJobs]);
     await cluster.step(CANCEL_MS + 4500);
     assert.ok(this.refusedAt < Infinity);
     return this.measure();
   }
 
-  /** From then on its store cache cannot be confirmed any more; the first confirmations that it cannot know of follow. */
+  /** Refuses the leader at its next read, so that it cannot confirm its store cache, and cancels `jobs` at that time. */
   private refuseLeaderAfterItsNextRead(jobs: readonly string[]): void {
     const { cluster, outageCase } = this;
     const refuse = (): void => {
@@ -126,21 +127,21 @@
       return;
     }
     cluster.store.onWatchAnswered = (node, blockMs) => {
-      // A read for a user's question was sent just now; a watch that blocks, up to seconds ago.
+      // A read for a user's question was sent just before its answer; a blocking watch was sent up to seconds before.
       if (node === `n${LEADER}` && (blockMs === 0) !== (outageCase.slowAnswers === 'watch')) refuse();
     };
   }
 
-  /** Users ask the leader until it is refused: its store cache is as current as it can be. */
+  /** Queries the leader until it is refused, which keeps its store cache as current as possible. */
   private pollLeader(): void {
     const { cluster, outageCase } = this;
-    const until =
+    const durationMs =
       2 * FIRST_CANCELLATION_MS + (outageCase.slowAnswers === 'question' ? 2 * SLOW_ANSWER_MS : 0);
-    for (let delayMs = 0; delayMs < until; delayMs += 7)
+    for (let delayMs = 0; delayMs < durationMs; delayMs += 7)
       cluster.clock.after(delayMs, () => void cluster.request(LEADER, 'GET', `/v2/runs/${UNCANCELLED_JOB}`));
   }
 
-  /** Long tasks on every machine, and short ones that come and go in the capacity beside them. */
+  /** Starts long tasks on every machine, and a queue of short tasks that use the remaining capacity. */
   private async fillMachines(): Promise<void> {
     const { cluster } = this;
     await cluster.start();
@@ -174,8 +175,9 @@
       void cluster.request(id.length % 2 === 0 ? 0 : 2, 'POST', `/v2/runs/${id}/abort`).then((answer) => {
         if (answer?.status !== 200) return;
         this.confirmedCancellations += 1;
-        const all = MACHINES * JOBS_PER_MACHINE + 1;
-        if (outageCase.failover === 'none' && this.confirmedCancellations === all) this.scheduleOutage();
+        const expectedCancellations = MACHINES * JOBS_PER_MACHINE + 1;
+        if (outageCase.failover === 'none' && this.confirmedCancellations === expectedCancellations)
+          this.scheduleOutage();
       });
     });
   }
@@ -186,8 +188,8 @@
   }
 
   private scheduleOutage(): void {
-    if (this.outageArmed) return;
-    this.outageArmed = true;
+    if (this.outageScheduled) return;
+    this.outageScheduled = true;
     this.cluster.clock.after(this.outageCase.outageAfterMs, () => {
       this.cluster.store.outage = true;
       this.cluster.trace('the store is down');
@@ -203,15 +205,17 @@
     };
   }
 
-  /** Some go on within their lease, at another time each; with odd seeds, most after it. */
+  /** Half of the machines hang; each resumes at another time within its lease, or with odd seeds mostly after it. */
   private hangHalfOfMachines(): void {
     const { cluster, outageCase } = this;
-    const longer = outageCase.seed % 2 === 1 ? 2 * HEARTBEAT_INTERVAL_MS : 0;
+    const additionalMs = outageCase.seed % 2 === 1 ? 2 * HEARTBEAT_INTERVAL_MS : 0;
     [...cluster.workers.values()].forEach((machine, i) => {
       if (i % 2 === 1) return;
-      const from = 400 + i * 450;
-      cluster.clock.after(from, () => machine.hang());
-      cluster.clock.after(from + LEASE_MS - HEARTBEAT_INTERVAL_MS - 100 * i + longer, () => machine.resume());
+      const hangAfterMs = 400 + i * 450;
+      cluster.clock.after(hangAfterMs, () => machine.hang());
+      cluster.clock.after(hangAfterMs + LEASE_MS - HEARTBEAT_INTERVAL_MS - 100 * i + additionalMs, () =>
+        machine.resume(),
+      );
     });
   }
 
@@ -228,15 +232,15 @@
   private measure(): OutageMeasurement {
     const { cluster } = this;
     cluster.invariantChecker.checkOverdue();
-    const latest = this.refusedAt + CANCEL_MS - LEASE_MS;
+    const commandDeadline = this.refusedAt + CANCEL_MS - LEASE_MS;
     const phases = [...this.lastAnswerAt.values()].map((answeredAt) => {
-      const since = (this.refusedAt - answeredAt) % HEARTBEAT_INTERVAL_MS;
-      return Math.floor((since * 10) / HEARTBEAT_INTERVAL_MS);
+      const elapsedMs = (this.refusedAt - answeredAt) % HEARTBEAT_INTERVAL_MS;
+      return Math.floor((elapsedMs * 10) / HEARTBEAT_INTERVAL_MS);
     });
     return {
       remainingMs: cluster.invariantChecker.minRemainingMs,
-      answerSlackMs: latest - this.lastCommandAt.answer,
-      directSlackMs: latest - this.lastCommandAt.direct,
+      answerSlackMs: commandDeadline - this.lastCommandAt.answer,
+      directSlackMs: commandDeadline - this.lastCommandAt.direct,
       confirmed: this.confirmedCancellations,
       lateStarts: cluster.invariantChecker.startsAfterCancellation.length,
       phases: new Set(phases),
--- a/test/support/quota-transfer-service.ts
+++ b/test/support/quota-transfer-service.ts
@@ -1,4 +1,6 @@
-/** A quota transfer service of a controller that leads some of the shards, for one team; each write succeeds at once. */
+/**
+ * Creates the quota transfer service of a controller that leads some of the shards, for one team; all writes succeed.
+ */
 import { revision, steady, shardId } from '../../src/model/units.js';
 import type { Resources } from '../../src/model/resources.js';
 import type { Shard } from '../../src/shards/model.js';
@@ -13,7 +15,7 @@
   shards: readonly Shard[],
   shardCount: number,
   now: () => number,
-  /** Left out: even quotas. */
+  /** The quota of each shard; if omitted, the team's quota is divided evenly among the shards. */
   shardQuotas?: readonly Resources[],
 ): QuotaTransferService {
   const storeCache = new StoreCache(() => undefined);
--- a/test/support/shard-builder.ts
+++ b/test/support/shard-builder.ts
@@ -1,4 +1,4 @@
-/** A shard with machines of one small type, and records of jobs that are assigned to it; each test says what differs. */
+/** Builders for a shard with machines of one small type and for records and allocations of a job assigned to it. */
 import { RangeSet, type Range } from '../../src/model/ranges.js';
 import type { JobRecord } from '../../src/jobs/record.js';
 import type { InstanceType } from '../../src/cloud/wire.js';
@@ -21,9 +21,9 @@
 import { newMachine, Shard, type Allocation, type Machine } from '../../src/shards/model.js';
 import { buildJobSpec } from './job-specs.js';
 
-/** The leader of `buildShard` has this token; attempts of an earlier leader are below `EARLIER_ATTEMPT`. */
+/** The fencing token of the leader of the shard that `buildShard` returns. */
 const FENCING_TOKEN = fencingToken(7);
-/** The revision at which the shard of `buildShard` was acquired. */
+/** The revision at which the shard that `buildShard` returns was acquired. */
 export const ACQUIRED_VERSION = revision(10);
 /** An attempt that an earlier leader of the shard started. */
 export const EARLIER_ATTEMPT = attempt(1);
@@ -33,11 +33,11 @@
   [SMALL, { cpus: 4, gpus: 0, memoryGb: 16, cacheGb: 4 } as InstanceType],
 ]);
 
-/** A shard without machines and jobs, acquired at time 0. */
+/** Returns a shard without machines and jobs, acquired at time 0. */
 export const buildShard = (): Shard =>
   new Shard(shardId(0), FENCING_TOKEN, ACQUIRED_VERSION, steady(0), TYPES);
 
-/** A machine in the zone `east`, added to the shard. */
+/** Adds a machine to the shard, by default in the zone `east`. */
 export function addMachineTo(
   shard: Shard,
   id: string,
@@ -57,7 +57,7 @@
   return machine;
 }
 
-/** The record of the job `req-1` with these tasks assigned to the shard, and these done. */
+/** Returns the record of the job `req-1` with the ranges of tasks that are assigned to the shard and that are done. */
 export function buildJobRecord(options: {
   assigned: Range[];
   done?: Range[];
@@ -77,7 +77,7 @@
   } as unknown as JobRecord;
 }
 
-/** An allocation of a task of `req-1` that runs on the machine. */
+/** Returns the allocation of a task of `req-1` that runs on the machine; does not add it to the shard. */
 export function buildAllocation(shard: Shard, machine: Machine, index: number): Allocation {
   const job = 'req-1' as JobId;
   return {
--- a/test/support/shard-fixture.ts
+++ b/test/support/shard-fixture.ts
@@ -1,4 +1,4 @@
-/** One shard with one machine and one job of two tasks; heartbeats are given as text, the state is returned as text. */
+/** A shard with one machine and a job of two tasks. Heartbeats are written as text, and states are returned as text. */
 import type { InstanceType } from '../../src/cloud/wire.js';
 import type { JobRecord } from '../../src/jobs/record.js';
 import type { JobSpec } from '../../src/jobs/spec.js';
@@ -49,7 +49,7 @@
 const SHARD = shardId(0);
 export const SHARD_FENCING_TOKEN = fencingToken(7);
 
-/** A job of two tasks of two CPUs each, all of them assigned to the shard. */
+/** A job of two tasks of two CPUs each, which are assigned to the shard. */
 export const TWO_TASK_SPEC: JobSpec = buildJobSpec({ tasks: 2 });
 const RECORD: JobRecord = {
   spec: TWO_TASK_SPEC,
@@ -60,7 +60,9 @@
   done: RangeSet.empty(),
 };
 
-/** What differs in a heartbeat from the machine's next one in its first agent epoch under the shard's token. */
+/**
+ * Overrides for a heartbeat; the defaults are the first agent epoch, the next sequence number and the shard's token.
+ */
 export interface HeartbeatChanges {
   readonly agentEpoch?: number;
   readonly sequence?: number;
@@ -89,21 +91,21 @@
   readonly machine: Machine;
   /** Jobs whose records in the store cannot be read. */
   readonly unreadableJobs = new Set<JobId>();
-  /** When heartbeats are received. */
+  /** The time at which heartbeats are received. */
   now = steady(1000);
   private sequence = 0;
-  /** The store has no result of the shard's jobs, and knows no other job. */
+  /** Reads results from the job records; all tasks of jobs that the shard does not have count as recorded. */
   private readonly records: ResultRecords = {
     isResultRecorded: (job, index) => this.shard.jobs.get(job)?.record.done.has(index) ?? true,
   };
 
-  /** After a failover the machine has not been heard, and its tasks are unaccounted. */
+  /** After a failover, no heartbeat of the machine has arrived yet and its tasks are unaccounted for. */
   constructor(afterFailover = false) {
     this.machine = this.addMachine('m-0', '10.0.0.9:1', { reconciled: !afterFailover });
     syncConfirmedJob(this.shard, RECORD, revision(2), steady(0), afterFailover);
     if (afterFailover) return;
     requeueAccountedTasks(this.shard);
-    // Tasks are only started on machines that have been heard.
+    // Tasks are only started on machines that have sent a heartbeat.
     this.receiveHeartbeat('heartbeat', '');
   }
 
@@ -122,7 +124,7 @@
     return machine;
   }
 
-  /** Attempt 5 of the job's first task, allocated to the machine. */
+  /** Allocates the job's first task, by default as attempt 5, to the machine. */
   addAllocation(changes: Partial<Allocation> = {}): Allocation {
     const allocation: Allocation = {
       id: taskId(TWO_TASK_SPEC.id, taskIndex(0)),
@@ -146,7 +148,7 @@
     return allocation;
   }
 
-  /** The machine's next status. Tasks as `index:attempt:state[:cause]`, separated by blanks. */
+  /** Returns the machine's next heartbeat. Tasks are written as `index:attempt:state[:cause]`, separated by spaces. */
   nextHeartbeat(tasks: string, changes: HeartbeatChanges = {}, machine = this.machine): Heartbeat {
     this.sequence += 1;
     return {
@@ -163,7 +165,7 @@
     };
   }
 
-  /** Reconciles the machine's next status; whether it was applied, and the state after it. */
+  /** Reconciles the machine's next heartbeat; returns whether it was applied, and the resulting state. */
   receiveHeartbeat(
     channel: StatusChannel,
     tasks: string,
@@ -190,7 +192,7 @@
     return `allocated ${allocated || '-'} waiting ${[...(job?.waiting ?? [])].join(',') || '-'}`;
   }
 
-  /** The commands in the answer to the machine's last heartbeat. */
+  /** Returns the commands in the answer to the machine's last heartbeat as text. */
   pendingCommands(machine = this.machine): string {
     return commandsInReply(machine, this.records)
       .map((command) => `${command.kind} ${command.index}@${command.attempt}`)
--- a/test/support/simulated-clock.ts
+++ b/test/support/simulated-clock.ts
@@ -1,4 +1,4 @@
-/** A simulated steady clock: events in time order, everything else settled in between. */
+/** A simulated steady clock: runs timers in time order and waits for pending promises before each of them. */
 import type { Clock, Millis, SteadyMs } from '../../src/model/units.js';
 
 interface TimerEvent {
@@ -33,7 +33,7 @@
     return new Promise((resolve) => this.after(delay, resolve));
   }
 
-  /** Seconds since the start, as traces show them. */
+  /** Formats the seconds since the start for traces. */
   formatElapsed(): string {
     return ((this.currentTime - 1_000_000) / 1000).toFixed(1).padStart(6);
   }
@@ -58,15 +58,15 @@
     return null;
   }
 
-  /** A binary heap: hundreds of machines have thousands of timers. */
+  /** Inserts into a binary heap, because hundreds of machines have thousands of timers. */
   private insert(event: TimerEvent): void {
     const { events } = this;
     let at = events.push(event) - 1;
     while (at > 0) {
-      const above = (at - 1) >> 1;
-      if (!isEarlier(event, events[above] as TimerEvent)) break;
-      events[at] = events[above] as TimerEvent;
-      at = above;
+      const parent = (at - 1) >> 1;
+      if (!isEarlier(event, events[parent] as TimerEvent)) break;
+      events[at] = events[parent] as TimerEvent;
+      at = parent;
     }
     events[at] = event;
   }
@@ -77,13 +77,13 @@
     if (!last || events.length === 0) return;
     let at = 0;
     for (;;) {
-      let below = 2 * at + 1;
-      const right = events[below + 1];
-      if (right && isEarlier(right, events[below] as TimerEvent)) below += 1;
-      const next = events[below];
+      let child = 2 * at + 1;
+      const right = events[child + 1];
+      if (right && isEarlier(right, events[child] as TimerEvent)) child += 1;
+      const next = events[child];
       if (!next || !isEarlier(next, last)) break;
       events[at] = next;
-      at = below;
+      at = child;
     }
     events[at] = last;
   }
@@ -92,14 +92,14 @@
 const isEarlier = (first: TimerEvent, second: TimerEvent): boolean =>
   first.dueAt < second.dueAt || (first.dueAt === second.dueAt && first.sequence < second.sequence);
 
-/** The steady clock of one machine, which runs at `rate` times the speed of `clock`; its timers too. */
+/** Returns a view of `clock` for one machine: its time and its timers run at `rate` times the speed of `clock`. */
 export function clockRunningAt(clock: SimulatedClock, rate: number): SimulatedClock {
-  const from = clock.now();
-  const own = Object.create(clock) as SimulatedClock;
-  own.now = () => (from + (clock.now() - from) * rate) as SteadyMs;
-  own.after = (delay, run) => clock.after(delay / rate, run);
-  return own;
+  const startedAt = clock.now();
+  const scaledClock = Object.create(clock) as SimulatedClock;
+  scaledClock.now = () => (startedAt + (clock.now() - startedAt) * rate) as SteadyMs;
+  scaledClock.after = (delay, run) => clock.after(delay / rate, run);
+  return scaledClock;
 }
 
-/** Lets every promise that can go on do so. */
+/** Lets all promises that are ready continue. */
 export const flushPromises = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
--- a/test/support/simulated-cluster.ts
+++ b/test/support/simulated-cluster.ts
@@ -1,4 +1,6 @@
-/** Three controllers in one simulated world, a record of what happens, and a judge of the rules. */
+/**
+ * A simulated cluster: controllers with a fake store, cloud and workers, a trace of events, and an invariant checker.
+ */
 import type { Controller } from '../../src/controller/controller.js';
 import type { Ports } from '../../src/controller/ports.js';
 import type { Call, CallOutcome } from '../../src/http/client.js';
@@ -26,28 +28,28 @@
   { name: 'large', cpus: 8, gpus: 0, memoryGb: 64 },
 ];
 
-/** The size of a deployment, and the limits that hold there. */
+/** The size and the limits of a deployment. */
 export interface ClusterConfig {
-  /** Of each controller. */
+  /** The zone of each controller. */
   readonly zones: readonly string[];
   readonly teams: readonly (TeamQuota & { readonly cpus: number; readonly gpus?: number })[];
-  /** Default: two types without GPUs. */
+  /** Default: two machine types without GPUs. */
   readonly machineTypes?: readonly MachineSize[];
   readonly heartbeatIntervalS: number;
   readonly leaseS: number;
   readonly cancelS: number;
   readonly storeLimits: StoreLimits;
-  /** Limits of the state service that will hold from some moment on. */
+  /** Announced limits of the state service that take effect later. */
   readonly nextStoreLimits?: Pick<StoreLimits, 'writeRps' | 'valueKb' | 'txnOps'>;
   readonly cloudRps: number;
   readonly connections: number;
-  /** Whether workers keep their lease to the millisecond, and hanging ones what reaches them. */
+  /** Whether leases of workers end to the millisecond, and hanging workers queue the messages that reach them. */
   readonly exactLeases?: boolean;
-  /** Whether reports are kept for late copies. */
+  /** Whether heartbeats are recorded, so that tests can replay them. */
   readonly recordHeartbeats: boolean;
   readonly checkIntervalMs: number;
   readonly machineBootS: number;
-  /** The operators' own settings. */
+  /** The operators' properties file. */
   readonly tuning: string;
 }
 
@@ -66,7 +68,7 @@
   tuning: 'fleet.idle.return.ms = 30000',
 };
 
-/** The limits to come, as the settings have them. */
+/** Formats the announced limits as in the settings file. */
 const nextLimitsText = (next: ClusterConfig['nextStoreLimits']): string =>
   next
     ? `[facts.state.next]\nwrite_rps = ${next.writeRps}\nvalue_kb = ${next.valueKb}\ntxn_ops = ${next.txnOps}\n`
@@ -118,7 +120,7 @@
 }
 
 const CHECKPOINT_S = 5;
-/** As the settings say below. */
+/** Must equal `gang_wait_s` and `gang_peer_s` in the settings above. */
 const GANG_WAIT_MS = 20_000;
 const GANG_PEER_MS = 4000;
 
@@ -126,7 +128,7 @@
   controller: Controller | null;
   handler: Handler | null;
   receiveFromPeer: ((message: unknown) => void) | null;
-  lifetime: number;
+  incarnation: number;
 }
 
 export interface SubmittedJob extends JobBehaviour {
@@ -163,49 +165,49 @@
   readonly traceLines: string[] = [];
   readonly violations: string[] = [];
   readonly invariantChecker: InvariantChecker;
-  /** What the workers' gang tasks know of each other. */
+  /** The workers' coordination of gang tasks. */
   readonly gangCoordinator = new FakeGangCoordinator(this.clock, GANG_WAIT_MS, GANG_PEER_MS);
-  /** Cuts between two ends, like `n0|m-0` or `n0|n1`: nothing passes. */
+  /** Connections that are cut in both directions, such as `n0|m-0` or `n0|n1`. */
   readonly networkCuts = new Set<string>();
-  /** Machines that are heard and hear nothing: answers and commands do not reach them. */
+  /** Machines whose heartbeats arrive, but which get neither answers nor direct commands. */
   readonly unreachableMachines = new Set<string>();
-  /** Machines whose reports do not arrive, while they answer when they are called. */
+  /** Machines whose heartbeats are lost, but which answer direct calls. */
   readonly unheardMachines = new Set<string>();
-  /** Every report that a machine has sent, for copies that come late. */
+  /** The heartbeats that each machine has sent, for `replayHeartbeat`. */
   readonly sentHeartbeats = new Map<string, object[]>();
-  /** What reports of a machine were answered with. */
+  /** The HTTP statuses of the answers to each machine's heartbeats. */
   readonly heartbeatStatuses = new Map<string, number[]>();
-  /** Direct orders that get no answer and arrive this much later. */
+  /** Delay in milliseconds after which a direct call arrives without getting an answer; null for a normal call. */
   commandDelayMs: (node: number, worker: string, call: Call) => number | null = () => null;
-  /** Direct orders that are executed at once, and whose answer does not arrive. */
+  /** Whether a direct call is executed at once and its answer is lost. */
   losesCommandAnswer: (node: number, worker: string, call: Call) => boolean = () => false;
-  /** Called when a worker has executed an order, however it came. */
+  /** Called when a worker has executed a command, whether from an answer to a heartbeat or from a direct call. */
   onCommandExecuted: (worker: FakeWorker, command: WorkerCommand) => void = () => undefined;
-  /** Run times of single tasks that differ from their job's. */
+  /** Run times of individual tasks that differ from the run time of their job. */
   readonly taskRunMs = new Map<string, number>();
-  /** Whether a hanging machine takes direct orders and executes them when it goes on. */
+  /** Whether a hanging machine queues direct commands and executes them in `resume`. */
   hangingQueuesCommands = false;
   private readonly queuedCommands = new Map<string, Call[]>();
-  /** Which version a node runs when it starts. */
+  /** Selects the build that a node runs when it starts. */
   buildOf: (node: number) => ControllerBuild = () => WORKING_BUILD;
-  /** Where a node's log goes; a version's own silent log by default. */
+  /** Creates the log of a node; by default the build's silent log. */
   logOf: (node: number, build: ControllerBuild) => Log = (_, build) => build.silentLog();
-  /** One way between a controller and a worker, in milliseconds. */
+  /** Latency between a controller and a worker in one direction, in milliseconds. */
   linkLatencyMs = 1;
-  /** How fast the clock of a node or a machine runs; asked when it starts. */
-  clockRate: (who: string) => number = () => 1;
-  /** How long a connection from a node to a machine takes. */
+  /** Relative speed of the clock of a node or a machine; read when it starts. */
+  clockRate: (nodeOrMachine: string) => number = () => 1;
+  /** How long it takes to open a connection from a node to a machine, in milliseconds. */
   connectDelayMs: (node: number, worker: string) => number = () => 0;
-  /** A node answers a report with 200, or sends orders to a machine. */
-  onCommandSent: (node: number, worker: string, how: 'answer' | 'direct') => void = () => undefined;
+  /** Called when a node answers a heartbeat with 200 or sends direct commands to a machine. */
+  onCommandSent: (node: number, worker: string, channel: 'answer' | 'direct') => void = () => undefined;
   cloudOutage = false;
   cloudCapacity = 0;
   scaleOutRequests: unknown[] = [];
-  /** What was counted: bytes of a frame between controllers, calls to the cloud a second, open calls to workers. */
+  /** Measured totals and maxima, such as the largest frame between controllers and the most open calls to workers. */
   readonly observed = { maxFrameBytes: 0, messages: 0, maxOpenCalls: 0, deletions: 0, refusedHeartbeats: 0 };
   readonly cloudCalls = new RateMeter(this.clock);
   private readonly openCalls = new Map<number, number>();
-  private readonly byAddress = new Map<string, string>();
+  private readonly workerIdByAddress = new Map<string, string>();
   private machineCount = 0;
   private checkedAt = 0;
   private readonly bootedAt = new Map<string, number>();
@@ -222,7 +224,7 @@
       controller: null,
       handler: null,
       receiveFromPeer: null,
-      lifetime: 0,
+      incarnation: 0,
     }));
   }
 
@@ -240,43 +242,43 @@
 
   async startNode(nodeIndex: number): Promise<void> {
     const node = this.nodes[nodeIndex] as ControllerNode;
-    node.lifetime += 1;
-    const lifetime = node.lifetime;
+    node.incarnation += 1;
+    const incarnation = node.incarnation;
     const build = this.buildOf(nodeIndex);
     const settings = build.parseSettings(settingsText(nodeIndex, this.config), `n${nodeIndex}.toml`);
     node.controller = new build.Controller(
       settings,
       build.parseTuning(this.config.tuning, 'none'),
-      this.clockOf(nodeIndex, node, lifetime),
+      this.clockOf(nodeIndex, node, incarnation),
       this.logOf(nodeIndex, build),
-      this.ports(nodeIndex, lifetime, settings),
+      this.ports(nodeIndex, incarnation, settings),
     );
     this.trace(`n${nodeIndex} starts`);
     await node.controller.run();
   }
 
-  /** Timers of a process that ended never fire. */
-  private clockOf(nodeIndex: number, node: ControllerNode, lifetime: number): SimulatedClock {
+  /** Returns a clock whose timers do not fire once the process of this incarnation has ended. */
+  private clockOf(nodeIndex: number, node: ControllerNode, incarnation: number): SimulatedClock {
     const rate = this.clockRate(`n${nodeIndex}`);
     const clock = rate === 1 ? this.clock : clockRunningAt(this.clock, rate);
     const guarded = Object.create(clock) as SimulatedClock;
     guarded.now = () => clock.now();
     guarded.after = (delay, run) =>
-      clock.after(delay, () => (node.lifetime === lifetime ? run() : undefined));
+      clock.after(delay, () => (node.incarnation === incarnation ? run() : undefined));
     return guarded;
   }
 
   killNode(nodeIndex: number): void {
     const node = this.nodes[nodeIndex] as ControllerNode;
-    node.lifetime += 1;
+    node.incarnation += 1;
     node.handler = null;
     node.receiveFromPeer = null;
     this.trace(`n${nodeIndex} is killed`);
   }
 
-  private ports(nodeIndex: number, lifetime: number, settings: Settings): Ports {
+  private ports(nodeIndex: number, incarnation: number, settings: Settings): Ports {
     const node = this.nodes[nodeIndex] as ControllerNode;
-    const alive = (): boolean => node.lifetime === lifetime;
+    const alive = (): boolean => node.incarnation === incarnation;
     const never = new Promise<CallOutcome>(() => undefined);
     const guard = async (work: Promise<CallOutcome>): Promise<CallOutcome> => {
       const outcome = await work;
@@ -299,33 +301,33 @@
             this.observed.maxFrameBytes,
             this.config === SMALL_CLUSTER ? 0 : frame(message).length,
           );
-          const copy = JSON.parse(JSON.stringify(message)) as unknown;
+          const receivedMessage = JSON.parse(JSON.stringify(message)) as unknown;
           if (alive() && !this.isCut(`n${nodeIndex}`, to))
-            this.clock.after(2, () => this.nodes[Number(to.slice(1))]?.receiveFromPeer?.(copy));
+            this.clock.after(2, () => this.nodes[Number(to.slice(1))]?.receiveFromPeer?.(receivedMessage));
         };
-        return { send, broadcast: (m) => settings.peers.forEach((p) => send(p.node, m)) };
+        return { send, broadcast: (message) => settings.peers.forEach((peer) => send(peer.node, message)) };
       },
       listen: (handler) => {
         node.handler = handler;
         return Promise.resolve();
       },
-      incarnation: () => `n${nodeIndex}-${lifetime}` as Incarnation,
+      incarnation: () => `n${nodeIndex}-${incarnation}` as Incarnation,
     };
   }
 
   private async workerCall(nodeIndex: number, address: string, call: Call): Promise<CallOutcome> {
-    const open = (this.openCalls.get(nodeIndex) ?? 0) + 1;
-    this.openCalls.set(nodeIndex, open);
-    this.observed.maxOpenCalls = Math.max(this.observed.maxOpenCalls, open);
+    const openCalls = (this.openCalls.get(nodeIndex) ?? 0) + 1;
+    this.openCalls.set(nodeIndex, openCalls);
+    this.observed.maxOpenCalls = Math.max(this.observed.maxOpenCalls, openCalls);
     const outcome = await this.deliverWorkerCall(nodeIndex, address, call);
     this.openCalls.set(nodeIndex, (this.openCalls.get(nodeIndex) ?? 1) - 1);
     return outcome;
   }
 
   private async deliverWorkerCall(nodeIndex: number, address: string, call: Call): Promise<CallOutcome> {
-    const worker = this.workers.get(this.byAddress.get(address) ?? '');
-    const connecting = worker ? this.connectDelayMs(nodeIndex, worker.id) : 0;
-    await this.clock.sleep(this.linkLatencyMs + connecting);
+    const worker = this.workers.get(this.workerIdByAddress.get(address) ?? '');
+    const connectDelayMs = worker ? this.connectDelayMs(nodeIndex, worker.id) : 0;
+    await this.clock.sleep(this.linkLatencyMs + connectDelayMs);
     if (call.mayStillSend?.() === false) return { kind: 'unsent' };
     if (worker && call.path === '/orders') this.onCommandSent(nodeIndex, worker.id, 'direct');
     const delayMs = worker ? this.commandDelayMs(nodeIndex, worker.id, call) : null;
@@ -358,7 +360,7 @@
     return answer;
   }
 
-  /** A machine that hung goes on, within its lease or not; what was sent to it meanwhile is executed first. */
+  /** Resumes a hanging machine, within its lease or after it; commands sent in the meantime are executed first. */
   resume(id: string): void {
     const worker = this.workers.get(id);
     if (!worker) return;
@@ -373,7 +375,7 @@
     this.cloudCalls.count(1);
     if (this.cloudOutage) return answer(503, { error: 'trouble' });
     if (call.path === '/catalog') {
-      const type = ({ name, cpus: vcpus, gpus: cards, memoryGb }: MachineSize): unknown => ({
+      const encodeMachineType = ({ name, cpus: vcpus, gpus: cards, memoryGb }: MachineSize): unknown => ({
         name,
         vcpus,
         cards,
@@ -385,7 +387,7 @@
         startupS: this.config.machineBootS,
         harbors: ['east', 'west'],
       });
-      return answer(200, { hulls: this.machineTypes.map(type) });
+      return answer(200, { hulls: this.machineTypes.map(encodeMachineType) });
     }
     if (call.path === '/hosts/delete') {
       const { berths } = call.body as { berths: string[] };
@@ -395,10 +397,12 @@
     }
     if (call.path === '/hosts') return this.scaleOut(call, answer);
     const url = new URL(call.path, 'http://cloud');
-    const after = Number((url.searchParams.get('from') ?? 'm--1').slice(2));
+    const afterNumber = Number((url.searchParams.get('from') ?? 'm--1').slice(2));
     const limit = Number(url.searchParams.get('most') ?? 500);
-    const all = [...this.workers.values()].filter((worker) => Number(worker.id.slice(2)) > after);
-    const berths = all.slice(0, limit).map((worker) => ({
+    const listedWorkers = [...this.workers.values()].filter(
+      (worker) => Number(worker.id.slice(2)) > afterNumber,
+    );
+    const berths = listedWorkers.slice(0, limit).map((worker) => ({
       uid: worker.id,
       endpoint: worker.address,
       hull: worker.type,
@@ -407,7 +411,7 @@
       status: 'running',
       ageS: (this.clock.now() - (this.bootedAt.get(worker.id) ?? 0)) / 1000,
     }));
-    return answer(200, { berths, hasNext: all.length > limit });
+    return answer(200, { berths, hasNext: listedWorkers.length > limit });
   }
 
   private scaleOut(call: Call, answer: (status: number, body: unknown) => CallOutcome): CallOutcome {
@@ -441,17 +445,17 @@
       heartbeatIntervalMs: this.config.heartbeatIntervalS * 1000,
       leaseMs: this.config.leaseS * 1000,
       nodes: this.nodes.map((_, nodeIndex) => `n${nodeIndex}`),
-      sendHeartbeat: (nodeIndex, from, body) => this.deliverHeartbeat(nodeIndex, from, body),
-      jobOfTask: (taskId) => this.behaviourOf(taskId),
+      sendHeartbeat: (nodeIndex, worker, body) => this.deliverHeartbeat(nodeIndex, worker, body),
+      behaviourOfTask: (taskId) => this.behaviourOf(taskId),
       gangs: this.gangCoordinator,
-      onCommandExecuted: (from, command) => this.onCommandExecuted(from, command),
+      onCommandExecuted: (worker, command) => this.onCommandExecuted(worker, command),
       trace: (line) => this.trace(line),
-      onTaskStarted: (on, taskId) => this.invariantChecker.taskStarted(on, taskId),
-      onTaskEnded: (on, taskId, done) => this.invariantChecker.taskEnded(on, taskId, done),
+      onTaskStarted: (worker, taskId) => this.invariantChecker.taskStarted(worker, taskId),
+      onTaskEnded: (worker, taskId, done) => this.invariantChecker.taskEnded(worker, taskId, done),
     };
-    const { cpus, gpus } = this.machineTypes.find((t) => t.name === type) as MachineSize;
+    const { cpus, gpus } = this.machineTypes.find((size) => size.name === type) as MachineSize;
     const address = `10.1.${Math.floor(number / 256)}.${number % 256}:9000`;
-    this.byAddress.set(address, id);
+    this.workerIdByAddress.set(address, id);
     this.workers.set(id, new FakeWorker(id, address, type, zone, spot, cpus, environment, gpus));
   }
 
@@ -467,34 +471,34 @@
     return id;
   }
 
-  removeWorker(id: string, why: string): void {
+  removeWorker(id: string, reason: string): void {
     const worker = this.workers.get(id);
     if (!worker) return;
-    this.trace(`${id} is ${why}`);
+    this.trace(`${id} is ${reason}`);
     worker.destroy();
     this.workers.delete(id);
   }
 
   private async deliverHeartbeat(
     nodeIndex: number,
-    from: FakeWorker,
+    worker: FakeWorker,
     body: unknown,
   ): Promise<HttpResponse | null> {
     await this.clock.sleep(this.linkLatencyMs);
     const node = this.nodes[nodeIndex] as ControllerNode;
-    if (this.isCut(`n${nodeIndex}`, from.id) || this.unheardMachines.has(from.id)) return null;
+    if (this.isCut(`n${nodeIndex}`, worker.id) || this.unheardMachines.has(worker.id)) return null;
     if (this.config.recordHeartbeats)
-      this.sentHeartbeats.set(from.id, [...(this.sentHeartbeats.get(from.id) ?? []), body as object]);
+      this.sentHeartbeats.set(worker.id, [...(this.sentHeartbeats.get(worker.id) ?? []), body as object]);
     if (!node.handler) return { status: 502, body: {} };
     const answer = await this.request(nodeIndex, 'POST', '/agent/beat', body);
     if (this.config.recordHeartbeats)
-      this.heartbeatStatuses.set(from.id, [
-        ...(this.heartbeatStatuses.get(from.id) ?? []),
+      this.heartbeatStatuses.set(worker.id, [
+        ...(this.heartbeatStatuses.get(worker.id) ?? []),
         answer?.status ?? 0,
       ]);
     if (answer?.status !== 200) this.observed.refusedHeartbeats += 1;
-    else this.onCommandSent(nodeIndex, from.id, 'answer');
-    return this.isCut(`n${nodeIndex}`, from.id) || this.unreachableMachines.has(from.id) ? null : answer;
+    else this.onCommandSent(nodeIndex, worker.id, 'answer');
+    return this.isCut(`n${nodeIndex}`, worker.id) || this.unreachableMachines.has(worker.id) ? null : answer;
   }
 
   async request(
@@ -509,7 +513,7 @@
     const knowledge = this.invariantChecker.requestSent(method, path, body);
     const answer = await handler({ method, path, body: raw });
     const responseBody = JSON.parse(JSON.stringify(answer.body)) as unknown;
-    // What a process that has ended was about to say reaches nobody.
+    // The answer of a process that has ended in the meantime does not reach the user.
     if (this.nodes[nodeIndex]?.handler === handler) {
       const state = (responseBody as Record<string, unknown> | null)?.['status'];
       this.invariantChecker.responseReceived(
@@ -521,7 +525,7 @@
     return { ...answer, body: responseBody };
   }
 
-  /** A copy of an earlier report arrives; `back`: how many reports before the last one. */
+  /** Delivers a copy of an earlier heartbeat: `back` heartbeats before the last. Returns the status of the answer. */
   async replayHeartbeat(id: string, back: number, nodeIndex: number): Promise<number> {
     const body = (this.sentHeartbeats.get(id) ?? []).at(-1 - back);
     const answer = await this.requestAndSettle(nodeIndex, body);
@@ -531,18 +535,20 @@
 
   private async requestAndSettle(nodeIndex: number, body: unknown): Promise<number> {
     let status = 0;
-    void this.request(nodeIndex, 'POST', '/agent/beat', body).then((from) => (status = from?.status ?? 0));
+    void this.request(nodeIndex, 'POST', '/agent/beat', body).then(
+      (response) => (status = response?.status ?? 0),
+    );
     for (let i = 0; i < 200 && status === 0; i += 1) await this.step(10);
     return status;
   }
 
-  /** What a worker would report now, as a cut may hold it back. */
+  /** Returns the heartbeat that a worker would send now. */
   currentHeartbeat(id: string): Promise<object> {
     const answer = this.workers.get(id)?.receive({ method: 'GET', path: '/status', timeout: 1000 as never });
     return Promise.resolve(answer?.kind === 'answer' ? (answer.body as object) : {});
   }
 
-  /** A user's request; resolves when it is answered, the clock moving on meanwhile. */
+  /** Sends a user's request and advances the clock until it is answered. */
   async sendUserRequest(
     nodeIndex: number,
     method: string,
@@ -550,15 +556,17 @@
     body?: unknown,
   ): Promise<{ status: number; body: Record<string, unknown> }> {
     let answer: HttpResponse | null | undefined;
-    void this.request(nodeIndex, method, path, body).then((from) => (answer = from));
+    void this.request(nodeIndex, method, path, body).then((response) => (answer = response));
     for (let i = 0; i < 600 && answer === undefined; i += 1) await this.step(10);
-    const given = answer ?? { status: 0, body: {} };
-    const responseBody = given.body as Record<string, string>;
-    const what = path.replace('/v2/runs', '') || `/${(body as { uid: string }).uid}`;
-    const word =
-      given.status === 200 || given.status === 201 ? responseBody['status'] : responseBody['error'];
-    this.trace(`user ${method} ${what} at n${nodeIndex}: ${given.status} ${word ?? ''}`);
-    return { status: given.status, body: responseBody };
+    const receivedAnswer = answer ?? { status: 0, body: {} };
+    const responseBody = receivedAnswer.body as Record<string, string>;
+    const jobPath = path.replace('/v2/runs', '') || `/${(body as { uid: string }).uid}`;
+    const stateOrError =
+      receivedAnswer.status === 200 || receivedAnswer.status === 201
+        ? responseBody['status']
+        : responseBody['error'];
+    this.trace(`user ${method} ${jobPath} at n${nodeIndex}: ${receivedAnswer.status} ${stateOrError ?? ''}`);
+    return { status: receivedAnswer.status, body: responseBody };
   }
 
   submissionBody(id: string, options: JobOptions = {}): Record<string, unknown> {
@@ -626,8 +634,8 @@
   }
 
   async step(ms: number): Promise<void> {
-    for (let left = ms; left > 0; left -= 50) {
-      await this.clock.advance(Math.min(50, left));
+    for (let remainingMs = ms; remainingMs > 0; remainingMs -= 50) {
+      await this.clock.advance(Math.min(50, remainingMs));
       if (this.clock.now() - this.checkedAt < this.config.checkIntervalMs) continue;
       this.checkedAt = this.clock.now();
       this.invariantChecker.checkOverdue();
--- a/test/support/simulated-users.ts
+++ b/test/support/simulated-users.ts
@@ -1,6 +1,7 @@
 /**
- * Users who ask several controllers at once, and a record of what they were told. An answer is judged against what the
- * same job's user knew when the question was sent: later answers to earlier questions may be older, no others.
+ * Simulated users who send requests to several controllers at once, and checks of the answers. An answer must not be
+ * older than what the user of the job knew when the request was sent; only an answer to an earlier request may be
+ * older.
  */
 import type { HttpResponse } from '../../src/http/server.js';
 import type { JobOptions, SimulatedCluster } from './simulated-cluster.js';
@@ -12,7 +13,7 @@
   accepted: boolean;
   cancelRequested: boolean;
   finalState: FinalState | null;
-  /** When its user was first told that it is cancelled, by the world's clock. */
+  /** When its user was first told that it is cancelled, in milliseconds of the simulated clock. */
   cancelledAt: number | null;
 }
 
@@ -26,7 +27,7 @@
   readonly state: string;
 }
 
-/** How long a user waits for an answer before he turns to another node, in milliseconds. */
+/** How long a user waits for an answer before trying another node. */
 const USER_TIMEOUT_MS = 5000;
 
 const isFinal = (state: string): state is FinalState => state === 'done' || state === 'cancelled';
@@ -36,14 +37,17 @@
   private readonly submissionBodies = new Map<string, Record<string, unknown>>();
   private readonly finishedTasks = new Set<string>();
   private linesRead = 0;
-  /** Questions, those not decided (503 or nothing), and those answered after the 2 s that a user waits. */
+  /**
+   * Requests in total, requests without a result (5xx or no answer), and queries answered after the 2 s that a user
+   * waits.
+   */
   readonly counts = { requests: 0, undecided: 0, late: 0 };
 
   constructor(private readonly cluster: SimulatedCluster) {}
 
   private historyOf(id: string): UserJobHistory {
-    const known = this.histories.get(id);
-    if (known) return known;
+    const existing = this.histories.get(id);
+    if (existing) return existing;
     const history: UserJobHistory = {
       submitted: false,
       accepted: false,
@@ -59,7 +63,7 @@
     return this.historyOf(id).finalState;
   }
 
-  /** Milliseconds by the world's clock; null: nobody has been told so. */
+  /** When a user was first told that the job is cancelled, in milliseconds of the simulated clock; null if never. */
   cancelledAt(id: string): number | null {
     return this.historyOf(id).cancelledAt;
   }
@@ -68,7 +72,7 @@
     return this.historyOf(id).accepted;
   }
 
-  /** The first submission says what the job is; later ones repeat it. */
+  /** Submits a job; the options of the first submission apply, and later submissions repeat it. */
   submit(node: number, id: string, options: JobOptions = {}): Promise<UserAnswer> {
     const body = this.submissionBodies.get(id) ?? this.cluster.submissionBody(id, options);
     this.submissionBodies.set(id, body);
@@ -89,7 +93,7 @@
     return this.send(node, 'POST', id, `/v2/runs/${id}/abort`);
   }
 
-  /** A question and a repeated submission at every node, now and at each of these delays. */
+  /** Queries and resubmits a job at every node after each of the delays. */
   pollAndResubmitEverywhere(id: string, delays: readonly number[]): void {
     for (const delay of delays) {
       this.cluster.clock.after(delay, () => {
@@ -108,47 +112,49 @@
     path: string,
     body?: unknown,
   ): Promise<UserAnswer> {
-    const { finalState: final, accepted } = this.historyOf(id);
-    const sent = this.cluster.clock.now();
+    const { finalState, accepted } = this.historyOf(id);
+    const sentAt = this.cluster.clock.now();
     this.counts.requests += 1;
     const timeout = this.cluster.clock.sleep(USER_TIMEOUT_MS).then(() => null);
     const response = await Promise.race([this.cluster.request(node, method, path, body), timeout]);
     const answer = this.readAnswer(response);
     if (answer.status === 0 || answer.status >= 500) this.counts.undecided += 1;
-    if (method === 'GET' && this.cluster.clock.now() - sent > 2000) this.counts.late += 1;
+    if (method === 'GET' && this.cluster.clock.now() - sentAt > 2000) this.counts.late += 1;
     this.checkAnswer(
       `n${node} ${method} ${path.replace('/v2/runs', '')}`,
       id,
-      { finalState: final, accepted },
+      { finalState, accepted },
       answer,
     );
     return answer;
   }
 
-  private readAnswer(answer: HttpResponse | null): UserAnswer {
-    const body = (answer?.body ?? {}) as { status?: string };
-    return { status: answer?.status ?? 0, state: body.status ?? '' };
+  private readAnswer(response: HttpResponse | null): UserAnswer {
+    const body = (response?.body ?? {}) as { status?: string };
+    return { status: response?.status ?? 0, state: body.status ?? '' };
   }
 
-  private checkAnswer(question: string, id: string, known: KnowledgeAtRequest, answer: UserAnswer): void {
+  private checkAnswer(request: string, id: string, knowledge: KnowledgeAtRequest, answer: UserAnswer): void {
     const history = this.historyOf(id);
-    const refusal = [400, 404, 422].includes(answer.status);
-    if (refusal && known.accepted)
-      this.reportViolation(`forgotten ${id}: ${question} answered ${answer.status}`);
+    const isRefusal = [400, 404, 422].includes(answer.status);
+    if (isRefusal && knowledge.accepted)
+      this.reportViolation(`forgotten ${id}: ${request} answered ${answer.status}`);
     if (answer.status !== 200 && answer.status !== 201) return;
-    if (!history.submitted) this.reportViolation(`invented ${id}: ${question} answered ${answer.state}`);
-    if (known.finalState && answer.state !== known.finalState)
-      this.reportViolation(`went_back ${id}: ${question} answered ${answer.state} after ${known.finalState}`);
+    if (!history.submitted) this.reportViolation(`invented ${id}: ${request} answered ${answer.state}`);
+    if (knowledge.finalState && answer.state !== knowledge.finalState)
+      this.reportViolation(
+        `went_back ${id}: ${request} answered ${answer.state} after ${knowledge.finalState}`,
+      );
     history.accepted = true;
-    if (isFinal(answer.state)) this.checkFinalState(question, id, history, answer.state);
+    if (isFinal(answer.state)) this.checkFinalState(request, id, history, answer.state);
   }
 
-  private checkFinalState(question: string, id: string, history: UserJobHistory, state: FinalState): void {
+  private checkFinalState(request: string, id: string, history: UserJobHistory, state: FinalState): void {
     if (history.finalState && history.finalState !== state)
-      this.reportViolation(`went_back ${id}: ${question} answered ${state}, elsewhere ${history.finalState}`);
+      this.reportViolation(`went_back ${id}: ${request} answered ${state}, elsewhere ${history.finalState}`);
     if (state === 'cancelled' && !history.cancelRequested)
       this.reportViolation(`went_back ${id}: cancelled, which nobody asked for`);
-    if (state === 'done' && !this.allTasksDone(id)) this.reportViolation(`not_done ${id}: ${question}`);
+    if (state === 'done' && !this.allTasksDone(id)) this.reportViolation(`not_done ${id}: ${request}`);
     history.finalState ??= state;
     if (state === 'cancelled') history.cancelledAt ??= this.cluster.clock.now();
   }
@@ -165,7 +171,7 @@
     return true;
   }
 
-  private reportViolation(what: string): void {
-    this.cluster.violations.push(`${this.cluster.clock.formatElapsed()} ${what}`);
+  private reportViolation(violation: string): void {
+    this.cluster.violations.push(`${this.cluster.clock.formatElapsed()} ${violation}`);
   }
 }
--- a/test/support/user-job.ts
+++ b/test/support/user-job.ts
@@ -1,4 +1,4 @@
-/** A job as the simulator's users submit it. */
+/** A sample job in the form in which users of the simulator submit it. */
 import type { UserJob } from '../../src/simulation/user-jobs.js';
 
 export const SAMPLE_USER_JOB: UserJob = {
