--- a/test/support/invariant-checker.ts
+++ b/test/support/invariant-checker.ts
@@ -3,7 +3,7 @@
  * answers users got. Each such event is reported to the checker, which evaluates the rules at once.
  */
 
-/** The parts of a job specification that the rules refer to. */
+/** The fields of a job specification that the rules refer to. */
 export interface JobDescription {
   readonly id: string;
   readonly team: string;
--- a/test/support/outage-scenario.ts
+++ b/test/support/outage-scenario.ts
@@ -107,7 +107,7 @@
     return this.measure();
   }
 
-  /** Refuses the leader at its next read, so that it cannot confirm its store cache, and cancels `jobs` at that time. */
+  /** Refuses the leader at its next read, so that it cannot confirm its store cache, and then cancels `jobs`. */
   private refuseLeaderAfterItsNextRead(jobs: readonly string[]): void {
     const { cluster, outageCase } = this;
     const refuse = (): void => {
