--- a/test/soak/gateways.ts
+++ b/test/soak/gateways.ts
@@ -1,6 +1,6 @@
 /**
- * Real sockets in front of the simulator's services. A controller process calls an address of loopback; the call goes
- * through the simulated network, with its partitions and delays, to the model behind it.
+ * Real sockets in front of the simulated services. A controller process sends a request to a loopback address; the
+ * request passes through the simulated network, with its partitions and delays, to the simulated service.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { connect, createServer as createTcpServer, type Server as TcpServer, type Socket } from 'node:net';
@@ -10,11 +10,11 @@
 import type { Network } from '../../src/simulation/network.js';
 import type { Reply } from '../../src/simulation/store-service.js';
 
-/** Longer than any caller waits: callers give up by themselves. */
-const ANSWER_TIMEOUT = 90_000 as Millis;
+/** Longer than the timeout of any caller, so that callers time out on their side. */
+const ANSWER_TIMEOUT_MS = 90_000 as Millis;
 const PARTITION_CHECK_INTERVAL_MS = 100;
 
-/** Who calls, whom, and what answers there. */
+/** The two hosts of a gateway's connection and the handler of its requests. */
 export interface Gateway {
   readonly caller: (call: Call) => Host;
   readonly target: Host;
@@ -26,11 +26,12 @@
   for await (const chunk of request) chunks.push(chunk as Buffer);
   const text = Buffer.concat(chunks).toString('utf8');
   const method = request.method === 'GET' ? 'GET' : 'POST';
-  const call = { method, path: request.url ?? '/', timeout: ANSWER_TIMEOUT } as const;
+  const call = { method, path: request.url ?? '/', timeout: ANSWER_TIMEOUT_MS } as const;
   return text === '' ? call : { ...call, body: JSON.parse(text) as unknown };
 }
 
-async function pass(
+/** Sends a request through the simulated network; closes the connection if no answer arrives. */
+async function forward(
   request: IncomingMessage,
   response: ServerResponse,
   network: Network,
@@ -41,7 +42,7 @@
   const outcome = await network.exchange({
     from,
     to: gateway.target,
-    timeoutMs: ANSWER_TIMEOUT,
+    timeoutMs: ANSWER_TIMEOUT_MS,
     serve: (reply) => gateway.serve(from, call, reply),
   });
   if (outcome.kind !== 'answer') {
@@ -52,48 +53,48 @@
   response.end(JSON.stringify(outcome.body));
 }
 
-/** Serves HTTP at an address of loopback, through the simulated network. */
+/** Serves HTTP at a loopback address and forwards each request through the simulated network. */
 export function openGateway(host: string, port: number, network: Network, gateway: Gateway): Promise<Server> {
   const server = createServer((request, response) => {
-    // A caller that has gone, or an answer nobody waits for, is no fault of the run.
-    pass(request, response, network, gateway).catch(() => response.destroy());
+    // Errors are expected here: the caller may have disconnected or timed out before the answer.
+    forward(request, response, network, gateway).catch(() => response.destroy());
   });
-  server.keepAliveTimeout = ANSWER_TIMEOUT;
+  server.keepAliveTimeout = ANSWER_TIMEOUT_MS;
   return new Promise((resolve, reject) => {
     server.once('error', reject);
     server.listen(port, host, () => resolve(server));
   });
 }
 
-/** Where a proxy listens, and where it leads. */
+/** The address where a proxy listens, the address that it connects to, and the hosts of the two controllers. */
 export interface ProxyRoute {
   readonly host: string;
   readonly port: number;
-  readonly targetHost: string;
+  readonly targetAddress: string;
   readonly from: () => Host;
   readonly to: () => Host;
 }
 
-/** Passes bytes from one controller to another; a partition between them ends and refuses connections. */
+/** Relays bytes between two controllers; during a partition between them, closes and refuses connections. */
 export function openPeerProxy(route: ProxyRoute, network: Network): Promise<TcpServer> {
-  const isBlocked = (): boolean =>
+  const isPartitioned = (): boolean =>
     network.blockingPartition(route.from(), route.to()) !== null ||
     network.blockingPartition(route.to(), route.from()) !== null;
   const server = createTcpServer((incoming) => {
-    if (isBlocked()) {
+    if (isPartitioned()) {
       incoming.destroy();
       return;
     }
-    const outgoing = connect(route.port, route.targetHost);
-    const both: readonly Socket[] = [incoming, outgoing];
-    const check = setInterval(() => {
-      if (isBlocked()) for (const socket of both) socket.destroy();
+    const outgoing = connect(route.port, route.targetAddress);
+    const sockets: readonly Socket[] = [incoming, outgoing];
+    const partitionCheck = setInterval(() => {
+      if (isPartitioned()) for (const socket of sockets) socket.destroy();
     }, PARTITION_CHECK_INTERVAL_MS);
-    for (const socket of both) {
+    for (const socket of sockets) {
       socket.on('error', () => undefined);
       socket.on('close', () => {
-        clearInterval(check);
-        for (const other of both) other.destroy();
+        clearInterval(partitionCheck);
+        for (const openSocket of sockets) openSocket.destroy();
       });
     }
     incoming.pipe(outgoing).pipe(incoming);
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,6 +1,7 @@
 /**
- * The command of the soak: random faults on real controller processes over loopback, one run a seed.
- * Exit code 0: every judged run kept all rules; 1: a run broke one or failed; 2: it could not be run as asked.
+ * The soak command: random faults on real controller processes over loopback, one run for each seed.
+ * Exit code 0: every judged run kept all rules; 1: a run broke a rule or failed; 2: the usage was invalid, or a run could
+ * not be carried out.
  */
 import { fork, type ChildProcess } from 'node:child_process';
 import { existsSync } from 'node:fs';
@@ -15,7 +16,7 @@
 const DEFAULT_JOBS = 2;
 const MAX_SEED = 1_000_000;
 const MAX_JOBS = 16;
-/** Rules of order, which need no clock: they are judged however long the harness stalled. */
+/** Rules about the order of events, without time limits: they are judged even if the test harness stalled. */
 const UNTIMED_RULES: readonly string[] = [
   'ran_twice',
   'quota',
@@ -45,10 +46,10 @@
 
 function parseSeeds(text: string): number[] {
   const [, first = '', last = first] = /^(\d{1,7})(?:-(\d{1,7}))?$/.exec(text) ?? [];
-  const [from, to] = [Number(first), Number(last)];
-  if (first === '' || to < from || to > MAX_SEED)
+  const [firstSeed, lastSeed] = [Number(first), Number(last)];
+  if (first === '' || lastSeed < firstSeed || lastSeed > MAX_SEED)
     throw new InvalidArgumentError(`expected a seed, or a range like 1-50, up to ${MAX_SEED}`);
-  return Array.from({ length: to - from + 1 }, (_, index) => from + index);
+  return Array.from({ length: lastSeed - firstSeed + 1 }, (_, index) => firstSeed + index);
 }
 
 function parseJobs(text: string): number {
@@ -63,7 +64,7 @@
   return text;
 }
 
-/** What counts against a run: rules that it could be judged by, and failures of the controllers. */
+/** Lists why a run failed: violations of the rules that could be judged, and failures of the controllers. */
 function failuresOf(result: SoakResult): string[] {
   const judged = result.violations.filter(({ rule }) => !result.unjudged || UNTIMED_RULES.includes(rule));
   return [
@@ -76,6 +77,7 @@
   ];
 }
 
+/** Prints the result of a run. Returns whether it had no failures. */
 function report(result: SoakResult): boolean {
   const failures = failuresOf(result);
   const { seed, figures, longestStallMs, unjudged, folder } = result;
@@ -91,7 +93,7 @@
   return failures.length === 0;
 }
 
-/** null: the run could not be carried out. */
+/** Runs a seed in a child process. Resolves to null if the process exits without a result. */
 function runSeed(seed: number, options: Options, children: Set<ChildProcess>): Promise<SoakResult | null> {
   return new Promise((resolve) => {
     const args = [String(seed), options.out, ...(options.defect === undefined ? [] : [options.defect])];
@@ -108,15 +110,15 @@
 
 async function runAll(options: Options): Promise<number> {
   const children = new Set<ChildProcess>();
-  const end = (): void => {
+  const stopChildren = (): void => {
     for (const child of children) child.kill('SIGTERM');
     process.exitCode = RULE_BROKEN_EXIT_CODE;
   };
-  for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, end);
-  const rest = [...options.seeds];
+  for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, stopChildren);
+  const remainingSeeds = [...options.seeds];
   const counts = { passed: 0, failed: 0, unjudged: 0, notRun: 0 };
-  const drive = async (): Promise<void> => {
-    for (let seed = rest.shift(); seed !== undefined; seed = rest.shift()) {
+  const runRemainingSeeds = async (): Promise<void> => {
+    for (let seed = remainingSeeds.shift(); seed !== undefined; seed = remainingSeeds.shift()) {
       const result = await runSeed(seed, options, children);
       if (!result) {
         counts.notRun += 1;
@@ -126,7 +128,7 @@
       else counts.passed += 1;
     }
   };
-  await Promise.all(Array.from({ length: options.jobs }, drive));
+  await Promise.all(Array.from({ length: options.jobs }, runRemainingSeeds));
   const { passed, failed, unjudged, notRun } = counts;
   process.stdout.write(
     `soak: ${passed} runs passed, ${failed} failed, ${unjudged} not judged, ${notRun} not run\n`,
--- a/test/soak/process-node.ts
+++ b/test/soak/process-node.ts
@@ -1,4 +1,4 @@
-/** A real controller process in the place of a simulated controller: started, killed, paused and asked over loopback. */
+/** Replaces a simulated controller by a real process: starts, kills and pauses it, and forwards requests to it. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { openSync, closeSync } from 'node:fs';
 import { request } from 'node:http';
@@ -8,7 +8,7 @@
 import { ControllerNode, type ControllerEnvironment } from '../../src/simulation/controller-node.js';
 import type { Reply } from '../../src/simulation/store-service.js';
 
-/** How a controller is started and where it listens. */
+/** The program and files of a controller process, and the address where it serves users. */
 export interface ProcessOptions {
   readonly program: string;
   readonly settingsFile: string;
@@ -20,7 +20,7 @@
 /** One controller of a soak run. */
 export class ProcessNode extends ControllerNode {
   private child: ChildProcess | null = null;
-  /** Ends that nobody asked for. */
+  /** How often the process exited without being killed by the run. */
   unexpectedEnds = 0;
 
   constructor(
@@ -37,11 +37,11 @@
     if (this.host.up) return;
     this.host.start();
     this.environment.trace.add(`${this.name} starts`);
-    const log = openSync(this.options.logFile, 'a');
+    const logDescriptor = openSync(this.options.logFile, 'a');
     const args = [this.options.program, 'serve', '--config', this.options.settingsFile];
     const env = { ...process.env, LOG_LEVEL: 'debug' };
-    const child = spawn(process.execPath, args, { stdio: ['ignore', 'ignore', log], env });
-    closeSync(log);
+    const child = spawn(process.execPath, args, { stdio: ['ignore', 'ignore', logDescriptor], env });
+    closeSync(logDescriptor);
     child.on('exit', (code, signal) => {
       if (this.child !== child) return;
       this.unexpectedEnds += 1;
@@ -57,7 +57,7 @@
     this.kill();
   }
 
-  /** Ends the process whatever the simulated host is said to do: none is left behind a run. */
+  /** Kills the process regardless of the simulated host's state, so that no process outlives the run. */
   kill(): void {
     const { child } = this;
     this.child = null;
@@ -70,13 +70,13 @@
     this.environment.queue.after(durationMs, () => child?.kill('SIGCONT'));
   }
 
-  /** Forwards a request that has arrived at the controller's host. */
+  /** Forwards a request that has arrived at the simulated host to the process. */
   override serve(call: Call, reply: Reply): void {
     const { host, port } = this.options;
     const body = call.body === undefined ? '' : JSON.stringify(call.body);
     const headers = { 'content-type': 'application/json', 'content-length': Buffer.byteLength(body) };
     const options = { host, port, method: call.method, path: call.path, headers, timeout: call.timeout };
-    const sent = request(options, (response) => {
+    const forwarded = request(options, (response) => {
       const chunks: Buffer[] = [];
       response.on('data', (chunk: Buffer) => chunks.push(chunk));
       response.on('end', () => {
@@ -84,13 +84,13 @@
         reply({ status: response.statusCode ?? 0, body: parseBody(chunks), retryAfterS });
       });
     });
-    sent.on('timeout', () => sent.destroy());
-    // Not listening yet: as a process that is starting.
-    sent.on('error', (error: NodeJS.ErrnoException) => {
+    forwarded.on('timeout', () => forwarded.destroy());
+    // The process does not listen yet: answers like a controller that is starting.
+    forwarded.on('error', (error: NodeJS.ErrnoException) => {
       if (error.code === 'ECONNREFUSED')
         reply({ status: HTTP_STATUS.serviceUnavailable, body: { error: 'starting' } });
     });
-    sent.end(body);
+    forwarded.end(body);
   }
 }
 
--- a/test/soak/real-time-queue.ts
+++ b/test/soak/real-time-queue.ts
@@ -1,12 +1,12 @@
-/** The simulator's events on the clock of this machine: what it models runs beside real processes. */
+/** Runs the simulator's events in real time, so that simulated services can interact with real processes. */
 import { EventQueue, type ScheduledTimer } from '../../src/simulation/clock.js';
 
 const STALL_CHECK_INTERVAL_MS = 50;
 
-/** Timers in real time; it also measures how late its own timers fire. */
+/** An event queue on real timers, which also measures how late timers fire. */
 export class RealTimeQueue extends EventQueue {
   private readonly startedAt = performance.now();
-  /** The longest time by which a timer fired late: nothing that depends on shorter times can be judged. */
+  /** The largest measured delay of a timer. Rules with time limits cannot be judged if it is too large. */
   longestStallMs = 0;
 
   override get now(): number {
@@ -14,7 +14,7 @@
   }
 
   override after(delay: number, run: () => void): ScheduledTimer {
-    // An event that never comes.
+    // An infinite delay: the event never occurs.
     if (!Number.isFinite(delay)) return { cancel: () => undefined };
     const timer = setTimeout(() => {
       this.count += 1;
@@ -25,9 +25,12 @@
 
   override async run(until: number): Promise<void> {
     while (!this.stopped && this.now < until) {
-      const before = this.now;
+      const sleepStartedAt = this.now;
       await new Promise((resolve) => setTimeout(resolve, STALL_CHECK_INTERVAL_MS));
-      this.longestStallMs = Math.max(this.longestStallMs, this.now - before - STALL_CHECK_INTERVAL_MS);
+      this.longestStallMs = Math.max(
+        this.longestStallMs,
+        this.now - sleepStartedAt - STALL_CHECK_INTERVAL_MS,
+      );
     }
     this.stop();
   }
--- a/test/soak/soak-process.ts
+++ b/test/soak/soak-process.ts
@@ -1,12 +1,12 @@
-/** Runs one seed in a process of its own, so that one run does not stall another. Sends the result to its parent. */
+/** Runs one seed in a separate process, so that runs do not stall each other. Sends the result to the parent process. */
 import type { Defect } from '../../src/simulation/defects.js';
-import { soak } from './soak-run.js';
+import { runSoak } from './soak-run.js';
 
 const [seed = '', folder = '', ...defects] = process.argv.slice(2);
 
-// With the parent, or at a signal, the run ends; its controllers are ended with the process.
+// The run ends when the parent exits or at a signal; the exit handler of the run kills its controllers.
 process.on('disconnect', () => process.exit(0));
 for (const signal of ['SIGINT', 'SIGTERM'] as const) process.on(signal, () => process.exit(0));
 
-const result = await soak(Number(seed), folder, defects as Defect[]);
+const result = await runSoak(Number(seed), folder, defects as Defect[]);
 process.send?.(result, () => process.exit(0));
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -1,6 +1,6 @@
 /**
- * One soak run: real controller processes on loopback, with the simulator's store, cloud, workers, users and faults around
- * them on a real clock, judged by the simulator's invariant checker.
+ * One soak run: real controller processes on loopback use the simulator's store, cloud, workers, users and faults in real
+ * time. The simulator's invariant checker judges the run.
  */
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -14,28 +14,29 @@
 import { soakScenario } from './soak-scenario.js';
 import { SoakSurroundings } from './soak-surroundings.js';
 
-/** Rules with time limits are not judged after a longer stall of the harness. */
+/** Rules with time limits are not judged if the test harness stalled for longer. */
 const MAX_STALL_MS = 400;
 const SMALL_PAGE_KEYS = 25;
 const SHORT_HISTORY_CHANGES = 150;
 
-/** What one run has shown. */
+/** The result of one run. */
 export interface SoakResult {
   readonly seed: number;
   readonly faults: readonly string[];
   readonly violations: readonly Violation[];
-  /** Lines `invariant violated` in the controllers' logs. */
+  /** Lines with the message `invariant violated` in the controllers' logs. */
   readonly invariantLines: readonly string[];
-  /** Controllers that ended by themselves, and uncaught errors in their logs. */
+  /** Exits of controllers that the run did not cause. */
   readonly unexpectedEnds: number;
+  /** Uncaught exceptions and unhandled rejections in the controllers' logs. */
   readonly uncaughtErrors: number;
-  /** Controllers that could not start, and without which the run says nothing. */
+  /** Failed starts of controllers: without its controllers the run proves nothing. */
   readonly failedStarts: number;
   readonly longestStallMs: number;
-  /** The harness stalled too long for rules with time limits. */
+  /** Whether the test harness stalled for too long to judge rules with time limits. */
   readonly unjudged: boolean;
   readonly figures: Readonly<Record<string, number>>;
-  /** Settings, logs and history of the run. */
+  /** The folder with the settings, logs and history of the run. */
   readonly folder: string;
 }
 
@@ -43,14 +44,17 @@
   return nodes.flatMap((node) => readFileSync(join(folder, `${node.name}.log`), 'utf8').split('\n'));
 }
 
-/** A few hundred keys make many pages, and a controller that is away for a while must list anew. */
+/**
+ * Configures the store with small pages and a short history: a few hundred keys fill many pages, and a controller that is
+ * disconnected for a while must list all keys again.
+ */
 function listInSmallPages({ storeService }: Simulation): void {
   storeService.maxListedKeys = SMALL_PAGE_KEYS;
   storeService.table.minKeptChanges = SHORT_HISTORY_CHANGES;
 }
 
-/** Learns from the store which controller acquires which fencing token. */
-function followTokens({ storeService }: Simulation, surroundings: SoakSurroundings): void {
+/** Records which controller acquires which fencing token, as committed by the store. */
+function recordAcquiredTokens({ storeService }: Simulation, surroundings: SoakSurroundings): void {
   const { onCommit } = storeService;
   storeService.onCommit = (body, from) => {
     for (const change of body.apply ?? []) {
@@ -61,8 +65,8 @@
   };
 }
 
-/** Runs the schedule of a seed. `defects` make the surroundings break their promises, to show that a run can fail. */
-export async function soak(
+/** Runs the schedule of a seed. `defects` make services and workers violate the protocol, to show that a run can fail. */
+export async function runSoak(
   seed: number,
   parentFolder: string,
   defects: readonly Defect[] = [],
@@ -76,16 +80,20 @@
   process.once('exit', endProcesses);
   const simulation = new Simulation(scenario, { seed, keepTrace: true, defects, surroundings });
   if (seed % 2 === 0) listInSmallPages(simulation);
-  followTokens(simulation, surroundings);
+  recordAcquiredTokens(simulation, surroundings);
   await surroundings.openServices(simulation);
   const result = await simulation.run();
   surroundings.close();
   writeFileSync(join(folder, 'history.txt'), `${result.trace.join('\n')}\n`);
-  return { seed, faults: scenario.faults.map((fault) => fault.kind), ...judge(result, surroundings, folder) };
+  return {
+    seed,
+    faults: scenario.faults.map((fault) => fault.kind),
+    ...collectResult(result, surroundings, folder),
+  };
 }
 
-/** What the run has shown, in its history and in the logs of its controllers. */
-function judge(
+/** Collects the result from the simulation and from the logs of the controllers. */
+function collectResult(
   result: SimulationResult,
   { nodes, queue: { longestStallMs } }: SoakSurroundings,
   folder: string,
--- a/test/soak/soak-scenario.ts
+++ b/test/soak/soak-scenario.ts
@@ -1,4 +1,4 @@
-/** The deployment, load and faults of one soak run, all from its seed: short leases, so that a run takes about a minute. */
+/** Generates a soak run's deployment, load and faults from its seed; with short leases, a run takes about a minute. */
 import { FAULT_GENERATORS } from '../../src/simulation/fault-generators.js';
 import { RandomStream } from '../../src/simulation/random.js';
 import {
@@ -10,14 +10,14 @@
 
 const DURATION_S = 75;
 const LOAD_UNTIL_S = 40;
-const FAULTS_FROM_S = 8;
-const FAULTS_UNTIL_S = 28;
+const FAULTS_START_S = 8;
+const FAULTS_END_S = 28;
 const MAX_FAULT_DURATION_S = 16;
 const MIN_FAULTS = 3;
 const MAX_FAULTS = 6;
 const CONTROLLER_COUNTS = [3, 5];
 const ZONES = ['fjord', 'ridge'];
-/** One run in so many has hundreds of machines. */
+/** A run has hundreds of machines if its seed is a multiple of this number. */
 const LARGE_RUN_INTERVAL = 10;
 const LARGE_MACHINES_PER_ZONE = 150;
 const MACHINES_PER_ZONE = 8;
@@ -25,7 +25,7 @@
 type Load = ScenarioInput['load'][number];
 
 function randomDeployment(seed: number, random: RandomStream): ScenarioInput['deployment'] {
-  const count = seed % LARGE_RUN_INTERVAL === 0 ? LARGE_MACHINES_PER_ZONE : MACHINES_PER_ZONE;
+  const machinesPerZone = seed % LARGE_RUN_INTERVAL === 0 ? LARGE_MACHINES_PER_ZONE : MACHINES_PER_ZONE;
   const controllers = Array.from(
     { length: random.pick(CONTROLLER_COUNTS) },
     (_, index) => ZONES[index % ZONES.length] as string,
@@ -42,15 +42,19 @@
     state: { rps: 250, write_rps: 60 },
     cloud: { capacity: 4, list_lag_s: 2 },
     types: [{ name: 'birch', cpus: 8, memory_gb: 32, boot_s: 3 }],
-    teams: ['atlas', 'tides'].map((name) => ({ name, cpus: count * 4, cpus_max: count * 8 })),
+    teams: ['atlas', 'tides'].map((name) => ({
+      name,
+      cpus: machinesPerZone * 4,
+      cpus_max: machinesPerZone * 8,
+    })),
     machines: ZONES.flatMap((zone) => [
-      { type: 'birch', zone, count },
+      { type: 'birch', zone, count: machinesPerZone },
       { type: 'birch', zone, spot: true, count: 2 },
     ]),
   };
 }
 
-/** What all classes of jobs have in common; a third of the jobs are cancelled, often within a second. */
+/** Settings that all classes of jobs share. About a third of the jobs are cancelled, often within a second. */
 const COMMON_LOAD = { until_s: LOAD_UNTIL_S, image_gb: 0.1, cancel_share: 0.35 };
 
 const batchLoad = (random: RandomStream): Load => ({
@@ -102,18 +106,18 @@
   const count = random.integer(MIN_FAULTS, MAX_FAULTS);
   return Array.from({ length: count }, () => {
     const fault = random.pick(FAULT_GENERATORS)(random, deployment) as FaultInput & { for_s?: number };
-    fault.at_s = Math.round(random.between(FAULTS_FROM_S, FAULTS_UNTIL_S) * 100) / 100;
+    fault.at_s = Math.round(random.between(FAULTS_START_S, FAULTS_END_S) * 100) / 100;
     if (fault.for_s !== undefined) fault.for_s = Math.min(MAX_FAULT_DURATION_S, fault.for_s);
     return fault;
   });
 }
 
-/** The scenario of a seed. */
+/** Generates the scenario of a seed. */
 export function soakScenario(seed: number): Scenario {
   const random = new RandomStream(seed).fork('soak');
   const deployment = randomDeployment(seed, random.fork('deployment'));
-  const loads = random.fork('load');
-  const load = [batchLoad(loads), serviceLoad(loads), GANG_LOAD];
+  const loadRandom = random.fork('load');
+  const load = [batchLoad(loadRandom), serviceLoad(loadRandom), GANG_LOAD];
   const faults = randomFaults(random.fork('faults'), deployment).filter((fault) => fault.kind !== 'surge');
   const input = { name: `soak-${seed}`, seed, duration_s: DURATION_S, deployment, load, faults };
   return checkScenario(input, `soak-${seed}`);
--- a/test/soak/soak-surroundings.ts
+++ b/test/soak/soak-surroundings.ts
@@ -1,4 +1,4 @@
-/** The controller processes of one soak run, and the sockets by which they reach the simulated services and each other. */
+/** The controller processes of a soak run, and the sockets by which they reach simulated services and each other. */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -23,20 +23,20 @@
   services: { cloud: string; state: string };
 }
 
-/** The processes and sockets of one run. */
+/** Starts and closes the processes and sockets of one run. */
 export class SoakSurroundings implements Surroundings {
   readonly queue = new RealTimeQueue();
   readonly nodes: ProcessNode[] = [];
-  private readonly network: string;
+  private readonly controllerAddressPrefix: string;
   readonly machineAddressPrefix: string;
   private readonly servers: { close(): unknown; closeAllConnections?(): void }[] = [];
 
   constructor(
     private readonly folder: string,
-    { controllers, machines, reservation }: LoopbackNetworks,
+    { controllerPrefix, machinePrefix, reservation }: LoopbackNetworks,
   ) {
-    this.network = controllers;
-    this.machineAddressPrefix = machines;
+    this.controllerAddressPrefix = controllerPrefix;
+    this.machineAddressPrefix = machinePrefix;
     this.servers.push(reservation);
   }
 
@@ -44,7 +44,7 @@
     const name = `n${index}`;
     const settingsFile = join(this.folder, `${name}.toml`);
     const table = parse(formatSettings(simulation.scenario.deployment, index)) as unknown as SettingsTable;
-    writeFileSync(settingsFile, stringify(this.onLoopback(table, index)));
+    writeFileSync(settingsFile, stringify(this.withLoopbackAddresses(table, index)));
     const node = new ProcessNode(name, settings, environment, {
       program: MAIN_PROGRAM,
       settingsFile,
@@ -57,15 +57,16 @@
   };
 
   private controllerHost(index: number): string {
-    return `${this.network}.0.${index + 1}`;
+    return `${this.controllerAddressPrefix}.0.${index + 1}`;
   }
 
-  /** Where controller `from` finds controller `to`: a proxy of their own. */
-  private proxyHost(from: number, to: number): string {
-    return `${this.network}.${from + 20}.${to + 1}`;
+  /** The address of the proxy through which one controller connects to another. */
+  private proxyHost(callerIndex: number, targetIndex: number): string {
+    return `${this.controllerAddressPrefix}.${callerIndex + 20}.${targetIndex + 1}`;
   }
 
-  private onLoopback(table: SettingsTable, index: number): object {
+  /** Replaces the addresses of a controller's settings by loopback addresses of this run. */
+  private withLoopbackAddresses(table: SettingsTable, index: number): object {
     const host = this.controllerHost(index);
     return {
       ...table,
@@ -76,13 +77,13 @@
         peer_addr: `${this.proxyHost(index, Number(peer.label.slice(1)))}:${PORTS.peers}`,
       })),
       services: {
-        cloud: `${this.network}.11.${index + 1}:${PORTS.cloud}`,
-        state: `${this.network}.10.${index + 1}:${PORTS.store}`,
+        cloud: `${this.controllerAddressPrefix}.11.${index + 1}:${PORTS.cloud}`,
+        state: `${this.controllerAddressPrefix}.10.${index + 1}:${PORTS.store}`,
       },
     };
   }
 
-  /** Opens the services of every controller and the links between controllers. */
+  /** Opens the gateways of every controller to the services, and the proxies between controllers. */
   async openServices(simulation: Simulation): Promise<void> {
     const { network } = simulation;
     for (const [index, node] of this.nodes.entries()) {
@@ -92,20 +93,24 @@
         target: simulation.storeHost,
         serve: simulation.storeService.serve.bind(simulation.storeService),
       };
-      this.servers.push(await openGateway(`${this.network}.10.${index + 1}`, PORTS.store, network, store));
+      this.servers.push(
+        await openGateway(`${this.controllerAddressPrefix}.10.${index + 1}`, PORTS.store, network, store),
+      );
       const cloud = {
         caller,
         target: simulation.cloudHost,
         serve: (_: Host, call: Call, reply: Parameters<ProcessNode['serve']>[1]) =>
           simulation.cloud.serve(call, reply),
       };
-      this.servers.push(await openGateway(`${this.network}.11.${index + 1}`, PORTS.cloud, network, cloud));
-      for (const [other, peer] of this.nodes.entries()) {
-        if (other === index) continue;
+      this.servers.push(
+        await openGateway(`${this.controllerAddressPrefix}.11.${index + 1}`, PORTS.cloud, network, cloud),
+      );
+      for (const [peerIndex, peer] of this.nodes.entries()) {
+        if (peerIndex === index) continue;
         const route = {
-          host: this.proxyHost(index, other),
+          host: this.proxyHost(index, peerIndex),
           port: PORTS.peers,
-          targetHost: this.controllerHost(other),
+          targetAddress: this.controllerHost(peerIndex),
           from: caller,
           to: () => peer.host,
         };
@@ -114,14 +119,17 @@
     }
   }
 
-  /** Commands to a machine: the fencing token tells which controller they come from, where the address cannot. */
+  /**
+   * Opens the gateway through which controllers send commands to a machine. All controllers use the same address, so the
+   * fencing token identifies the controller that sent a command.
+   */
   onMachineReady(machine: CloudMachine, simulation: Simulation): void {
     const endpoint = simulation.machines.endpointAt(machine.endpoint);
     if (!endpoint) return;
     const [host = '', port = ''] = machine.endpoint.split(':');
     const gateway = {
       caller: (call: Call) =>
-        this.leaderUnder(simulation, (call.body as { helm?: number } | undefined)?.helm),
+        this.hostWithToken(simulation, (call.body as { helm?: number } | undefined)?.helm),
       target: endpoint.host,
       serve: (_: Host, call: Call, reply: Parameters<ProcessNode['serve']>[1]) => endpoint.serve(call, reply),
     };
@@ -131,18 +139,19 @@
   }
 
   onMachineRemoved(): void {
-    // Its listener stays: calls to a machine that has gone get no answer from the simulated network.
+    // The gateway stays open: the simulated network does not answer requests to a removed machine.
   }
 
   private readonly hostByToken = new Map<number, Host>();
 
-  /** Follows the store: which controller acquired which fencing token. */
+  /** Records which controller acquired a fencing token. */
   recordToken(token: number, node: string): void {
-    const host = this.nodes.find((other) => other.name === node)?.host;
+    const host = this.nodes.find((candidate) => candidate.name === node)?.host;
     if (host) this.hostByToken.set(token, host);
   }
 
-  private leaderUnder(simulation: Simulation, token: number | undefined): Host {
+  /** Returns the host of the controller that acquired a token, or the users' host if the token is unknown. */
+  private hostWithToken(simulation: Simulation, token: number | undefined): Host {
     return this.hostByToken.get(token ?? -1) ?? simulation.userHost;
   }
 
