--- a/test/docs/architecture.test.ts
+++ b/test/docs/architecture.test.ts
@@ -1,4 +1,4 @@
-/** The documentation names files and store keys that exist: a renamed file or key must be renamed there too. */
+/** Checks that the files and store keys that the documentation names exist, so that it is updated with each rename. */
 import assert from 'node:assert/strict';
 import { existsSync, readFileSync, statSync } from 'node:fs';
 import { dirname, join } from 'node:path';
@@ -29,7 +29,7 @@
 ] as const;
 
 const FINAL_STATES_PREFIX = finalStateKey('' as JobId) as string;
-/** Every key, or beginning of a key, under which the controllers store something. */
+/** Every key and key prefix under which the controllers store data. */
 const STORE_KEYS: readonly string[] = [
   SHARDS_PREFIX,
   MACHINES_PREFIX,
@@ -42,30 +42,30 @@
   CATALOG_KEY,
 ];
 
-/** The text without fenced code blocks: these show commands and whole files. */
+/** Returns the text without fenced code blocks, which show commands and whole files. */
 const proseOf = (document: string): string =>
   readFileSync(join(ROOT, document), 'utf8').replaceAll(/^```.*?^```$/gms, '');
 
 const codeSpansOf = (document: string): string[] =>
   [...proseOf(document).matchAll(/`([^`\n]+)`/g)].map((match) => match[1] ?? '');
 
-/** Paths below the folders of the repository, wherever a code span names one. */
+/** Finds the paths in a code span that are below the repository's main folders. */
 const pathsIn = (span: string): string[] =>
   span.match(/(?<![\w./-])(?:src|test|scripts|docs|scenarios)\/[\w./-]*/g) ?? [];
 
-/** Targets of links to other files of the repository, without their anchors. */
+/** Finds the targets of links to other files of the repository, without their anchors. */
 const linkTargetsOf = (document: string): string[] =>
   [...proseOf(document).matchAll(/\]\(([^)#\s]+)(?:#[^)]*)?\)/g)]
     .map((match) => match[1] ?? '')
     .filter((target) => !/^[a-z]+:/.test(target));
 
-/** A path that ends in a slash is a folder. */
+/** Whether a path exists; a path that ends in a slash must be a folder. */
 function pathExists(path: string): boolean {
   const file = join(ROOT, path);
   return existsSync(file) && (!path.endsWith('/') || statSync(file).isDirectory());
 }
 
-/** The constant part of a key: `c/live/{job}` is below `c/live/`. */
+/** Returns the constant prefix of a key: `c/live/` for `c/live/{job}`. */
 const keyPrefixOf = (span: string): string => span.replace(/\{.*$/, '');
 const isStoreKey = (span: string): boolean =>
   span.startsWith(WATCHED_PREFIX) || span.startsWith(FINAL_STATES_PREFIX);
@@ -97,22 +97,22 @@
 }
 
 test(`${ARCHITECTURE} names only store keys that a codec defines`, () => {
-  const named = codeSpansOf(ARCHITECTURE).filter(isStoreKey).map(keyPrefixOf);
+  const namedKeys = codeSpansOf(ARCHITECTURE).filter(isStoreKey).map(keyPrefixOf);
   assert.deepEqual(
-    named.filter((key) => key !== WATCHED_PREFIX && !STORE_KEYS.includes(key)),
+    namedKeys.filter((key) => key !== WATCHED_PREFIX && !STORE_KEYS.includes(key)),
     [],
   );
 });
 
 test(`${ARCHITECTURE} names every store key that a codec defines`, () => {
-  const named = new Set(codeSpansOf(ARCHITECTURE).filter(isStoreKey).map(keyPrefixOf));
+  const namedKeys = new Set(codeSpansOf(ARCHITECTURE).filter(isStoreKey).map(keyPrefixOf));
   assert.deepEqual(
-    STORE_KEYS.filter((key) => !named.has(key)),
+    STORE_KEYS.filter((key) => !namedKeys.has(key)),
     [],
   );
 });
 
-test('README.md and docs/design.md lead to the architecture page', () => {
+test('README.md and docs/design.md link to the architecture page', () => {
   assert.ok(linkTargetsOf('README.md').includes(ARCHITECTURE));
   assert.ok(linkTargetsOf('docs/design.md').includes('architecture.md'));
 });
