--- a/scripts/build-production.mjs
+++ b/scripts/build-production.mjs
@@ -1,6 +1,6 @@
 /**
- * Builds the version that is in production from the repository's history into `target/production/`, for the tests that
- * run it beside the working sources. `deploy/service.toml` names the commit. Fails when the history does not contain it.
+ * Builds the version that is in production from the repository's history into `target/production/`, for tests that run it
+ * alongside the current sources. `deploy/service.toml` names the commit. Fails if the history does not contain it.
  */
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, rmSync, symlinkSync, writeFileSync } from 'node:fs';
@@ -11,7 +11,8 @@
 const ROOT = dirname(dirname(fileURLToPath(import.meta.url)));
 const SOURCES = join(ROOT, 'target', 'production-sources');
 const OUTPUT = join(ROOT, 'target', 'production');
-const STAMP = join(OUTPUT, 'COMMIT');
+/** The commit of the last complete build; the same commit is not built again. */
+const COMMIT_FILE = join(OUTPUT, 'COMMIT');
 
 function productionCommit() {
   const text = readFileSync(join(ROOT, 'deploy', 'service.toml'), 'utf8');
@@ -21,8 +22,8 @@
   return commit;
 }
 
-/** The sources of the commit, in a folder of their own. */
-function checkOut(commit) {
+/** Extracts the sources of a commit into `target/production-sources/`. */
+function extractSources(commit) {
   rmSync(SOURCES, { recursive: true, force: true });
   mkdirSync(SOURCES, { recursive: true });
   const archive = execFileSync('git', ['archive', commit, 'src', 'package.json', 'tsconfig.json'], {
@@ -34,12 +35,12 @@
 }
 
 function compile() {
-  const settings = {
+  const compilerConfig = {
     extends: './tsconfig.json',
     compilerOptions: { rootDir: '.', outDir: OUTPUT, noEmit: false },
     include: ['src/**/*.ts'],
   };
-  writeFileSync(join(SOURCES, 'tsconfig.production.json'), JSON.stringify(settings));
+  writeFileSync(join(SOURCES, 'tsconfig.production.json'), JSON.stringify(compilerConfig));
   const compiler = join(ROOT, 'node_modules', 'typescript', 'bin', 'tsc');
   execFileSync(process.execPath, [compiler, '-p', 'tsconfig.production.json'], {
     cwd: SOURCES,
@@ -48,8 +49,8 @@
 }
 
 const commit = productionCommit();
-if (existsSync(STAMP) && readFileSync(STAMP, 'utf8') === commit) process.exit(0);
+if (existsSync(COMMIT_FILE) && readFileSync(COMMIT_FILE, 'utf8') === commit) process.exit(0);
 rmSync(OUTPUT, { recursive: true, force: true });
-checkOut(commit);
+extractSources(commit);
 compile();
-writeFileSync(STAMP, commit);
+writeFileSync(COMMIT_FILE, commit);
