--- a/dependency-cruiser.config.js
+++ b/dependency-cruiser.config.js
@@ -1,9 +1,9 @@
 /**
- * Checks of imports, part of `npm run lint`: no circles, and no imports from a lower layer to a higher one. Imports of
- * types count. What is left from before the check is listed by file, so that nothing new can come in.
+ * Import checks, part of `npm run lint`: no circular imports, and no imports from a lower layer to a higher one. Type
+ * imports are checked too. Violations that predate the checks are listed by file, so that new violations fail.
  */
 
-/** From the lowest layer to the highest: a layer may import itself and those before it. */
+/** Layers from the lowest to the highest: a layer may import from itself and from the layers before it. */
 const LAYERS = {
   // Ids, units, ranges, and the types of jobs and their records.
   model: '^src/(model/|jobs/(spec|record|codec|stored-size|job-record-cache)\\.ts)',
@@ -11,67 +11,67 @@
   transports: '^src/(http|peers)/',
   clients: '^src/(store|cloud)/',
   shards: '^src/(shards|leadership)/',
-  // What the slices of one controller share.
+  // State and services that the slices of one controller share.
   core: '^src/core\\.ts',
   slices:
     '^src/(jobs/(?!(spec|record|codec|stored-size|job-record-cache)\\.ts)|(quota|workers|scheduling|overflow|autoscaling)/)',
-  // The composition of the slices: the only place that knows all of them.
+  // Composes the slices; only this layer imports all of them.
   controller: '^src/controller/',
   simulation: '^src/simulation/',
   commands: '^src/(cli/|main\\.ts)',
 };
 
-/** Imports that run upwards and are still to be mended: by file, what it may import all the same. */
+/** Upward imports that remain to be fixed: patterns of the imports that are still allowed, by importing file. */
 const KNOWN_UPWARD = {};
 
-/** Imports that are part of a circle and still to be mended. */
+/** Circular imports that remain to be fixed: patterns of the imports that are still allowed, by importing file. */
 const KNOWN_CIRCULAR = {};
 
-const exactly = (file) => `^${file.replaceAll('.', '\\.')}$`;
+const exactPathPattern = (file) => `^${file.replaceAll('.', '\\.')}$`;
 
-/** One rule for all files but the known ones, and one for each of these. */
-function withExceptions(rule, known) {
-  const files = Object.keys(known).filter((file) => new RegExp(rule.from.path ?? '').test(file));
-  const general = { ...rule, from: { ...rule.from, pathNot: files.map(exactly) } };
-  const special = files.map((file) => ({
+/** Returns a rule for all files without known violations, and a separate rule for each file with known violations. */
+function withExceptions(rule, knownViolations) {
+  const files = Object.keys(knownViolations).filter((file) => new RegExp(rule.from.path ?? '').test(file));
+  const generalRule = { ...rule, from: { ...rule.from, pathNot: files.map(exactPathPattern) } };
+  const exceptionRules = files.map((file) => ({
     ...rule,
     name: `${rule.name}:${file}`,
-    from: { path: exactly(file) },
-    to: { ...rule.to, pathNot: known[file].map(exactly) },
+    from: { path: exactPathPattern(file) },
+    to: { ...rule.to, pathNot: knownViolations[file].map(exactPathPattern) },
   }));
-  return [general, ...special];
+  return [generalRule, ...exceptionRules];
 }
 
-const order = Object.keys(LAYERS);
-const upward = order.slice(0, -1).flatMap((layer, i) =>
+const layerNames = Object.keys(LAYERS);
+const upwardRules = layerNames.slice(0, -1).flatMap((layer, i) =>
   withExceptions(
     {
       name: `no-upward-import-from-${layer}`,
-      comment: `${layer} may not import ${order.slice(i + 1).join(', ')}.`,
+      comment: `${layer} may not import ${layerNames.slice(i + 1).join(', ')}.`,
       severity: 'error',
       from: { path: LAYERS[layer] },
-      to: { path: order.slice(i + 1).map((higher) => LAYERS[higher]) },
+      to: { path: layerNames.slice(i + 1).map((higher) => LAYERS[higher]) },
     },
     KNOWN_UPWARD,
   ),
 );
 
-const circular = withExceptions(
+const circularRules = withExceptions(
   { name: 'no-circular', severity: 'error', from: {}, to: { circular: true } },
   KNOWN_CIRCULAR,
 );
 
-const everyLayer = Object.values(LAYERS);
+const layerPatterns = Object.values(LAYERS);
 
 export default {
   forbidden: [
-    ...upward,
-    ...circular,
+    ...upwardRules,
+    ...circularRules,
     {
       name: 'file-in-a-layer',
       comment: 'Every file below src belongs to a layer: a new folder is added to LAYERS.',
       severity: 'error',
-      from: { path: '^src/', pathNot: everyLayer },
+      from: { path: '^src/', pathNot: layerPatterns },
       to: {},
     },
     {
@@ -79,7 +79,7 @@
       comment: 'Every file below src belongs to a layer: a new folder is added to LAYERS.',
       severity: 'error',
       from: {},
-      to: { path: '^src/', pathNot: everyLayer },
+      to: { path: '^src/', pathNot: layerPatterns },
     },
     {
       name: 'no-import-of-tests',
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -5,21 +5,24 @@
 /** Two-letter names that are ordinary English or standard abbreviations. */
 const SHORT_NAMES = ['at', 'by', 'gb', 'id', 'kb', 'ms', 'of', 'ok', 'on', 'to'];
 
-/** One letter is for a parameter of a one-line arrow function, the counters `i`, `j`, `k` and valibot's namespace, `v`. */
+/**
+ * One-letter names are reserved for parameters of one-line arrow functions, the counters `i`, `j`, `k` and valibot's
+ * namespace `v`.
+ */
 const ONE_LETTER = '[name=/^[a-hl-z]$/]';
 const ONE_LETTER_NAMES = [
   `:function[body.type="BlockStatement"] > Identifier.params${ONE_LETTER}`,
   `:not(ForStatement) > VariableDeclaration > VariableDeclarator > Identifier.id${ONE_LETTER}`,
 ];
 
-/** Numbers that need no name: identities, halves, percentages, milliseconds in a second, HTTP statuses. */
-const PLAIN_NUMBERS = [
+/** Numbers that need no name: identities, halves, percentages, milliseconds per second, HTTP status codes. */
+const UNNAMED_NUMBERS = [
   -1, 0, 0.5, 1, 2, 3, 10, 100, 200, 201, 400, 404, 405, 409, 421, 422, 429, 500, 503, 1000,
 ];
 
 /**
- * Every rule is an error for every file. What does not hold yet stands in `eslint-suppressions.json`, by file and rule
- * with a count: ESLint fails when a count rises, and also when one can be lowered (`npm run lint:prune`).
+ * Every rule is an error for every file. Existing violations are counted in `eslint-suppressions.json` by file and rule:
+ * ESLint fails if a count rises, and also if a count can be lowered (`npm run lint:prune`).
  */
 export default tseslint.config(
   { ignores: ['target/', 'node_modules/', 'journal/'] },
@@ -82,7 +85,7 @@
       '@typescript-eslint/no-magic-numbers': [
         'error',
         {
-          ignore: PLAIN_NUMBERS,
+          ignore: UNNAMED_NUMBERS,
           ignoreArrayIndexes: true,
           ignoreEnums: true,
           ignoreReadonlyClassProperties: true,
@@ -91,7 +94,7 @@
     },
   },
   {
-    // The runner of Node's tests awaits what `test` returns, and a test body is arranged, acted and asserted in one piece.
+    // Node's test runner awaits the promises that `test`, `describe` and `it` return.
     files: ['test/**/*.test.ts'],
     rules: {
       '@typescript-eslint/no-floating-promises': [
