--- a/src/autoscaling/machine-deletion.ts
+++ b/src/autoscaling/machine-deletion.ts
@@ -68,7 +68,7 @@
       const result = await core.store.compareAndSwap(
         [{ key, version }, core.leaderCondition(shard)],
         [{ op: 'delete', key }],
-        RequestPriority.handOver,
+        RequestPriority.transfer,
       );
       if (result.kind === 'done')
         return core.exclusive(() => core.storeCache.apply(key, undefined, result.revision));
--- a/src/autoscaling/scale-in.ts
+++ b/src/autoscaling/scale-in.ts
@@ -75,7 +75,7 @@
 }
 
 const isSilent = (machine: Machine, context: ScaleInContext): boolean =>
-  context.now - (machine.lastHeardAt ?? machine.addedAt) >
+  context.now - (machine.lastMessageAt ?? machine.addedAt) >
   Math.max(SILENT_AFTER_INTERVALS * context.heartbeatIntervalMs, MIN_SILENT_MS);
 
 /** Counts the live, reachable, silent and missing machines of a shard. */
@@ -85,16 +85,16 @@
   const counts = { reachableMachines: 0, remainingOnDemand: 0, silentOnDemand: 0, missingOnDemand: 0 };
   for (const machine of shard.machines.values()) {
     if (
-      machine.lastHeardAt !== null &&
-      context.now - machine.lastHeardAt < LIVE_WITHIN_INTERVALS * context.heartbeatIntervalMs
+      machine.lastMessageAt !== null &&
+      context.now - machine.lastMessageAt < LIVE_WITHIN_INTERVALS * context.heartbeatIntervalMs
     ) {
       liveCountByZone.set(machine.zone, (liveCountByZone.get(machine.zone) ?? 0) + 1);
       liveMachineIds.add(machine.id);
     }
-    if (machine.unreachableSince === null && machine.lastHeardAt !== null) counts.reachableMachines += 1;
+    if (machine.unreachableSince === null && machine.lastMessageAt !== null) counts.reachableMachines += 1;
     if (machine.spot) continue;
     if (isSilent(machine, context)) counts.silentOnDemand += 1;
-    if (!machine.reconciled && machine.lastHeardAt === null) counts.missingOnDemand += 1;
+    if (!machine.reconciled && machine.lastMessageAt === null) counts.missingOnDemand += 1;
     if (!machine.scalingIn && machine.reconciled) counts.remainingOnDemand += 1;
   }
   const maxSilentOnDemand = Math.max(1, Math.floor(shard.machines.size * MAX_SILENT_FRACTION));
@@ -128,7 +128,7 @@
   liveness: ShardLiveness,
   context: ScaleInContext,
 ): ScaleInReason | null {
-  const silentMs = context.now - (machine.lastHeardAt ?? machine.addedAt);
+  const silentMs = context.now - (machine.lastMessageAt ?? machine.addedAt);
   // An interrupted machine does not return: once the cloud confirms the deletion, its tasks are certainly gone.
   if (
     machine.interruptedAt !== null &&
@@ -136,7 +136,7 @@
     silentMs > INTERRUPTED_AFTER_INTERVALS * context.heartbeatIntervalMs
   )
     return 'interrupted';
-  const neverResponded = machine.lastHeardAt === null && machine.missedDirectRequests > 0;
+  const neverResponded = machine.lastMessageAt === null && machine.missedDirectRequests > 0;
   if (
     (neverResponded || silentMs > LIVE_WITHIN_INTERVALS * context.heartbeatIntervalMs) &&
     context.isUnlisted(machine.id)
@@ -167,7 +167,7 @@
     machine.allocations.size > 0 ||
     machine.directRequestInFlight ||
     !machine.reconciled ||
-    machine.lastHeardAt === null
+    machine.lastMessageAt === null
   ) {
     machine.idleSince = null;
     return null;
@@ -191,7 +191,7 @@
  * is considered lost.
  */
 function isMissingAfterFailover(shard: Shard, machine: Machine, liveness: ShardLiveness): boolean {
-  if (machine.reconciled || shard.reconciled || machine.lastHeardAt !== null) return false;
+  if (machine.reconciled || shard.reconciled || machine.lastMessageAt !== null) return false;
   // Direct requests that stay unanswered during a partition must not count once it has ended and only a few machines
   // are still missing.
   if (liveness.missingOnDemand > liveness.maxSilentOnDemand || !hasOtherLiveMachineInZone(machine, liveness))
@@ -204,12 +204,15 @@
  * deletion can prove that its tasks are gone.
  */
 function isUnreachable(machine: Machine, liveness: ShardLiveness, { now }: ScaleInContext): boolean {
-  if (machine.unreachableSince === null || machine.continuouslyHeardSince === null) return false;
+  if (machine.unreachableSince === null || machine.continuousHeartbeatsSince === null) return false;
   // When a partition ends, heartbeats arrive before the first command gets through, and `unreachableSince` still dates
   // from the beginning of the partition.
-  const unreachableMs = now - Math.max(machine.unreachableSince, machine.continuouslyHeardSince);
+  const unreachableMs = now - Math.max(machine.unreachableSince, machine.continuousHeartbeatsSince);
   // A machine that sends nothing either may be behind a partition.
-  if (unreachableMs < UNREACHABLE_TIMEOUT_MS || now - (machine.lastHeardAt ?? 0) > UNREACHABLE_TIMEOUT_MS / 2)
+  if (
+    unreachableMs < UNREACHABLE_TIMEOUT_MS ||
+    now - (machine.lastMessageAt ?? 0) > UNREACHABLE_TIMEOUT_MS / 2
+  )
     return false;
   return (
     unreachableMs > UNREACHABLE_TIMEOUT_FACTOR * UNREACHABLE_TIMEOUT_MS || liveness.reachableMachines > 0
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -5,7 +5,7 @@
  */
 import type { Call, CallOutcome } from '../http/client.js';
 import type { Settings } from '../settings/settings.js';
-import type { Caller } from '../store/client.js';
+import type { HttpTransport } from '../store/client.js';
 import { HttpStatus } from '../store/http-status.js';
 import { isRateLimited } from '../store/outcomes.js';
 import { RateLimiter, RequestPriority } from '../store/rate-limiter.js';
@@ -59,7 +59,7 @@
   private readonly rateLimiter: RateLimiter;
 
   constructor(
-    private readonly transport: Caller,
+    private readonly transport: HttpTransport,
     private readonly clock: Clock,
     settings: Settings,
   ) {
@@ -123,7 +123,7 @@
   private async listPage(after: MachineId | null): Promise<MachinePage | null> {
     for (let attempt = 1; attempt <= MAX_PAGE_ATTEMPTS; attempt += 1) {
       const call: Call = { method: 'GET', path: listMachinesPath(after), timeout: REQUEST_TIMEOUT };
-      const outcome = await this.send(call, RequestPriority.handOver);
+      const outcome = await this.send(call, RequestPriority.transfer);
       if (isOk(outcome)) return decodeMachineList(outcome.body);
       // During an outage the cloud answers with an error: retrying or reading the remaining pages is pointless.
       if (outcome.kind === 'answer' && !isRateLimited(outcome)) return null;
--- a/src/controller/health.ts
+++ b/src/controller/health.ts
@@ -18,7 +18,7 @@
 /** The part of the controller that the health check uses. */
 export interface HealthContext {
   readonly clock: Pick<Clock, 'now'>;
-  readonly peers: Pick<PeerDirectory, 'allHeardWithin'>;
+  readonly peers: Pick<PeerDirectory, 'peersAnnouncedWithin'>;
   readonly settings: { readonly peers: Pick<Settings['peers'], 'length'> };
   readonly storeCache: Pick<StoreCache, 'loaded' | 'confirmedAt'>;
   /** The known instance types; empty until the first catalog has been read from the cloud or the store. */
@@ -57,7 +57,7 @@
     const { peers, settings, storeCache } = this.context;
     const storeStale = now - storeCache.confirmedAt > STORE_STALE_AFTER_MS;
     if (!storeStale) return false;
-    const reachablePeers = peers.allHeardWithin(millis(PEER_LIVENESS_TIMEOUT_MS), now);
+    const reachablePeers = peers.peersAnnouncedWithin(millis(PEER_LIVENESS_TIMEOUT_MS), now);
     const isolated = settings.peers.length > 0 && reachablePeers.length === 0;
     return isolated || reachablePeers.some((peer) => peer.storeHealthy);
   }
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -6,7 +6,7 @@
 import { millis, type Address, type Incarnation } from '../model/units.js';
 import { openPeerTransport, type PeerTransport } from '../peers/peer-transport.js';
 import type { Settings } from '../settings/settings.js';
-import type { Caller } from '../store/client.js';
+import type { HttpTransport } from '../store/client.js';
 import { DIRECT_CALL_SHARE, type WorkerClient } from '../workers/clients.js';
 import { HEARTBEAT_PATH } from './routes.js';
 
@@ -35,10 +35,10 @@
 /** Clients and servers by purpose. */
 export interface Ports {
   /** Client for requests to the store, except watches. */
-  readonly state: Caller;
+  readonly state: HttpTransport;
   /** Client for watches, which occupy a connection for as long as they block. */
-  readonly stateWatch: Caller;
-  readonly cloud: Caller;
+  readonly stateWatch: HttpTransport;
+  readonly cloud: HttpTransport;
   /** Creates a client for direct commands to the worker at an address. */
   readonly worker: (address: Address) => WorkerClient;
   /** Listens for peers and connects to them; calls `receive` with every message decoded from its frame. */
--- a/src/controller/store-changes.ts
+++ b/src/controller/store-changes.ts
@@ -49,7 +49,7 @@
     else if (key.startsWith(SHARDS_PREFIX)) listeners.leadership.onShardRecord(key, value, version);
     else if (key.startsWith(MACHINES_PREFIX)) this.onMachineRecord(key, value, version);
     else if (key.startsWith(ALIVE_PREFIX)) divideStoreLimits(context);
-    else if (key === TIME_KEY) context.clusterClock.reached(decodeClusterTime(value), context.clock.now());
+    else if (key === TIME_KEY) context.clusterClock.advanceTo(decodeClusterTime(value), context.clock.now());
     context.requestCycle();
   }
 
@@ -98,7 +98,7 @@
     const { clock, clusterClock, shards } = this.context;
     const { scheduler } = this.listeners;
     const now = clock.now();
-    clusterClock.reached(record.acceptedAt ?? 0, now);
+    clusterClock.advanceTo(record.acceptedAt ?? 0, now);
     scheduler.onJobRecord(id, record);
     const age = clusterClock.age(record.acceptedAt, now);
     for (const shard of shards.values()) syncJob(shard, record, version, now, false, age);
--- a/src/controller/store-limits.ts
+++ b/src/controller/store-limits.ts
@@ -22,7 +22,7 @@
   readonly peers: Pick<PeerDirectory, 'get'>;
   readonly store: Pick<KeyValueClient, 'requestRate' | 'writeRate' | 'borrowUnusedLimits'>;
   isAlive(node: ControllerId, incarnation: Incarnation | null): boolean;
-  heardWithin(node: ControllerId, within: Millis): boolean;
+  hasAnnouncedWithin(node: ControllerId, within: Millis): boolean;
 }
 
 /** Divides the limits among the live controllers: the share of controllers that are not alive goes to the others. */
@@ -38,7 +38,7 @@
   const usages = settings.peers
     .filter(({ node }) => context.isAlive(node, null))
     .map(({ node }) =>
-      context.heardWithin(node, millis(USAGE_TIMEOUT_MS))
+      context.hasAnnouncedWithin(node, millis(USAGE_TIMEOUT_MS))
         ? (peers.get(node)?.storeUsage ?? wholeShare)
         : wholeShare,
     );
--- a/src/core.ts
+++ b/src/core.ts
@@ -48,7 +48,7 @@
 /** The cluster clock, which all controllers advance together, as far as this controller knows it. */
 export interface ClusterClock {
   /** Records that the cluster clock has reached `count` (milliseconds). */
-  reached(count: number, now: SteadyMs): void;
+  advanceTo(count: number, now: SteadyMs): void;
   /** Returns the time of the cluster clock at a time of this process's clock. */
   now(now: SteadyMs): ClusterMs;
   /** Returns how long ago a job was accepted. */
@@ -199,8 +199,8 @@
   }
 
   /** Returns whether an announcement of the peer arrived within this time. */
-  heardWithin(node: ControllerId, within: Millis): boolean {
-    return this.peers.heardWithin(node, within, this.clock.now());
+  hasAnnouncedWithin(node: ControllerId, within: Millis): boolean {
+    return this.peers.hasAnnouncedWithin(node, within, this.clock.now());
   }
 
   /** Returns the condition of a leader's writes: the shard's record is still the version that the leader knows. */
--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -4,7 +4,7 @@
  */
 import type { InstanceType } from '../cloud/wire.js';
 import { mayRunOn } from '../model/constraints.js';
-import { covers, largestOf, RESOURCE_KINDS } from '../model/resources.js';
+import { covers, largestPerResource, RESOURCE_KINDS } from '../model/resources.js';
 import type { TeamId } from '../model/units.js';
 import type { Team } from '../settings/settings.js';
 import type { JobSpec } from './spec.js';
@@ -41,7 +41,7 @@
 
 /** Returns why a task fits none of these types: one resource exceeds all types, or no type has enough of every one. */
 function taskSizeRejection(spec: JobSpec, allowed: readonly InstanceType[]): string {
-  const largest = largestOf(allowed);
+  const largest = largestPerResource(allowed);
   for (const kind of RESOURCE_KINDS) {
     if (spec[kind] > largest[kind])
       return `${FIELDS[kind]}: a task needs ${spec[kind]}, no allowed machine type has more than ${largest[kind]}`;
--- a/src/jobs/cluster-clock.ts
+++ b/src/jobs/cluster-clock.ts
@@ -20,7 +20,7 @@
   private latest: { readonly count: number; readonly at: SteadyMs } | null = null;
 
   /** Advances the count to one seen in the store or in a job's record. Lower counts are ignored: it never goes back. */
-  reached(count: number, now: SteadyMs): void {
+  advanceTo(count: number, now: SteadyMs): void {
     if (!Number.isFinite(count) || (this.latest && this.now(now) >= count)) return;
     this.latest = { count, at: now };
   }
@@ -82,7 +82,7 @@
     const result = await store.compareAndSwap(
       [{ key: TIME_KEY, version }],
       [{ op: 'put', key: TIME_KEY, value }],
-      RequestPriority.handOver,
+      RequestPriority.transfer,
     );
     if (result.kind !== 'done') return;
     await this.context.exclusive(() => storeCache.apply(TIME_KEY, value, result.revision));
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -108,7 +108,7 @@
 
   /** Returns whether no task of the job remains here: this write, or one for another shard, may end the job. */
   private isLastLocalWrite(job: ShardJob, finished: RangeSet, record: JobRecord): boolean {
-    const pending = [job.waiting, job.unaccounted, job.unconfirmed, job.handingOver];
+    const pending = [job.waiting, job.unaccounted, job.unconfirmed, job.transferring];
     if (pending.some((tasks) => !tasks.isEmpty)) return false;
     const unfinished = RangeSet.of(
       record.assignments
--- a/src/leadership/worker-reachability.ts
+++ b/src/leadership/worker-reachability.ts
@@ -16,7 +16,7 @@
     'get'
   >;
   /** Returns whether an announcement of the peer arrived within this time. */
-  heardWithin(node: ControllerId, within: Millis): boolean;
+  hasAnnouncedWithin(node: ControllerId, within: Millis): boolean;
 }
 
 /** How many machines of a shard are expected to send heartbeats, and how many of these are silent. */
@@ -78,7 +78,9 @@
 function mayPeersReachMachines(context: ReachabilityContext, shard: ShardId): boolean {
   const { settings, peers } = context;
   if (settings.peers.length === 0) return false;
-  const livePeers = settings.peers.filter((peer) => context.heardWithin(peer.node, PEER_SILENCE_LIMIT));
+  const livePeers = settings.peers.filter((peer) =>
+    context.hasAnnouncedWithin(peer.node, PEER_SILENCE_LIMIT),
+  );
   if (livePeers.length === 0) return true;
   return livePeers.some((peer) => (peers.get(peer.node)?.redirectedHeartbeats.get(shard) ?? 0) > 0);
 }
--- a/src/model/gang.ts
+++ b/src/model/gang.ts
@@ -9,30 +9,30 @@
 /** What is known about the attempts of a gang, in addition to its tasks that are on machines. */
 export interface GangHistory {
   /** The latest attempt that is known to have started, from a running task or from the exit cause of a task. */
-  started: Attempt | null;
+  lastStartedAttempt: Attempt | null;
   /** The latest attempt in which a task exited because the gang was not complete in time. */
-  failed: Attempt | null;
+  lastFailedAttempt: Attempt | null;
   /**
    * A task has been lost since the last report that another task still waits. The whole gang may have started in
    * between, and the tasks of an attempt that has started do not wait for a replacement task.
    */
   mayHaveStarted: boolean;
   /** Machines on which a task of the current attempt has exited: no task of this attempt may be started there again. */
-  readonly leftMachines: Set<MachineId>;
+  readonly vacatedMachines: Set<MachineId>;
 }
 
 /** Returns the history of a gang about which nothing is known yet. */
 export const newGangHistory = (): GangHistory => ({
-  started: null,
-  failed: null,
+  lastStartedAttempt: null,
+  lastFailedAttempt: null,
   mayHaveStarted: false,
-  leftMachines: new Set(),
+  vacatedMachines: new Set(),
 });
 
 /** Resets what is known about the current attempt, for a gang that has no task on a machine and starts a new attempt. */
-export function forgetAttempt(history: GangHistory): void {
+export function resetAttemptHistory(history: GangHistory): void {
   history.mayHaveStarted = false;
-  history.leftMachines.clear();
+  history.vacatedMachines.clear();
 }
 
 /** A task of a gang that is, or may be, on a machine. */
@@ -46,20 +46,20 @@
 }
 
 /** Input of `decideGang`. */
-export interface GangFacts {
+export interface GangDecisionInput {
   readonly now: SteadyMs;
   /** Some tasks of the gang are certainly on no machine. */
-  readonly missing: boolean;
+  readonly hasMissingTasks: boolean;
   readonly members: readonly GangMember[];
   readonly history: GangHistory;
   /** The gang's result has been reported: the remaining tasks exit by themselves. */
-  readonly finished: boolean;
+  readonly isFinished: boolean;
   /** Some tasks of the gang may be on machines that have not sent a message since the failover. */
-  readonly unaccounted: boolean;
+  readonly hasUnaccountedTasks: boolean;
   /** Returns whether the current leader started the attempt. */
-  readonly issued: (attempt: Attempt) => boolean;
+  readonly isIssuedByThisLeader: (attempt: Attempt) => boolean;
   /** How long a task waits for the other tasks of its gang before it exits (`gang_wait_s` in the settings). */
-  readonly waitLimit: Millis;
+  readonly gangWaitTimeout: Millis;
 }
 
 /**
@@ -113,24 +113,24 @@
  * | some missing                                        | gathering | replace them                            |
  * | no task missing                                     | gathering | wait                                    |
  */
-export function decideGang(facts: GangFacts): GangDecision {
+export function decideGang(facts: GangDecisionInput): GangDecision {
   const { members, history } = facts;
   const [first] = members;
-  if (facts.finished) return { state: 'done', action: WAIT };
-  if (!first) return { state: 'waiting', action: facts.unaccounted ? WAIT : { kind: 'start' } };
+  if (facts.isFinished) return { state: 'done', action: WAIT };
+  if (!first) return { state: 'waiting', action: facts.hasUnaccountedTasks ? WAIT : { kind: 'start' } };
   const stoppingMember = members.find((member) => member.stop !== null);
   const started = hasStarted(members, history);
   if (stoppingMember?.stop && started) return stopRemaining(members, stoppingMember.stop.grace);
   if (members.every((member) => member.stop !== null)) return { state: 'stopping', action: WAIT };
   if (members.some((member) => member.attempt !== first.attempt))
     return { state: 'stopping', action: stopAll('attempts differ') };
-  const { missing } = facts;
-  if (started && (!missing || facts.unaccounted)) return { state: 'running', action: WAIT };
+  const { hasMissingTasks: missing } = facts;
+  if (started && (!missing || facts.hasUnaccountedTasks)) return { state: 'running', action: WAIT };
   if (started) return { state: 'stopping', action: stopAll('a task of it is gone') };
-  if (history.failed === first.attempt)
+  if (history.lastFailedAttempt === first.attempt)
     return { state: 'stopping', action: stopAll('a task gave up waiting') };
-  if (facts.unaccounted) return { state: 'gathering', action: WAIT };
-  if (missing && !facts.issued(first.attempt))
+  if (facts.hasUnaccountedTasks) return { state: 'gathering', action: WAIT };
+  if (missing && !facts.isIssuedByThisLeader(first.attempt))
     return { state: 'stopping', action: stopAll('incomplete after a failover') };
   if (hasWaitedTooLong(facts)) return { state: 'stopping', action: stopAll('not complete in time') };
   if (!missing || history.mayHaveStarted) return { state: 'gathering', action: WAIT };
@@ -139,7 +139,8 @@
 
 function hasStarted(members: readonly GangMember[], history: GangHistory): boolean {
   return members.some(
-    ({ phase, attempt }) => phase === 'running' || phase === 'saving' || history.started === attempt,
+    ({ phase, attempt }) =>
+      phase === 'running' || phase === 'saving' || history.lastStartedAttempt === attempt,
   );
 }
 
@@ -151,7 +152,7 @@
   return { state: 'stopping', action };
 }
 
-function hasWaitedTooLong({ now, members, waitLimit }: GangFacts): boolean {
+function hasWaitedTooLong({ now, members, gangWaitTimeout: waitLimit }: GangDecisionInput): boolean {
   return members.some(
     ({ waitingForGangSince }) =>
       waitingForGangSince !== null && now - waitingForGangSince > waitLimit * INCOMPLETE_SHARE,
--- a/src/model/resources.ts
+++ b/src/model/resources.ts
@@ -66,7 +66,7 @@
 }
 
 /** Sets a sum to exactly 0. Call it when the last amount has been subtracted, so that rounding errors do not add up. */
-export function clear(sum: MutableResources): void {
+export function resetToZero(sum: MutableResources): void {
   sum.cpus = 0;
   sum.gpus = 0;
   sum.memoryGb = 0;
@@ -123,7 +123,7 @@
 }
 
 /** Converts the amount to CPUs of a machine with this capacity: its dominant share times the CPUs of the machine. */
-export function asCpus(amount: Resources, capacity: Resources): number {
+export function cpuEquivalent(amount: Resources, capacity: Resources): number {
   let cpus = amount.cpus;
   if (capacity.gpus > 0) cpus = Math.max(cpus, (amount.gpus * capacity.cpus) / capacity.gpus);
   if (capacity.memoryGb > 0) cpus = Math.max(cpus, (amount.memoryGb * capacity.cpus) / capacity.memoryGb);
@@ -131,7 +131,7 @@
 }
 
 /** Converts a free amount to CPUs of a machine with this capacity, limited by the needed resource that runs out first. */
-export function freeAsCpus(free: Resources, capacity: Resources, need: Resources): number {
+export function freeCpuEquivalent(free: Resources, capacity: Resources, need: Resources): number {
   let cpus = free.cpus;
   for (const kind of RESOURCE_KINDS) {
     if (need[kind] <= 0 || capacity[kind] <= 0) continue;
@@ -141,14 +141,14 @@
 }
 
 /** Returns the size of a task in CPUs of the instance type that fits it best, or its own CPUs if it fits no type. */
-export function sizeOf(need: Resources, types: Iterable<Resources>): number {
+export function taskSizeInCpus(need: Resources, types: Iterable<Resources>): number {
   let size = Infinity;
-  for (const type of types) if (fits(need, type)) size = Math.min(size, asCpus(need, type));
+  for (const type of types) if (fits(need, type)) size = Math.min(size, cpuEquivalent(need, type));
   return size === Infinity ? need.cpus : size;
 }
 
 /** Returns, for each resource separately, the largest amount that any of the types has. */
-export function largestOf(types: Iterable<Resources>): Resources {
+export function largestPerResource(types: Iterable<Resources>): Resources {
   const largest: MutableResources = { ...ZERO };
   for (const type of types) {
     for (const kind of RESOURCE_KINDS) largest[kind] = Math.max(largest[kind], type[kind]);
--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -27,7 +27,7 @@
   `${machine.type}/${machine.zone}/${machine.spot}/${free.cpus.toFixed(2)}/${free.gpus.toFixed(2)}/${free.memoryGb.toFixed(2)}`;
 
 /** Returns the free capacity of a shard led by this controller, minus the capacity that its own queue will use. */
-export function freeCapacityOf(core: Core, shard: Shard): FreeCapacity {
+export function computeFreeCapacity(core: Core, shard: Shard): FreeCapacity {
   const now = core.clock.now();
   const context = { now, heartbeatIntervalMs: core.heartbeatIntervalMs };
   const shapes = new Map<string, FreeMachines>();
@@ -61,7 +61,7 @@
  * tasks, and the capacity of which it is not known whether it is in use.
  */
 function maxAvailableCapacity(shard: Shard, { machines }: FreeCapacity): Resources {
-  const capacity: MutableResources = { ...shard.totals.unaccountedCapacity(shard.types) };
+  const capacity: MutableResources = { ...shard.totals.unknownUsageCapacity(shard.types) };
   for (const shape of machines) addTo(capacity, shape, shape.count);
   addTo(capacity, shard.totals.preemptibleUsage);
   return capacity;
@@ -97,7 +97,7 @@
 /** Updates the free capacity of the shards led by this controller, for announcements and for assigning new jobs. */
 export function refreshFreeCapacity(core: Core): void {
   for (const shard of core.shards.values()) {
-    core.freeCapacity.set(shard.id, freeCapacityOf(core, shard));
+    core.freeCapacity.set(shard.id, computeFreeCapacity(core, shard));
     core.criticalCapacityByImage.set(shard.id, capacityByImage(core, shard));
   }
 }
@@ -116,7 +116,7 @@
   core.settings.shards.find((configured) => configured.shard === shard)?.zone ?? core.settings.zone;
 
 function listFreeMachines(core: Core, shard: Shard): FreeMachines[] {
-  return (core.freeCapacity.get(shard.id) ?? freeCapacityOf(core, shard)).machines.filter(
+  return (core.freeCapacity.get(shard.id) ?? computeFreeCapacity(core, shard)).machines.filter(
     (machines) => machines.count > 0,
   );
 }
@@ -172,7 +172,7 @@
 function applyAnnouncement(core: Core, announcement: CapacityAnnouncement): void {
   const now = core.clock.now();
   core.peers.set(announcement.node, {
-    heardAt: now,
+    lastAnnouncementAt: now,
     incarnation: announcement.incarnation,
     storeHealthy: announcement.storeHealthy,
     storeUsage: announcement.rateUsage,
--- a/src/overflow/machine-transfer.ts
+++ b/src/overflow/machine-transfer.ts
@@ -101,8 +101,8 @@
     const requirements = { cpus, gpus, memoryGb, tasks: gang.missingTasks, types, spot, zone };
     const request: MachineRequest = {
       kind: 'machineRequest',
-      from: shard.id,
-      to: peer.shard,
+      requestingShard: shard.id,
+      donorShard: peer.shard,
       ...requirements,
     };
     if (core.shards.has(peer.shard)) this.handleRequest(request);
@@ -116,9 +116,9 @@
   handleRequest(request: MachineRequest): void {
     const { core } = this;
     const now = core.clock.now();
-    const shard = core.shards.get(request.to);
-    if (!shard?.reconciled || request.from === request.to || !core.mayCommand(now)) return;
-    if (!core.settings.shards.some((configured) => configured.shard === request.from)) return;
+    const shard = core.shards.get(request.donorShard);
+    if (!shard?.reconciled || request.requestingShard === request.donorShard || !core.mayCommand(now)) return;
+    if (!core.settings.shards.some((configured) => configured.shard === request.requestingShard)) return;
     if (this.hasPrecedence(shard, request, now)) return;
     const { empty, draining } = chooseTransfer(shard, request, core, now);
     for (const machine of draining) this.cordon(machine, now);
@@ -126,7 +126,7 @@
       if (machine.draining && !this.cordonedUntil.has(machine)) continue;
       machine.draining = true;
       this.cordonedUntil.delete(machine);
-      void this.transfer(shard, machine, request.from);
+      void this.transfer(shard, machine, request.requestingShard);
     }
   }
 
@@ -137,7 +137,7 @@
   private hasPrecedence(shard: Shard, request: MachineRequest, now: SteadyMs): boolean {
     const seenAt = this.oversizedGangSeenAt.get(shard.id);
     const hasOversizedGang = seenAt !== undefined && now - seenAt < CORDON_TTL;
-    return hasOversizedGang && shard.id < request.from;
+    return hasOversizedGang && shard.id < request.requestingShard;
   }
 
   /** Stops the machine from accepting tasks until the cordon expires. */
@@ -169,7 +169,7 @@
     const result = await core.compareAndSwapUntilCertain(
       [{ key, version: core.storeCache.version(key) }, core.leaderCondition(shard)],
       [{ op: 'put', key, value }],
-      RequestPriority.handOver,
+      RequestPriority.transfer,
     );
     core.log.info(
       { machine: machine.id, from: shard.id, to: receivingShard, result: result.kind },
--- a/src/overflow/read-after-conflict.ts
+++ b/src/overflow/read-after-conflict.ts
@@ -18,7 +18,7 @@
   key: StoreKey,
 ): Promise<Entry | null> {
   for (;;) {
-    const read = await core.store.get(key, RequestPriority.handOver);
+    const read = await core.store.get(key, RequestPriority.transfer);
     if (read.kind === 'found') {
       const { value, version } = read.entry;
       await core.exclusive(() => core.storeCache.apply(key, value, version));
--- a/src/overflow/task-transfer.ts
+++ b/src/overflow/task-transfer.ts
@@ -53,11 +53,11 @@
   const unfittingRequirements = new Set<string>();
   for (const entry of unplaced) {
     const { job } = entry;
-    if (entry.reason !== 'capacity' || !job.handingOver.isEmpty) continue;
+    if (entry.reason !== 'capacity' || !job.transferring.isEmpty) continue;
     const transferDelayMs =
       job.spec.priority === Priority.critical ? CRITICAL_TRANSFER_DELAY_MS : TRANSFER_DELAY_MS;
     const minWaitMs = job.record.homeShard === shard.id ? 0 : transferDelayMs;
-    if (now - job.arrivedAt < minWaitMs || now - job.arrivedAt < MIN_WAIT_MS) continue;
+    if (now - job.lastAssignedAt < minWaitMs || now - job.lastAssignedAt < MIN_WAIT_MS) continue;
     const zones =
       entry.indices === 'all' ? [null] : new Set(entry.indices.map((index) => requiredZone(job, index)));
     for (const zone of zones) {
@@ -167,12 +167,12 @@
   private async transfer(shard: Shard, { job, tasks, receivingShard, record }: TaskTransfer): Promise<void> {
     const { core } = this;
     job.waiting.removeAll(tasks);
-    job.handingOver.addAll(tasks);
+    job.transferring.addAll(tasks);
     const key = activeJobKey(job.id);
     const result = await core.compareAndSwapUntilCertain(
       [{ key, version: job.version }, core.leaderCondition(shard)],
       [{ op: 'put', key, value: record }],
-      RequestPriority.handOver,
+      RequestPriority.transfer,
     );
     core.log.debug(
       { job: job.id, tasks: tasks.size, from: shard.id, to: receivingShard, result: result.kind },
@@ -189,13 +189,13 @@
    */
   private requeueOwnTasks(shard: Shard, job: ShardJob): void {
     if (shard.jobs.get(job.id) !== job) return;
-    for (const index of job.handingOver) {
+    for (const index of job.transferring) {
       const isAssignedHere = job.record.assignments.some(
         ({ shard: assignedShard, from, to }) => assignedShard === shard.id && from <= index && index < to,
       );
       if (isAssignedHere && !job.record.done.has(index) && !job.finished.has(index)) job.waiting.add(index);
     }
-    job.handingOver.removeAll(job.handingOver.clone());
+    job.transferring.removeAll(job.transferring.clone());
     // A scheduling cycle during the transfer may have removed the job from the queue because it had no waiting tasks.
     shard.queue.add(job);
   }
--- a/src/overflow/zone-reassignment.ts
+++ b/src/overflow/zone-reassignment.ts
@@ -5,7 +5,7 @@
  */
 import type { JobSpec } from '../jobs/spec.js';
 import { NO_ZONE, type Assignment, type JobRecord } from '../jobs/record.js';
-import { waitingRuns, type ShardJob } from '../shards/model.js';
+import { waitingRanges, type ShardJob } from '../shards/model.js';
 import { RangeSet } from '../model/ranges.js';
 import type { ShardId, SteadyMs, ZoneId } from '../model/units.js';
 import { eligibleZones, type AssignmentContext } from './assignment.js';
@@ -90,12 +90,12 @@
   const { spec, waitingSince } = job;
   if (!mayChangeZone(spec, fromZone) || waitingSince === null) return false;
   if (now - waitingSince < ZONE_REASSIGNMENT_DELAY_MS) return false;
-  return [job.handingOver, job.unaccounted, job.unconfirmed].every((tasks) => tasks.isEmpty);
+  return [job.transferring, job.unaccounted, job.unconfirmed].every((tasks) => tasks.isEmpty);
 }
 
 function tasksWaitingFor(zone: ZoneId, job: ShardJob): RangeSet {
-  const runs = waitingRuns(job).filter((run) => run.zone === zone);
-  return RangeSet.of(runs.map((run) => [run.from, run.to] as const));
+  const runs = waitingRanges(job).filter((run) => run.zone === zone);
+  return RangeSet.of(runs.map((run) => [run.start, run.end] as const));
 }
 
 /**
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -77,8 +77,8 @@
 /** A request of one shard to another for an amount of that shard's quota for a team. */
 export interface QuotaTransferRequest extends Resources {
   readonly kind: 'quotaTransferRequest';
-  readonly from: ShardId;
-  readonly to: ShardId;
+  readonly requestingShard: ShardId;
+  readonly donorShard: ShardId;
   readonly team: TeamId;
   readonly purpose: QuotaTransferPurpose;
 }
@@ -96,8 +96,8 @@
  */
 export interface MachineRequest extends Resources {
   readonly kind: 'machineRequest';
-  readonly from: ShardId;
-  readonly to: ShardId;
+  readonly requestingShard: ShardId;
+  readonly donorShard: ShardId;
   readonly tasks: number;
   /** The instance types on which a task may run. Null means any. */
   readonly types: readonly InstanceTypeId[] | null;
--- a/src/peers/peer-directory.ts
+++ b/src/peers/peer-directory.ts
@@ -9,7 +9,7 @@
 /** A peer's latest announcement about itself. */
 export interface PeerStatus {
   /** When the announcement arrived, on this process's clock. */
-  readonly heardAt: SteadyMs;
+  readonly lastAnnouncementAt: SteadyMs;
   readonly incarnation: Incarnation;
   /** Whether the store answered the peer. */
   readonly storeHealthy: boolean;
@@ -48,13 +48,13 @@
   }
 
   /** Whether an announcement of the peer arrived less than `within` ago. */
-  heardWithin(peer: ControllerId, within: Millis, now: SteadyMs): boolean {
+  hasAnnouncedWithin(peer: ControllerId, within: Millis, now: SteadyMs): boolean {
     const status = this.statuses.get(peer);
-    return status !== undefined && now - status.heardAt < within;
+    return status !== undefined && now - status.lastAnnouncementAt < within;
   }
 
   /** Returns the status of the peers whose last announcement arrived less than `within` ago. */
-  allHeardWithin(within: Millis, now: SteadyMs): PeerStatus[] {
-    return [...this.statuses.values()].filter((status) => now - status.heardAt < within);
+  peersAnnouncedWithin(within: Millis, now: SteadyMs): PeerStatus[] {
+    return [...this.statuses.values()].filter((status) => now - status.lastAnnouncementAt < within);
   }
 }
--- a/src/peers/request-codec.ts
+++ b/src/peers/request-codec.ts
@@ -64,7 +64,7 @@
 
 /** Encodes a quota request for the wire. */
 export function encodeQuotaTransferRequest(request: QuotaTransferRequest): SentQuotaTransferRequest {
-  const { from, to, team, cpus, gpus, memoryGb } = request;
+  const { requestingShard: from, donorShard: to, team, cpus, gpus, memoryGb } = request;
   return { kind: 'ask', from, to, team, cpus, gpus, memoryGb, purpose: SENT_PURPOSE[request.purpose] };
 }
 
@@ -73,8 +73,8 @@
   const { cpus, gpus, memoryGb } = sent;
   return {
     kind: 'quotaTransferRequest',
-    from: sent.from as ShardId,
-    to: sent.to as ShardId,
+    requestingShard: sent.from as ShardId,
+    donorShard: sent.to as ShardId,
     team: sent.team as TeamId,
     cpus,
     gpus,
@@ -95,7 +95,7 @@
 
 /** Encodes a machine request for the wire. */
 export function encodeMachineRequest(request: MachineRequest): SentMachineRequest {
-  const { from, to, cpus, gpus, memoryGb, tasks, zone, spot } = request;
+  const { requestingShard: from, donorShard: to, cpus, gpus, memoryGb, tasks, zone, spot } = request;
   const types = request.types === null ? null : [...request.types];
   return { kind: 'machines', from, to, cpus, gpus, memoryGb, tasks, types, spot, zone };
 }
@@ -105,8 +105,8 @@
   const { cpus, gpus, memoryGb, tasks, spot } = sent;
   return {
     kind: 'machineRequest',
-    from: sent.from as ShardId,
-    to: sent.to as ShardId,
+    requestingShard: sent.from as ShardId,
+    donorShard: sent.to as ShardId,
     cpus,
     gpus,
     memoryGb,
--- a/src/quota/idle-remainders.ts
+++ b/src/quota/idle-remainders.ts
@@ -30,7 +30,10 @@
     }
     const since = this.idleSince.get(key) ?? now;
     this.idleSince.set(key, since);
-    if (now - since < MIN_IDLE_MS || !mayTransferRemainder(shard.id, request.from, remaining, request))
+    if (
+      now - since < MIN_IDLE_MS ||
+      !mayTransferRemainder(shard.id, request.requestingShard, remaining, request)
+    )
       return ZERO;
     this.idleSince.delete(key);
     return this.demand.transferable(shard, request.team, request, ZERO);
--- a/src/quota/service-assignments.ts
+++ b/src/quota/service-assignments.ts
@@ -36,7 +36,7 @@
    * the resources assigned to services there and at most the team's usage there.
    * @param usedOn returns the announced usage of the team on a shard
    */
-  usageOutside(team: TeamId, ownShard: ShardId, usedOn: (shard: ShardId) => Resources): Resources {
+  maxUsageOnOtherShards(team: TeamId, ownShard: ShardId, usedOn: (shard: ShardId) => Resources): Resources {
     let total = ZERO;
     for (const [shard, assigned] of this.assignedByTeam.get(team) ?? []) {
       if (shard === ownShard) continue;
--- a/src/quota/transfer-requester.ts
+++ b/src/quota/transfer-requester.ts
@@ -122,8 +122,8 @@
   ): void {
     const request: QuotaTransferRequest = {
       kind: 'quotaTransferRequest',
-      from,
-      to,
+      requestingShard: from,
+      donorShard: to,
       team,
       ...amount,
       purpose,
--- a/src/quota/transfer-responder.ts
+++ b/src/quota/transfer-responder.ts
@@ -52,12 +52,13 @@
 
   /** Returns the transfer that answers the request, or null if nothing can be given. */
   private planTransfer(request: QuotaTransferRequest): Transfer | null {
-    const shard = this.context.shards.get(request.to);
+    const shard = this.context.shards.get(request.donorShard);
     const team = this.context.settings.teams.get(request.team);
     const current = this.ledger.current(request.team);
     if (!shard || !team || !current) return null;
-    if (this.ledger.hasPendingTransfer(request.to, request.team)) return null;
-    if (request.from === request.to || !current.quotas[request.from]) return null;
+    if (this.ledger.hasPendingTransfer(request.donorShard, request.team)) return null;
+    if (request.requestingShard === request.donorShard || !current.quotas[request.requestingShard])
+      return null;
     const amount = this.transferAmount(shard, request);
     if (RESOURCE_KINDS.every((kind) => amount[kind] <= 0)) return null;
     return { request, shard, team, current, amount };
@@ -75,20 +76,24 @@
    */
   private ownDemand(shard: Shard, request: QuotaTransferRequest): Resources {
     if (request.purpose !== 'reservation') return this.demand.demand(shard, request.team);
-    const ownReservation = request.from < shard.id ? undefined : shard.quotaReservations.get(request.team);
+    const ownReservation =
+      request.requestingShard < shard.id ? undefined : shard.quotaReservations.get(request.team);
     return ownReservation ?? ZERO;
   }
 
   /** Writes the transfer on the condition that the quotas are unchanged and this controller still leads the shard. */
   private async execute({ request, shard, team, current, amount }: Transfer): Promise<void> {
     const { context, ledger } = this;
-    ledger.beginTransfer(request.to, request.team, amount);
-    const value = encodeQuotas(team, moveQuota(current.quotas, request.to, request.from, amount));
+    ledger.beginTransfer(request.donorShard, request.team, amount);
+    const value = encodeQuotas(
+      team,
+      moveQuota(current.quotas, request.donorShard, request.requestingShard, amount),
+    );
     const key = quotaKey(request.team);
     const result = await context.compareAndSwapUntilCertain(
       [{ key, version: current.version }, context.leaderCondition(shard)],
       [{ op: 'put', key, value }],
-      RequestPriority.handOver,
+      RequestPriority.transfer,
     );
     await context.exclusive(() => {
       if (result.kind === 'done') context.storeCache.apply(key, value, result.revision);
@@ -96,9 +101,15 @@
     // After a conflict, an earlier attempt of the write may have been applied. The amount stays subtracted until this
     // controller sees a newer record: otherwise tasks would be started here with quota that the other shard has.
     if (result.kind === 'conflict') await this.awaitNewerQuota(key, current.version, shard);
-    ledger.endTransfer(request.to, request.team);
+    ledger.endTransfer(request.donorShard, request.team);
     context.log.debug(
-      { team: request.team, from: request.to, to: request.from, amount, result: result.kind },
+      {
+        team: request.team,
+        from: request.donorShard,
+        to: request.requestingShard,
+        amount,
+        result: result.kind,
+      },
       'quota transferred',
     );
     context.requestCycle();
@@ -113,7 +124,7 @@
     for (let reread = 0; reread < MAX_REREADS; reread += 1) {
       if (context.storeCache.version(key) !== version) return;
       if (context.shards.get(shard.id) !== shard) return;
-      const read = await context.store.get(key, RequestPriority.handOver);
+      const read = await context.store.get(key, RequestPriority.transfer);
       if (read.kind === 'found')
         await context.exclusive(() => context.storeCache.apply(key, read.entry.value, read.entry.version));
       if (read.kind === 'absent' || (read.kind === 'found' && read.entry.version === version)) return;
--- a/src/scheduling/candidates.ts
+++ b/src/scheduling/candidates.ts
@@ -8,7 +8,7 @@
   add,
   dominantShare,
   fits,
-  freeAsCpus,
+  freeCpuEquivalent,
   isZero,
   subtract,
   TOLERANCE,
@@ -130,7 +130,7 @@
     // Machines that already run critical tasks are preferred for replicas: the others become idle when batch
     // work ends, and are scaled in.
     const withoutReplicas = spec.kind === 'service' && isZero(criticalUsage(machine)) ? 1 : 0;
-    const freeCpus = freeAsCpus(free, capacity, spec);
+    const freeCpus = freeCpuEquivalent(free, capacity, spec);
     const packingOrder = packs ? freeCpus : -(freeCpus + freeCpus / Math.max(1, capacity.cpus));
     return [
       failed,
--- a/src/scheduling/consolidation.ts
+++ b/src/scheduling/consolidation.ts
@@ -5,13 +5,13 @@
  */
 import {
   addTo,
-  asCpus,
+  cpuEquivalent,
   fits,
-  freeAsCpus,
+  freeCpuEquivalent,
   isZero,
-  largestOf,
+  largestPerResource,
   scale,
-  sizeOf,
+  taskSizeInCpus,
   subtract,
   TOLERANCE,
   ZERO,
@@ -72,10 +72,10 @@
 
 /** Returns the load of the machine in CPUs, by its dominant resource. */
 const loadInCpus = (machine: Machine, context: ConsolidationContext): number =>
-  asCpus(machine.used, context.types.get(machine.type) ?? ZERO);
+  cpuEquivalent(machine.used, context.types.get(machine.type) ?? ZERO);
 
 function criticalLoadInCpus(machine: Machine, context: ConsolidationContext): number {
-  return asCpus(subtract(machine.used, machine.preemptible), context.types.get(machine.type) ?? ZERO);
+  return cpuEquivalent(subtract(machine.used, machine.preemptible), context.types.get(machine.type) ?? ZERO);
 }
 
 /** Returns the least loaded of the machines that run stable replicas only. */
@@ -106,7 +106,8 @@
  * Returns the CPUs that must stay free on machines with the image, for more replicas of a service: those of
  * the largest machine.
  */
-const headroomCpus = (context: ConsolidationContext): number => largestOf(context.types.values()).cpus;
+const headroomCpus = (context: ConsolidationContext): number =>
+  largestPerResource(context.types.values()).cpus;
 
 /**
  * Returns the most loaded machine that holds the image, has room and carries at least the load of the source
@@ -136,7 +137,7 @@
       freeResources(machine, context.types.get(machine.type)),
       scale(allocation.spec, plannedReplicas.get(machine) ?? 0),
     );
-    freeHeadroomCpus += Math.max(0, freeAsCpus(remaining, type, allocation.spec));
+    freeHeadroomCpus += Math.max(0, freeCpuEquivalent(remaining, type, allocation.spec));
     if (
       criticalLoadInCpus(machine, context) <= loadInCpus(source, context) - TOLERANCE ||
       !fits(allocation.spec, remaining)
@@ -144,6 +145,6 @@
       continue;
     if (!mostLoaded || loadInCpus(machine, context) > loadInCpus(mostLoaded, context)) mostLoaded = machine;
   }
-  const neededHeadroomCpus = headroomCpus(context) + sizeOf(allocation.spec, context.types.values());
+  const neededHeadroomCpus = headroomCpus(context) + taskSizeInCpus(allocation.spec, context.types.values());
   return freeHeadroomCpus >= neededHeadroomCpus ? mostLoaded : null;
 }
--- a/src/scheduling/failed-searches.ts
+++ b/src/scheduling/failed-searches.ts
@@ -30,7 +30,7 @@
 
 /** Returns true if a search for the same or fewer resources has failed recently. */
 export function hasRecentFailedSearch(shard: Shard, key: string, spec: JobSpec, now: SteadyMs): boolean {
-  const failed = shard.failedSearches.get(key);
+  const failed = shard.failedPreemptionSearches.get(key);
   return failed !== undefined && now < failed.until && covers(spec, failed.need);
 }
 
@@ -40,8 +40,8 @@
  */
 export function recordFailedSearch(shard: Shard, key: string, spec: JobSpec, now: SteadyMs): void {
   const { cpus, gpus, memoryGb } = spec;
-  if (shard.failedSearches.size >= MAX_FAILED_SEARCHES) shard.failedSearches.clear();
-  shard.failedSearches.set(key, {
+  if (shard.failedPreemptionSearches.size >= MAX_FAILED_SEARCHES) shard.failedPreemptionSearches.clear();
+  shard.failedPreemptionSearches.set(key, {
     need: { cpus, gpus, memoryGb },
     until: plus(now, millis(SEARCH_RETRY_DELAY_MS)),
   });
--- a/src/scheduling/gangs.ts
+++ b/src/scheduling/gangs.ts
@@ -2,7 +2,7 @@
  * Gangs in a scheduling cycle: starts all members of a gang or none, and stops the remaining members of a
  * broken gang. Performs no I/O: decisions go into the plan of the cycle.
  */
-import { decideGang, forgetAttempt, type GangDecision } from '../model/gang.js';
+import { decideGang, resetAttemptHistory, type GangDecision } from '../model/gang.js';
 import type { Resources } from '../model/resources.js';
 import { millis, type Attempt, type ZoneId } from '../model/units.js';
 import { requiredZone, type Machine, type ShardJob } from '../shards/model.js';
@@ -20,13 +20,13 @@
   if (!job.gangHistory) return null;
   return decideGang({
     now: context.now,
-    missing: !job.waiting.isEmpty,
+    hasMissingTasks: !job.waiting.isEmpty,
     members: [...(shard.allocationsByJob.get(job.id) ?? [])],
     history: job.gangHistory,
-    finished: !job.finished.isEmpty,
-    unaccounted: [job.unaccounted, job.unconfirmed, job.handingOver].some((tasks) => !tasks.isEmpty),
-    issued: (attempt) => shard.issuedAttempt(attempt),
-    waitLimit: millis(context.gangWaitMs),
+    isFinished: !job.finished.isEmpty,
+    hasUnaccountedTasks: [job.unaccounted, job.unconfirmed, job.transferring].some((tasks) => !tasks.isEmpty),
+    isIssuedByThisLeader: (attempt) => shard.issuedAttempt(attempt),
+    gangWaitTimeout: millis(context.gangWaitMs),
   });
 }
 
@@ -52,7 +52,7 @@
 export function scheduleGang(cycle: SchedulingCycle, job: ShardJob): void {
   const action = gangDecisionFor(cycle, job)?.action;
   if (action?.kind === 'start' && job.waiting.size === job.spec.tasks) {
-    if (job.gangHistory) forgetAttempt(job.gangHistory);
+    if (job.gangHistory) resetAttemptHistory(job.gangHistory);
     scheduleWaitingMembers(cycle, job, undefined);
   } else if (action?.kind === 'replace') scheduleWaitingMembers(cycle, job, action.attempt);
 }
@@ -138,7 +138,7 @@
  * flight, and would stop a member that is started there again.
  */
 function machineFilterForAttempt(job: ShardJob, attempt: Attempt | undefined): (machine: Machine) => boolean {
-  const leftMachines = job.gangHistory?.leftMachines;
+  const leftMachines = job.gangHistory?.vacatedMachines;
   if (attempt === undefined || !leftMachines || leftMachines.size === 0) return anyMachine;
   return (machine) => !leftMachines.has(machine.id);
 }
--- a/src/scheduling/job-order.ts
+++ b/src/scheduling/job-order.ts
@@ -1,6 +1,6 @@
 /** The order in which a cycle schedules the waiting jobs of a shard. Pure. */
 import { Priority, type JobSpec } from '../jobs/spec.js';
-import { sizeOf } from '../model/resources.js';
+import { taskSizeInCpus } from '../model/resources.js';
 import type { ShardJob } from '../shards/model.js';
 import { compareLexicographically } from './candidates.js';
 import { OVERDUE_AFTER_MS } from './cycle.js';
@@ -67,7 +67,7 @@
  * was accepted.
  */
 function sizeLevel({ context }: SchedulingCycle, job: ShardJob, estimateMs: number): number {
-  const taskSize = sizeOf(job.spec, context.types.values());
+  const taskSize = taskSizeInCpus(job.spec, context.types.values());
   const agingSteps = (context.now - job.acceptedAt) / AGING_STEP_MS;
   return Math.round(Math.log2(1 + (job.waiting.size * taskSize * estimateMs) / 1000) - agingSteps);
 }
--- a/src/scheduling/job-placement.ts
+++ b/src/scheduling/job-placement.ts
@@ -4,7 +4,7 @@
  * cycle.
  */
 import { Priority, type JobSpec } from '../jobs/spec.js';
-import { requiredZone, waitingRuns, type Machine, type ShardJob } from '../shards/model.js';
+import { requiredZone, waitingRanges, type Machine, type ShardJob } from '../shards/model.js';
 import type { ZoneId } from '../model/units.js';
 import { candidatesFor, type CandidateMachines } from './candidates.js';
 import { preemptForTask } from './preemption.js';
@@ -87,7 +87,7 @@
    */
   private *indicesToTry(): Generator<number> {
     const { blockedInZone } = this;
-    for (const { from, to, zone } of waitingRuns(this.job))
+    for (const { start: from, end: to, zone } of waitingRanges(this.job))
       for (let index = from; index < to && (blockedInZone.get(zone) ?? 0) < MAX_UNPLACED_REPORTED; index += 1)
         yield index;
   }
--- a/src/scheduling/preemption-cost.ts
+++ b/src/scheduling/preemption-cost.ts
@@ -2,7 +2,7 @@
  * The cost of preempting a task: the work lost since its last checkpoint, and what its job loses of its
  * deadline. Pure.
  */
-import { sizeOf } from '../model/resources.js';
+import { taskSizeInCpus } from '../model/resources.js';
 import type { Allocation, Shard } from '../shards/model.js';
 import type { SchedulingContext } from './cycle.js';
 import { Lateness, lateness } from './deadlines.js';
@@ -29,7 +29,7 @@
 export function lostWork(allocation: Allocation, context: CostContext): number {
   const { spec } = allocation;
   if (!spec) return 0;
-  const size = sizeOf(spec, context.types.values());
+  const size = taskSizeInCpus(spec, context.types.values());
   if (allocation.runningSince === null) return size * START_COST_MS;
   const sinceStartMs = runMs(allocation, context);
   const lostMs =
@@ -56,7 +56,7 @@
  */
 export function preemptionCost(shard: Shard, allocation: Allocation, context: SchedulingContext): number {
   const { spec } = allocation;
-  const size = spec ? sizeOf(spec, context.types.values()) : 0;
+  const size = spec ? taskSizeInCpus(spec, context.types.values()) : 0;
   const tasks = spec?.kind === 'gang' ? spec.tasks : 1;
   const deadlineCost = deadlineLossSteps(shard, allocation, context) * DEADLINE_STEP_COST_CPU_MS * size;
   return tasks * (lostWork(allocation, context) + deadlineCost);
--- a/src/scheduling/preemption.ts
+++ b/src/scheduling/preemption.ts
@@ -97,7 +97,7 @@
 
 function hasWaitedForPreemption(cycle: SchedulingCycle, job: ShardJob): boolean {
   const { now } = cycle.context;
-  const waitedMs = now - Math.max(job.arrivedAt, job.waitingSince ?? now);
+  const waitedMs = now - Math.max(job.lastAssignedAt, job.waitingSince ?? now);
   if (waitedMs >= PREEMPTION_DELAY_MS) return true;
   return job.spec.priority === Priority.critical && waitedMs >= criticalPreemptionDelayMs(cycle, job);
 }
--- a/src/scheduling/reservations.ts
+++ b/src/scheduling/reservations.ts
@@ -6,7 +6,15 @@
 import type { InstanceType } from '../cloud/wire.js';
 import type { JobSpec } from '../jobs/spec.js';
 import { mayRunOn } from '../model/constraints.js';
-import { add, dominantShare, fits, freeAsCpus, scale, subtract, type Resources } from '../model/resources.js';
+import {
+  add,
+  dominantShare,
+  fits,
+  freeCpuEquivalent,
+  scale,
+  subtract,
+  type Resources,
+} from '../model/resources.js';
 import { requiredZone, type Machine, type ShardJob } from '../shards/model.js';
 import type { MachineId, TeamId, ZoneId } from '../model/units.js';
 import { endReservation } from './reservation-ends.js';
@@ -32,7 +40,7 @@
  * Memory does not affect the choice of the machine.
  */
 const freeReservableCpus = (freeResources: Resources, type: InstanceType, spec: JobSpec): number =>
-  freeAsCpus(freeResources, type, { cpus: 0, gpus: spec.gpus, memoryGb: 0 });
+  freeCpuEquivalent(freeResources, type, { cpus: 0, gpus: spec.gpus, memoryGb: 0 });
 
 /**
  * Reserves the machine with the most free resources for a task that needs most of a machine and that fits
--- a/src/scheduling/scheduling-context.ts
+++ b/src/scheduling/scheduling-context.ts
@@ -19,7 +19,7 @@
   readonly core: Core;
   readonly quotaTransfers: Pick<QuotaTransferService, 'shardQuota'>;
   readonly guarantees: Pick<GuaranteedJobs, 'has'>;
-  readonly services: Pick<ServiceAssignments, 'usageOutside'>;
+  readonly services: Pick<ServiceAssignments, 'maxUsageOnOtherShards'>;
   readonly runtimeEstimator: Pick<RuntimeEstimator, 'correctionFactor'>;
 }
 
@@ -51,7 +51,7 @@
     teams: core.settings.teams,
     shardQuota: (team) => quotaTransfers.shardQuota(shard.id, team),
     usageOnOtherShards: (team) => usageElsewhere.get(team) ?? ZERO,
-    servicesOnOtherShards: (team) => services.usageOutside(team, shard.id, teamUsageOn(team)),
+    servicesOnOtherShards: (team) => services.maxUsageOnOtherShards(team, shard.id, teamUsageOn(team)),
     guaranteed: memoize((job) => guarantees.has(job)),
     peerHasCapacity: (spec) => peerHasCapacity(core, shard, spec, now),
     maxLatenessFactor: (jobClass) => core.settings.deadlineFactorByClass.get(jobClass) ?? 1,
--- a/src/scheduling/scheduling-cycle.ts
+++ b/src/scheduling/scheduling-cycle.ts
@@ -22,7 +22,7 @@
   type Shard,
   type ShardJob,
 } from '../shards/model.js';
-import { NonPreemptiveReservations } from './kept-machines.js';
+import { NonPreemptiveReservations } from './non-preemptive-reservations.js';
 import { newPlan, type SchedulingContext, type SchedulingPlan } from './cycle.js';
 import { isSchedulable } from '../shards/machine-health.js';
 
--- a/src/shards/allocation-changes.ts
+++ b/src/shards/allocation-changes.ts
@@ -3,7 +3,7 @@
  * totals of the machine and of the shard, and the set of waiting tasks, consistent with them.
  */
 import { Priority, type JobSpec } from '../jobs/spec.js';
-import { addTo, clear } from '../model/resources.js';
+import { addTo, resetToZero } from '../model/resources.js';
 import type { Allocation } from './allocation.js';
 import { withdrawFromQueue, type ShardJob } from './job.js';
 import type { Machine } from './machine.js';
@@ -57,8 +57,8 @@
   addTo(machine.used, spec, sign);
   if (spec.priority !== Priority.critical) addTo(machine.preemptible, spec, sign);
   if (machine.allocations.size === 0) {
-    clear(machine.used);
-    clear(machine.preemptible);
+    resetToZero(machine.used);
+    resetToZero(machine.preemptible);
   }
   const wanted = (machine.requiredImages.get(spec.image) ?? 0) + sign;
   if (wanted > 0) machine.requiredImages.set(spec.image, wanted);
--- a/src/shards/job.ts
+++ b/src/shards/job.ts
@@ -43,7 +43,7 @@
   /** Tasks that have finished and are not yet recorded as done. */
   readonly finished: RangeSet;
   /** Tasks being transferred to another shard, while the outcome of the write is unknown. */
-  readonly handingOver: RangeSet;
+  readonly transferring: RangeSet;
   /** Machines reserved for its tasks, by task index. */
   readonly reservations: Map<number, Reservation>;
   /**
@@ -66,7 +66,7 @@
   /** Machines on which a task of the job has failed. */
   readonly failedMachines: Set<MachineId>;
   /** When tasks were last assigned to this shard. */
-  arrivedAt: SteadyMs;
+  lastAssignedAt: SteadyMs;
   /** What is known of the attempts of the gang; null: the job is no gang. */
   readonly gangHistory: GangHistory | null;
 }
@@ -97,7 +97,7 @@
     unconfirmed: mayBeRunning ? RangeSet.empty() : unfinished,
     assignedVersion: version,
     finished: RangeSet.empty(),
-    handingOver: RangeSet.empty(),
+    transferring: RangeSet.empty(),
     reservations: new Map(),
     unusedPreemptions: new Map(),
     acceptedAt: steady(addedAt - age),
@@ -107,7 +107,7 @@
     errors: 0,
     successes: 0,
     failedMachines: new Set(),
-    arrivedAt: addedAt,
+    lastAssignedAt: addedAt,
     gangHistory: record.spec.kind === 'gang' ? newGangHistory() : null,
   };
 }
@@ -128,15 +128,15 @@
   requiredZoneOf(job.record, index);
 
 /** Consecutive waiting tasks [from, to) that must run in the same zone; null: in any zone. */
-export interface WaitingRun {
-  readonly from: number;
-  readonly to: number;
+export interface WaitingRange {
+  readonly start: number;
+  readonly end: number;
   readonly zone: ZoneId | null;
 }
 
 /** Returns the waiting tasks of a job as ranges of equal zone, in the order of the task indices. */
-export function waitingRuns(job: ShardJob): WaitingRun[] {
-  const ranges: WaitingRun[] = [];
+export function waitingRanges(job: ShardJob): WaitingRange[] {
+  const ranges: WaitingRange[] = [];
   const { assignments } = job.record;
   let next = 0;
   for (const [start, end] of job.waiting.ranges()) {
@@ -145,8 +145,8 @@
       const assignment = assignments[i] as Assignment;
       if (assignment.from >= end) break;
       ranges.push({
-        from: Math.max(start, assignment.from),
-        to: Math.min(end, assignment.to),
+        start: Math.max(start, assignment.from),
+        end: Math.min(end, assignment.to),
         zone: assignment.zone,
       });
     }
@@ -157,6 +157,7 @@
 /** Counts the waiting tasks of a job by required zone. */
 export function waitingByZone(job: ShardJob): Map<ZoneId | null, number> {
   const counts = new Map<ZoneId | null, number>();
-  for (const { from, to, zone } of waitingRuns(job)) counts.set(zone, (counts.get(zone) ?? 0) + to - from);
+  for (const { start, end, zone } of waitingRanges(job))
+    counts.set(zone, (counts.get(zone) ?? 0) + end - start);
   return counts;
 }
--- a/src/shards/machine-health.ts
+++ b/src/shards/machine-health.ts
@@ -22,7 +22,7 @@
   if (machine.unreachableSince !== null) return false;
   if (!machine.reconciled || !machine.confirmed || isLeaving(machine)) return false;
   if (now < machine.quarantinedUntil) return false;
-  return machine.lastHeardAt !== null && now - machine.lastHeardAt < silenceLimitMs(heartbeatIntervalMs);
+  return machine.lastMessageAt !== null && now - machine.lastMessageAt < silenceLimitMs(heartbeatIntervalMs);
 }
 
 /** Whether it is being transferred to another shard, returned to the cloud, or interrupted by the cloud. */
--- a/src/shards/machine.ts
+++ b/src/shards/machine.ts
@@ -46,9 +46,9 @@
   /** Messages of earlier epochs list tasks that are certainly gone, and are refused. Raised when the lease expires. */
   minimumAgentEpoch: AgentEpoch;
   /** When the last heartbeat or answer to a direct command arrived; null: none yet. Changed by reconciliation. */
-  lastHeardAt: SteadyMs | null;
+  lastMessageAt: SteadyMs | null;
   /** Since when heartbeats have arrived without a gap. Changed by reconciliation. */
-  continuouslyHeardSince: SteadyMs | null;
+  continuousHeartbeatsSince: SteadyMs | null;
   /** When the last heartbeat arrived whose answer may have renewed the lease. Changed by reconciliation. */
   lastHeartbeatAt: SteadyMs | null;
   /** Sequence number of that heartbeat. Changed by reconciliation. */
@@ -134,8 +134,8 @@
     sequence: 0 as Sequence,
     fencingToken: 0 as FencingToken,
     minimumAgentEpoch: 0 as AgentEpoch,
-    lastHeardAt: null,
-    continuouslyHeardSince: null,
+    lastMessageAt: null,
+    continuousHeartbeatsSince: null,
     lastHeartbeatAt: null,
     lastHeartbeatSequence: null,
     agentEpochSeenAt: null,
--- a/src/shards/model.ts
+++ b/src/shards/model.ts
@@ -5,7 +5,7 @@
   minimumToStart,
   requiredZone,
   waitingByZone,
-  waitingRuns,
+  waitingRanges,
   withdrawFromQueue,
   type Reservation,
   type ReservationObstacle,
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -62,7 +62,7 @@
   /** Quota that is reserved for a team until one large task, or a gang, fits into it. */
   quotaReservations: ReadonlyMap<TeamId, Resources> = new Map();
   /** By a key for the tasks that the search could have preempted; the preemption code builds and reads the keys. */
-  readonly failedSearches = new Map<string, FailedPreemptionSearch>();
+  readonly failedPreemptionSearches = new Map<string, FailedPreemptionSearch>();
   /** Machines to which a direct command may have to be sent. */
   readonly machinesWithPendingCommands = new Set<Machine>();
   /** Allocations that were requested to stop and may still exist. Changed with the allocations. */
--- a/src/shards/sync.ts
+++ b/src/shards/sync.ts
@@ -70,7 +70,7 @@
   job.record = record;
   job.version = version;
   if (!added.isEmpty) {
-    job.arrivedAt = revision.readAt;
+    job.lastAssignedAt = revision.readAt;
     addAssignedTasks(shard, job, added);
   }
   retainUnfinished(shard, job, unfinished);
@@ -91,7 +91,7 @@
  * Drops tasks that are done or assigned elsewhere, and removes tasks on machines or finished from the waiting tasks.
  */
 function retainUnfinished(shard: Shard, job: ShardJob, unfinished: RangeSet): void {
-  for (const tasks of [job.waiting, job.unaccounted, job.unconfirmed, job.handingOver, job.finished])
+  for (const tasks of [job.waiting, job.unaccounted, job.unconfirmed, job.transferring, job.finished])
     retainOnly(tasks, unfinished);
   for (const { index } of shard.allocationsByJob.get(job.id) ?? []) {
     job.waiting.remove(index);
--- a/src/shards/totals.ts
+++ b/src/shards/totals.ts
@@ -6,9 +6,9 @@
 import type { InstanceType } from '../cloud/wire.js';
 import {
   addTo,
-  clear,
+  resetToZero,
   dominantKind,
-  largestOf,
+  largestPerResource,
   RESOURCE_KINDS,
   TOLERANCE,
   UNLIMITED,
@@ -62,7 +62,7 @@
 /** Adds or removes a task. Without tasks the total is set to exactly zero, since sums of fractions drift. */
 function countIn(total: TaskTotal, spec: JobSpec, sign: 1 | -1): void {
   total.tasks += sign;
-  if (total.tasks === 0) clear(total);
+  if (total.tasks === 0) resetToZero(total);
   else addTo(total, spec, sign);
 }
 
@@ -95,7 +95,7 @@
    * Returns the capacity of the machines with unknown usage. After a failover a machine that has not sent a message yet
    * may be full of one team's tasks: if it counted as free, the team would exceed its quota.
    */
-  unaccountedCapacity(types: ReadonlyMap<InstanceTypeId, InstanceType>): Resources {
+  unknownUsageCapacity(types: ReadonlyMap<InstanceTypeId, InstanceType>): Resources {
     const sum: MutableResources = { ...ZERO };
     for (const [name, count] of this.unknownUsageByType) {
       if (count > 0) addTo(sum, types.get(name) ?? UNLIMITED, count);
@@ -146,7 +146,7 @@
    * the need fits, and few others.
    */
   machinesWithFree(need: Resources, types: ReadonlyMap<InstanceTypeId, InstanceType>): Iterable<Machine> {
-    const kind = dominantKind(need, largestOf(types.values()));
+    const kind = dominantKind(need, largestPerResource(types.values()));
     return this.free[kind].atLeast(need[kind]);
   }
 
--- a/src/shards/usage.ts
+++ b/src/shards/usage.ts
@@ -13,5 +13,5 @@
 /** Returns the current usage of the shard; `byTeam` is a live view. */
 export const usageOf = (shard: Shard): Usage => ({
   byTeam: shard.totals.usageByTeam,
-  unattributed: shard.totals.unaccountedCapacity(shard.types),
+  unattributed: shard.totals.unknownUsageCapacity(shard.types),
 });
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -22,7 +22,7 @@
   type WatchResult,
 } from './outcomes.js';
 import { Listing } from './listing.js';
-import { QUEUE_TIMEOUT, RateLimitedSender, type Caller } from './rate-limited-sender.js';
+import { QUEUE_TIMEOUT, RateLimitedSender, type HttpTransport } from './rate-limited-sender.js';
 import { RequestPriority } from './rate-limiter.js';
 import { StoreRateLimits, type StoreUsage } from './rate-limits.js';
 import {
@@ -39,7 +39,7 @@
 } from './wire.js';
 
 export type { CompareAndSwapResult, ReadResult } from './outcomes.js';
-export type { Caller } from './rate-limited-sender.js';
+export type { HttpTransport } from './rate-limited-sender.js';
 export type { StoreUsage } from './rate-limits.js';
 
 /** Timeout for the response to one attempt of a request. */
@@ -59,8 +59,8 @@
    * `random` is uniformly distributed in [0, 1).
    */
   constructor(
-    transport: Caller,
-    private readonly watchTransport: Caller,
+    transport: HttpTransport,
+    private readonly watchTransport: HttpTransport,
     clock: Clock,
     settings: Settings,
     random: () => number,
--- a/src/store/rate-limited-sender.ts
+++ b/src/store/rate-limited-sender.ts
@@ -13,7 +13,7 @@
 import { sleep } from './sleep.js';
 
 /** A transport that sends one HTTP call. The promise never rejects: failures are outcomes. */
-export interface Caller {
+export interface HttpTransport {
   call(call: Call): Promise<CallOutcome>;
 }
 
@@ -27,7 +27,7 @@
 /** Queues and sends the requests of one client, and retries them after a 429. */
 export class RateLimitedSender {
   constructor(
-    private readonly transport: Caller,
+    private readonly transport: HttpTransport,
     private readonly limits: StoreRateLimits,
     private readonly clock: Clock,
     /** Uniformly distributed in [0, 1). */
--- a/src/store/rate-limiter.ts
+++ b/src/store/rate-limiter.ts
@@ -16,7 +16,7 @@
   /** Final states of jobs, and the registration of machines. */
   finalState: 3,
   /** Transfers of tasks, machines and quota between shards; the cluster clock; lists of machines. */
-  handOver: 4,
+  transfer: 4,
   /** Job progress, which the next write of the same job replaces, and instance types. */
   progress: 5,
 } as const;
@@ -40,7 +40,7 @@
   [RequestPriority.cancellation]: 0,
   [RequestPriority.submission]: 0,
   [RequestPriority.finalState]: 0.35,
-  [RequestPriority.handOver]: 0.45,
+  [RequestPriority.transfer]: 0.45,
   [RequestPriority.progress]: 0.55,
 };
 /** Time constant of the exponential moving average of the spent tokens. */
--- a/src/workers/clients.ts
+++ b/src/workers/clients.ts
@@ -3,7 +3,7 @@
  * controller's shards has the address.
  */
 import type { CallOutcome } from '../http/client.js';
-import type { Caller } from '../store/client.js';
+import type { HttpTransport } from '../store/client.js';
 import type { Address } from '../model/units.js';
 import { millis } from '../model/units.js';
 import { decodeHeartbeat, WorkerPath, WorkerStatus, type Heartbeat } from './wire.js';
@@ -18,7 +18,7 @@
 const STATUS_CALL = { method: 'GET', path: WorkerPath.status, timeout: millis(1000) } as const;
 
 /** Client for one worker's address. */
-export interface WorkerClient extends Caller {
+export interface WorkerClient extends HttpTransport {
   /** Closes the connections; calls in flight end without an answer. */
   close(): void;
 }
--- a/src/workers/direct-commands.ts
+++ b/src/workers/direct-commands.ts
@@ -133,7 +133,7 @@
   if (!machine.reconciled && tokenIsOutdated) return mayRetry ? SEND_FENCING_TOKEN : WAIT;
   if (machine.unreachableSince !== null)
     return mayRetry ? { kind: 'send', batch: takeDirectCommands(machine, records) } : WAIT;
-  if (machine.lastHeardAt === null) return IDLE;
+  if (machine.lastMessageAt === null) return IDLE;
   const batch = takeDirectCommands(machine, records);
   if (batch.commands.length > 0) return { kind: 'send', batch };
   if (!tokenIsOutdated || !hasUnacknowledgedLaunch(machine, () => true)) return IDLE;
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -50,7 +50,7 @@
   mayCommand(now: SteadyMs): boolean;
   exclusive<T>(work: () => T): Promise<T>;
   shardRecord(shard: ShardId): ShardRecord | null;
-  heardWithin(node: ControllerId, within: Millis): boolean;
+  hasAnnouncedWithin(node: ControllerId, within: Millis): boolean;
 }
 
 /** The parts of the shard leadership that the heartbeat handler uses. */
@@ -182,7 +182,7 @@
     const isReachable =
       leader !== null &&
       leader !== this.controller.settings.node &&
-      this.controller.heardWithin(leader, LEADER_LIVENESS_TIMEOUT_MS);
+      this.controller.hasAnnouncedWithin(leader, LEADER_LIVENESS_TIMEOUT_MS);
     return this.refuse('not the leader', {
       status: WorkerStatus.notLeader,
       body: encodeRedirect(isReachable ? leader : null),
--- a/src/workers/lease-expiry.ts
+++ b/src/workers/lease-expiry.ts
@@ -110,10 +110,10 @@
     return false;
   }
 
-  private isSilent({ lastHeardAt }: Machine, now: SteadyMs): boolean {
+  private isSilent({ lastMessageAt }: Machine, now: SteadyMs): boolean {
     return (
-      lastHeardAt === null ||
-      elapsed(now, lastHeardAt) > this.controller.heartbeatIntervalMs * MAX_SILENT_INTERVALS
+      lastMessageAt === null ||
+      elapsed(now, lastMessageAt) > this.controller.heartbeatIntervalMs * MAX_SILENT_INTERVALS
     );
   }
 }
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -88,7 +88,7 @@
   machine.sequence = heartbeat.sequence;
   machine.fencingToken = heartbeat.fencingToken;
   machine.address = heartbeat.address;
-  machine.lastHeardAt = context.now;
+  machine.lastMessageAt = context.now;
 }
 
 function updateInterruptionNotice(
@@ -107,7 +107,7 @@
   const hasGap =
     machine.lastHeartbeatAt === null ||
     elapsed(context.now, machine.lastHeartbeatAt) > context.heartbeatTimeout;
-  if (hasGap) machine.continuouslyHeardSince = context.now;
+  if (hasGap) machine.continuousHeartbeatsSince = context.now;
   machine.lastHeartbeatAt = context.now;
   machine.lastHeartbeatSequence = heartbeat.sequence;
 }
@@ -154,7 +154,7 @@
 
 /** A running task proves that its gang's attempt has started; a task in an earlier state, that it has not. */
 function recordGangState(gang: GangHistory, attempt: Attempt, state: ActiveTaskStatus['state']): void {
-  if (hasStarted(state)) gang.started = attempt;
+  if (hasStarted(state)) gang.lastStartedAttempt = attempt;
   else gang.mayHaveStarted = false;
 }
 
--- a/src/workers/shard-choice.ts
+++ b/src/workers/shard-choice.ts
@@ -3,7 +3,7 @@
  * registrations, without exchanging messages.
  */
 import type { InstanceType } from '../cloud/wire.js';
-import { dominantShare, largestOf, ZERO } from '../model/resources.js';
+import { dominantShare, largestPerResource, ZERO } from '../model/resources.js';
 import type { Settings } from '../settings/settings.js';
 import type { RegisteredMachines } from '../shards/registered-machines.js';
 import type { InstanceTypeId, MachineId, ShardId } from '../model/units.js';
@@ -57,7 +57,7 @@
   { types, registeredMachines }: ShardChoiceDependencies,
   shards: readonly ShardId[],
 ): Map<ShardId, number> {
-  const largest = types.size > 0 ? { ...largestOf(types.values()), memoryGb: 0 } : ONE_CPU;
+  const largest = types.size > 0 ? { ...largestPerResource(types.values()), memoryGb: 0 } : ONE_CPU;
   return new Map(
     shards.map(
       (shard) => [shard, dominantShare(registeredMachines.capacity(shard, types), largest)] as const,
--- a/src/workers/task-exits.ts
+++ b/src/workers/task-exits.ts
@@ -112,9 +112,9 @@
   { attempt, cause }: ExitedTaskStatus,
 ): void {
   if (!gangHistory) return;
-  gangHistory.leftMachines.add(machine.id);
-  if (cause === 'peers') gangHistory.started = attempt;
-  if (cause === 'alone') gangHistory.failed = attempt;
+  gangHistory.vacatedMachines.add(machine.id);
+  if (cause === 'peers') gangHistory.lastStartedAttempt = attempt;
+  if (cause === 'alone') gangHistory.lastFailedAttempt = attempt;
   if (NEVER_STARTED_CAUSES.includes(cause)) gangHistory.mayHaveStarted = false;
 }
 
--- a/test/autoscaling/scale-in.test.ts
+++ b/test/autoscaling/scale-in.test.ts
@@ -37,7 +37,7 @@
       reconciled: reconciled || !silent,
       registeredVersion: NO_REVISION,
     });
-    if (reconciled || !silent) machine.lastHeardAt = (NOW - (silent ? setup.silentMs : 100)) as never;
+    if (reconciled || !silent) machine.lastMessageAt = (NOW - (silent ? setup.silentMs : 100)) as never;
     else machine.missedDirectRequests = 5;
     shard.addMachine(machine);
   };
@@ -99,7 +99,7 @@
   // during the partition, but none since.
   for (const machine of [...partitioned.machines.values()].slice(2, 60)) {
     partitioned.markReconciled(machine);
-    machine.lastHeardAt = NOW as never;
+    machine.lastMessageAt = NOW as never;
   }
   assert.equal(countScaleIns(partitioned), 'none');
   for (const machine of partitioned.machines.values())
--- a/test/controller/health.test.ts
+++ b/test/controller/health.test.ts
@@ -40,7 +40,7 @@
 
   hearPeer(storeHealthy: boolean): void {
     this.peers.set(PEER.node, {
-      heardAt: steady(this.time),
+      lastAnnouncementAt: steady(this.time),
       incarnation: 'first' as Incarnation,
       storeHealthy,
       storeUsage: { requests: 0, writes: 0 },
--- a/test/controller/store-limits.test.ts
+++ b/test/controller/store-limits.test.ts
@@ -49,13 +49,13 @@
     return this.alive.includes(name);
   }
 
-  heardWithin(name: ControllerId): boolean {
+  hasAnnouncedWithin(name: ControllerId): boolean {
     return this.heard.includes(name);
   }
 
   announceUsage(name: string, storeUsage: StoreUsage): void {
     this.peers.set(node(name), {
-      heardAt: steady(0),
+      lastAnnouncementAt: steady(0),
       incarnation: 'first' as Incarnation,
       storeHealthy: true,
       storeUsage,
--- a/test/jobs/cluster-clock.test.ts
+++ b/test/jobs/cluster-clock.test.ts
@@ -10,11 +10,11 @@
 test('the cluster clock continues from the stored count, never goes back, and keeps the age of jobs across a restart', () => {
   const time = new ClusterClock();
   assert.equal(time.age(null, 5000 as SteadyMs), 0, 'a record of an earlier version');
-  time.reached(90_000, 1000 as SteadyMs);
+  time.advanceTo(90_000, 1000 as SteadyMs);
   assert.equal(time.now(3000 as SteadyMs), 92_000);
-  time.reached(91_000, 3000 as SteadyMs);
+  time.advanceTo(91_000, 3000 as SteadyMs);
   assert.equal(time.now(3000 as SteadyMs), 92_000, 'an older count changes nothing');
-  time.reached(decodeClusterTime({ ms: 'soon' }), 3000 as SteadyMs);
+  time.advanceTo(decodeClusterTime({ ms: 'soon' }), 3000 as SteadyMs);
   assert.equal(time.age(32_000 as ClusterMs, 4000 as SteadyMs), 61_000);
   const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 4000 as SteadyMs, new Map());
   const assignments = [{ from: 0, to: 3, shard: shard.id, zone: null }];
--- a/test/leadership/leadership.test.ts
+++ b/test/leadership/leadership.test.ts
@@ -107,7 +107,7 @@
       random: () => 0,
       sleep: (delay) => clock.sleep(delay),
       isAlive: (node) => storeCache.get(aliveKey(node)) !== undefined,
-      heardWithin: () => false,
+      hasAnnouncedWithin: () => false,
       leaderCondition: (shard) => ({ key: shardKey(shard.id), version: shard.version }),
       compareAndSwapUntilCertain: (conditions, changes) =>
         new Promise((answer) => this.requests.push({ conditions, changes, answer })),
--- a/test/leadership/worker-reachability.test.ts
+++ b/test/leadership/worker-reachability.test.ts
@@ -56,7 +56,7 @@
     heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
     settings: { peers: [{ node: PEER } as Peer] },
     peers: new Map([[PEER, { redirectedHeartbeats: new Map([[SHARD, redirected]]) }]]),
-    heardWithin: (node) => node === PEER && announcementsArrive,
+    hasAnnouncedWithin: (node) => node === PEER && announcementsArrive,
   };
 }
 
--- a/test/model/resources.test.ts
+++ b/test/model/resources.test.ts
@@ -2,13 +2,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  asCpus,
+  cpuEquivalent,
   dominantKind,
   dominantShare,
   fits,
-  freeAsCpus,
-  largestOf,
-  sizeOf,
+  freeCpuEquivalent,
+  largestPerResource,
+  taskSizeInCpus,
   taskSlots,
   ZERO,
 } from '../../src/model/resources.js';
@@ -38,24 +38,27 @@
 });
 
 test('an amount in CPUs is its dominant share times the CPUs of the machine', () => {
-  assert.equal(asCpus({ cpus: 4, gpus: 1, memoryGb: 8 }, MACHINE), 8);
+  assert.equal(cpuEquivalent({ cpus: 4, gpus: 1, memoryGb: 8 }, MACHINE), 8);
   assert.equal(
-    freeAsCpus({ cpus: 12, gpus: 1, memoryGb: 64 }, MACHINE, { cpus: 1, gpus: 1, memoryGb: 1 }),
+    freeCpuEquivalent({ cpus: 12, gpus: 1, memoryGb: 64 }, MACHINE, { cpus: 1, gpus: 1, memoryGb: 1 }),
     8,
   );
   assert.equal(
-    freeAsCpus({ cpus: 12, gpus: 1, memoryGb: 64 }, MACHINE, { cpus: 1, gpus: 0, memoryGb: 1 }),
+    freeCpuEquivalent({ cpus: 12, gpus: 1, memoryGb: 64 }, MACHINE, { cpus: 1, gpus: 0, memoryGb: 1 }),
     12,
   );
 });
 
 test('the size of a task is measured on the instance type that fits it best, or is its CPUs if it fits none', () => {
-  assert.equal(sizeOf({ cpus: 2, gpus: 0, memoryGb: 32 }, [MACHINE, { cpus: 4, gpus: 0, memoryGb: 64 }]), 2);
-  assert.equal(sizeOf({ cpus: 99, gpus: 0, memoryGb: 1 }, [MACHINE]), 99);
+  assert.equal(
+    taskSizeInCpus({ cpus: 2, gpus: 0, memoryGb: 32 }, [MACHINE, { cpus: 4, gpus: 0, memoryGb: 64 }]),
+    2,
+  );
+  assert.equal(taskSizeInCpus({ cpus: 99, gpus: 0, memoryGb: 1 }, [MACHINE]), 99);
 });
 
 test('the largest amounts of different resources may come from different types', () => {
-  assert.deepEqual(largestOf([WITHOUT_GPU, { cpus: 1, gpus: 8, memoryGb: 1 }]), {
+  assert.deepEqual(largestPerResource([WITHOUT_GPU, { cpus: 1, gpus: 8, memoryGb: 1 }]), {
     cpus: 16,
     gpus: 8,
     memoryGb: 64,
--- a/test/overflow/announced-capacity.test.ts
+++ b/test/overflow/announced-capacity.test.ts
@@ -12,7 +12,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Core } from '../../src/core.js';
-import { freeCapacityOf } from '../../src/overflow/announcement.js';
+import { computeFreeCapacity } from '../../src/overflow/announcement.js';
 import { taskCapacity } from '../../src/overflow/peer-ranking.js';
 import { buildJobSpec } from '../support/job-specs.js';
 import { CycleRunner } from '../support/cycle-runner.js';
@@ -29,7 +29,7 @@
     tuning: { announcementExpiry: 10_000 },
     settings: { shards: [], zone: 'east' },
   } as unknown as Core;
-  return taskCapacity(freeCapacityOf(core, runner.shard), PEER_JOB, null);
+  return taskCapacity(computeFreeCapacity(core, runner.shard), PEER_JOB, null);
 }
 
 /** A shard with one idle machine of 8 CPUs that has sent a heartbeat. */
--- a/test/overflow/machine-transfer.test.ts
+++ b/test/overflow/machine-transfer.test.ts
@@ -24,8 +24,8 @@
 
 const REQUEST = {
   kind: 'machineRequest',
-  from: 1,
-  to: 0,
+  requestingShard: 1,
+  donorShard: 0,
   tasks: 1,
   cpus: 4,
   gpus: 0,
@@ -45,7 +45,7 @@
   const shard = buildShard();
   shard.reconciled = true;
   const machine = addMachineTo(shard, 'm-0');
-  machine.lastHeardAt = NOW as never;
+  machine.lastMessageAt = NOW as never;
   const applied: unknown[] = [];
   const core = {
     clock: { now: () => NOW },
--- a/test/overflow/zone-reassignment.test.ts
+++ b/test/overflow/zone-reassignment.test.ts
@@ -118,7 +118,7 @@
 });
 
 test('the group does not move if any of its tasks may be on a machine or has ended; the other tasks never move', () => {
-  for (const state of ['unaccounted', 'unconfirmed', 'handingOver', 'allocated'] as const) {
+  for (const state of ['unaccounted', 'unconfirmed', 'transferring', 'allocated'] as const) {
     const job = waitingJob(5, HALF_IN_LOST_ZONE);
     job.waiting.remove(1);
     if (state !== 'allocated') job[state].add(1);
--- a/test/peers/peer-directory.test.ts
+++ b/test/peers/peer-directory.test.ts
@@ -6,7 +6,7 @@
 const peer = (name: string): ControllerId => name as ControllerId;
 
 const statusAt = (time: number): PeerStatus => ({
-  heardAt: steady(time),
+  lastAnnouncementAt: steady(time),
   incarnation: 'first' as Incarnation,
   storeHealthy: true,
   storeUsage: { requests: 1, writes: 1 },
@@ -17,12 +17,13 @@
 test('a peer is recent while the age of its last announcement is less than the given time', () => {
   const directory = new PeerDirectory();
   directory.set(peer('n1'), statusAt(1000));
-  const isRecent = (now: number): boolean => directory.heardWithin(peer('n1'), millis(500), steady(now));
+  const isRecent = (now: number): boolean =>
+    directory.hasAnnouncedWithin(peer('n1'), millis(500), steady(now));
   assert.deepEqual([isRecent(1000), isRecent(1499), isRecent(1500)], [true, true, false]);
 });
 
 test('a peer that has sent no announcement is not recent', () => {
-  assert.equal(new PeerDirectory().heardWithin(peer('n1'), millis(1e9), steady(0)), false);
+  assert.equal(new PeerDirectory().hasAnnouncedWithin(peer('n1'), millis(1e9), steady(0)), false);
 });
 
 test('only peers with a recent announcement are listed, each with its latest status', () => {
@@ -30,6 +31,6 @@
   directory.set(peer('n1'), statusAt(1000));
   directory.set(peer('n2'), statusAt(1000));
   directory.set(peer('n2'), statusAt(2000));
-  assert.deepEqual(directory.allHeardWithin(millis(500), steady(2100)), [statusAt(2000)]);
+  assert.deepEqual(directory.peersAnnouncedWithin(millis(500), steady(2100)), [statusAt(2000)]);
   assert.equal([...directory.values()].length, 2);
 });
--- a/test/scheduling/consolidation.test.ts
+++ b/test/scheduling/consolidation.test.ts
@@ -72,7 +72,7 @@
       reconciled: true,
       registeredVersion: NO_REVISION,
     });
-    machine.lastHeardAt = NOW;
+    machine.lastMessageAt = NOW;
     shard.addMachine(machine);
     shard.recordImage(machine, 'img' as ImageId, 1);
     for (let i = 0; i < replicas + (batchTasks ?? 0); i += 1) {
--- a/test/scheduling/cycle-cost.test.ts
+++ b/test/scheduling/cycle-cost.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Core } from '../../src/core.js';
-import { freeCapacityOf } from '../../src/overflow/announcement.js';
+import { computeFreeCapacity } from '../../src/overflow/announcement.js';
 import { silentLog } from '../../src/logging/log.js';
 import type { Machine } from '../../src/shards/model.js';
 import { reconcileHeartbeat, type ReconciliationContext } from '../../src/workers/reconciliation.js';
@@ -125,8 +125,8 @@
       tuning: { announcementExpiry: 10_000 },
       settings: { shards: [{ shard: 0, zone: 'east' }], zone: 'east' },
     } as unknown as Core;
-    for (const machine of shard.machines.values()) machine.lastHeardAt = 1_003_900 as never;
-    const capacity = freeCapacityOf(core, shard);
+    for (const machine of shard.machines.values()) machine.lastMessageAt = 1_003_900 as never;
+    const capacity = computeFreeCapacity(core, shard);
     assert.equal(
       capacity.machines.reduce((sum, group) => sum + group.count, 0),
       FREE_MACHINES,
--- a/test/scheduling/dominant-resource.test.ts
+++ b/test/scheduling/dominant-resource.test.ts
@@ -9,7 +9,7 @@
 import { composeAnnouncement, capacityByImage, receiveMessage } from '../../src/overflow/announcement.js';
 import { seededRandom } from '../../src/model/random.js';
 import { encodePeerMessage } from '../../src/peers/codec.js';
-import type { QuotaTransferRequest } from '../../src/peers/messages.js';
+import type { encodeQuotaTransferRequest } from '../../src/peers/request-codec.js';
 import type { JobSpec } from '../../src/jobs/spec.js';
 import { ZERO, type Resources } from '../../src/model/resources.js';
 import { statisticsOf } from '../../src/shards/statistics.js';
@@ -176,7 +176,7 @@
       reconciled: true,
       registeredVersion: NO_REVISION,
     });
-    machine.lastHeardAt = NOW;
+    machine.lastMessageAt = NOW;
     shard.addMachine(machine);
     shard.recordImage(machine, 'img' as never, 1);
     const specChanges: Partial<JobSpec>[] =
@@ -310,7 +310,7 @@
   waiting: Resources,
 ): string {
   const red = buildTeam(team);
-  const requests: QuotaTransferRequest[] = [];
+  const requests: ReturnType<typeof encodeQuotaTransferRequest>[] = [];
   const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
   shard.reconciled = true;
   const core = {
@@ -325,7 +325,9 @@
       ]),
     ),
     shardRecord: (shardId: number) => ({ leader: `n${shardId}` }),
-    peerTransport: { send: (_: string, request: QuotaTransferRequest) => requests.push(request) },
+    peerTransport: {
+      send: (_: string, request: ReturnType<typeof encodeQuotaTransferRequest>) => requests.push(request),
+    },
   } as unknown as Core;
   core.storeCache.apply(quotaKey(red.name), undefined, 1 as never);
   new QuotaTransferService(core).requestQuota(shard, red.name, waiting);
--- a/test/scheduling/gang-decisions.test.ts
+++ b/test/scheduling/gang-decisions.test.ts
@@ -1,7 +1,7 @@
 /** Each row of the decision table of `decideGang`, and states that are easily confused. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { decideGang, newGangHistory, type GangFacts, type GangMember } from '../../src/model/gang.js';
+import { decideGang, newGangHistory, type GangDecisionInput, type GangMember } from '../../src/model/gang.js';
 import { millis, type Attempt, type SteadyMs } from '../../src/model/units.js';
 
 const NOW = 100_000 as SteadyMs;
@@ -16,16 +16,16 @@
     ...changes,
   }) as GangMember;
 
-function decide(members: GangMember[], facts: Partial<GangFacts> = {}): string {
+function decide(members: GangMember[], facts: Partial<GangDecisionInput> = {}): string {
   const { state, action } = decideGang({
     now: NOW,
-    missing: false,
+    hasMissingTasks: false,
     members,
     history: newGangHistory(),
-    finished: false,
-    unaccounted: false,
-    issued: (attempt) => attempt >= FIRST_OWN_ATTEMPT,
-    waitLimit: millis(20_000),
+    isFinished: false,
+    hasUnaccountedTasks: false,
+    isIssuedByThisLeader: (attempt) => attempt >= FIRST_OWN_ATTEMPT,
+    gangWaitTimeout: millis(20_000),
     ...facts,
   });
   if (action.kind === 'stop') return `${state}: stop (${action.grace} s) ${action.reason}`;
@@ -37,44 +37,48 @@
   started?: number;
   failed?: number;
   mayHaveStarted?: boolean;
-}): GangFacts['history'] => ({
+}): GangDecisionInput['history'] => ({
   ...newGangHistory(),
-  started: (options.started ?? null) as Attempt | null,
-  failed: (options.failed ?? null) as Attempt | null,
+  lastStartedAttempt: (options.started ?? null) as Attempt | null,
+  lastFailedAttempt: (options.failed ?? null) as Attempt | null,
   mayHaveStarted: options.mayHaveStarted ?? false,
 });
 
 test('a gang without a task on a machine starts all its tasks, once all of them are reconciled', () => {
-  assert.equal(decide([], { missing: true }), 'waiting: start');
-  assert.equal(decide([], { missing: true, unaccounted: true }), 'waiting: wait');
+  assert.equal(decide([], { hasMissingTasks: true }), 'waiting: start');
+  assert.equal(decide([], { hasMissingTasks: true, hasUnaccountedTasks: true }), 'waiting: wait');
 });
 
 test('before a gang has started, missing tasks are replaced under the same attempt', () => {
   assert.equal(decide([member(), member({ phase: 'ordered' })]), 'gathering: wait');
-  assert.equal(decide([member()], { missing: true }), 'gathering: replace under 1000');
+  assert.equal(decide([member()], { hasMissingTasks: true }), 'gathering: replace under 1000');
   assert.equal(
-    decide([member({ stop: { grace: 0 } }), member()], { missing: true }),
+    decide([member({ stop: { grace: 0 } }), member()], { hasMissingTasks: true }),
     'gathering: replace under 1000',
     'a task whose machine will be interrupted stops without the others',
   );
-  assert.equal(decide([member()], { missing: true, unaccounted: true }), 'gathering: wait');
+  assert.equal(decide([member()], { hasMissingTasks: true, hasUnaccountedTasks: true }), 'gathering: wait');
 });
 
 test('an attempt whose remaining tasks are all being stopped is not completed', () => {
   const stoppingMember = member({ stop: { grace: 0 } });
-  assert.equal(decide([stoppingMember], { missing: true }), 'stopping: wait');
+  assert.equal(decide([stoppingMember], { hasMissingTasks: true }), 'stopping: wait');
   assert.equal(decide([stoppingMember, stoppingMember]), 'stopping: wait');
 });
 
 test('missing tasks are not replaced while the others may have started to run unnoticed', () => {
   const startUnnoticed = history({ mayHaveStarted: true });
-  assert.equal(decide([member()], { missing: true, history: startUnnoticed }), 'gathering: wait');
-  assert.equal(decide([], { missing: true, history: startUnnoticed }), 'waiting: start', 'a new attempt');
+  assert.equal(decide([member()], { hasMissingTasks: true, history: startUnnoticed }), 'gathering: wait');
+  assert.equal(
+    decide([], { hasMissingTasks: true, history: startUnnoticed }),
+    'waiting: start',
+    'a new attempt',
+  );
 });
 
 test('an attempt that can no longer be completed is stopped', () => {
   assert.equal(
-    decide([member({ attempt: 7 })], { missing: true }),
+    decide([member({ attempt: 7 })], { hasMissingTasks: true }),
     'stopping: stop (0 s) incomplete after a failover',
   );
   assert.equal(
@@ -83,7 +87,7 @@
     'tasks of different attempts',
   );
   assert.equal(
-    decide([member()], { missing: true, history: history({ failed: FIRST_OWN_ATTEMPT }) }),
+    decide([member()], { hasMissingTasks: true, history: history({ failed: FIRST_OWN_ATTEMPT }) }),
     'stopping: stop (0 s) a task gave up waiting',
   );
   assert.equal(
@@ -101,7 +105,7 @@
     'gathering: wait',
   );
   assert.equal(
-    decide([member()], { missing: true, history: history({ failed: 999 }) }),
+    decide([member()], { hasMissingTasks: true, history: history({ failed: 999 }) }),
     'gathering: replace under 1000',
     'the outcome of an earlier attempt is irrelevant',
   );
@@ -111,10 +115,10 @@
   const running = member({ phase: 'running', waitingForGangSince: NOW - 50_000 });
   assert.equal(decide([running, running]), 'running: wait');
   assert.equal(decide([running, member()]), 'running: wait', 'it has just started');
-  assert.equal(decide([running], { missing: true }), 'stopping: stop (0 s) a task of it is gone');
-  assert.equal(decide([running], { missing: true, unaccounted: true }), 'running: wait');
+  assert.equal(decide([running], { hasMissingTasks: true }), 'stopping: stop (0 s) a task of it is gone');
+  assert.equal(decide([running], { hasMissingTasks: true, hasUnaccountedTasks: true }), 'running: wait');
   assert.equal(
-    decide([member()], { missing: true, history: history({ started: FIRST_OWN_ATTEMPT }) }),
+    decide([member()], { hasMissingTasks: true, history: history({ started: FIRST_OWN_ATTEMPT }) }),
     'stopping: stop (0 s) a task of it is gone',
     'another task has lost its peers, so the attempt had started',
   );
@@ -126,13 +130,16 @@
   assert.equal(decide([running, saving]), 'stopping: stop (4 s) one of its tasks is stopped');
   assert.equal(decide([saving, saving]), 'stopping: wait');
   assert.equal(
-    decide([saving], { missing: true }),
+    decide([saving], { hasMissingTasks: true }),
     'stopping: wait',
     'the end of the first task to save must not end the others',
   );
 });
 
 test('a gang whose result is known is neither stopped nor started', () => {
-  assert.equal(decide([member({ phase: 'running' })], { finished: true, missing: true }), 'done: wait');
-  assert.equal(decide([], { finished: true }), 'done: wait');
+  assert.equal(
+    decide([member({ phase: 'running' })], { isFinished: true, hasMissingTasks: true }),
+    'done: wait',
+  );
+  assert.equal(decide([], { isFinished: true }), 'done: wait');
 });
--- a/test/scheduling/gang-starvation.test.ts
+++ b/test/scheduling/gang-starvation.test.ts
@@ -103,8 +103,8 @@
 
 const REQUEST: MachineRequest = {
   kind: 'machineRequest',
-  from: 1 as never,
-  to: 0 as never,
+  requestingShard: 1 as never,
+  donorShard: 0 as never,
   cpus: 2,
   gpus: 0,
   memoryGb: 1,
--- a/test/scheduling/starvation.test.ts
+++ b/test/scheduling/starvation.test.ts
@@ -5,7 +5,7 @@
 import type { InstanceType } from '../../src/cloud/wire.js';
 import type { Core } from '../../src/core.js';
 import { assignJob, type AssignmentContext } from '../../src/overflow/assignment.js';
-import { freeCapacityOf } from '../../src/overflow/announcement.js';
+import { computeFreeCapacity } from '../../src/overflow/announcement.js';
 import { chooseTaskTransfer } from '../../src/overflow/task-transfer.js';
 import {
   chooseZoneReassignment,
@@ -67,7 +67,7 @@
       reconciled: true,
       registeredVersion: NO_REVISION,
     });
-    machine.lastHeardAt = NOW;
+    machine.lastMessageAt = NOW;
     shard.addMachine(machine);
   }
   const record = {
@@ -164,11 +164,11 @@
 test('tasks that wait for another zone, or back off, do not hide this shard’s free capacity from peers', () => {
   const spec = buildJobSpec({ id: 'req-2' });
   const elsewhere = shardWith(2, { tasks: 50, spread: true }, [[0, 50, 0, 'west']]);
-  assert.equal(taskCapacity(freeCapacityOf(buildCore([]), elsewhere.shard), spec, null), 8);
+  assert.equal(taskCapacity(computeFreeCapacity(buildCore([]), elsewhere.shard), spec, null), 8);
   const here = shardWith(2, { tasks: 50, spread: true }, [[0, 50, 0, 'east']]);
-  assert.equal(taskCapacity(freeCapacityOf(buildCore([]), here.shard), spec, null), 0);
+  assert.equal(taskCapacity(computeFreeCapacity(buildCore([]), here.shard), spec, null), 0);
   here.job.backoffUntil = (NOW + 20_000) as SteadyMs;
-  assert.equal(taskCapacity(freeCapacityOf(buildCore([]), here.shard), spec, null), 8);
+  assert.equal(taskCapacity(computeFreeCapacity(buildCore([]), here.shard), spec, null), 8);
 });
 
 test('waiting tasks change their zone only to one that may take more of the job, after a delay, and if none is running', () => {
--- a/test/shards/machine-health.test.ts
+++ b/test/shards/machine-health.test.ts
@@ -11,7 +11,7 @@
 
 function isSchedulableWith(changes: Partial<Machine>): boolean {
   const machine = addMachineTo(buildShard(), 'm-0');
-  Object.assign(machine, { lastHeardAt: steady(NOW - 100), ...changes });
+  Object.assign(machine, { lastMessageAt: steady(NOW - 100), ...changes });
   return isSchedulable(machine, { now: NOW, heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS });
 }
 
@@ -20,7 +20,7 @@
 });
 
 test('a machine is not schedulable before its first message, or while it cannot be reached', () => {
-  assert.equal(isSchedulableWith({ lastHeardAt: null }), false);
+  assert.equal(isSchedulableWith({ lastMessageAt: null }), false);
   assert.equal(isSchedulableWith({ unreachableSince: NOW }), false);
 });
 
@@ -40,6 +40,6 @@
 });
 
 test('a machine is silent two heartbeat intervals and one second after its last message', () => {
-  assert.equal(isSchedulableWith({ lastHeardAt: steady(NOW - 3999) }), true);
-  assert.equal(isSchedulableWith({ lastHeardAt: steady(NOW - 4000) }), false);
+  assert.equal(isSchedulableWith({ lastMessageAt: steady(NOW - 3999) }), true);
+  assert.equal(isSchedulableWith({ lastMessageAt: steady(NOW - 4000) }), false);
 });
--- a/test/simulation/simulation.test.ts
+++ b/test/simulation/simulation.test.ts
@@ -699,7 +699,7 @@
   };
   const overflow = new TaskTransferService(core as unknown as Core);
   overflow.transferUnplaced(shard, [{ job, reason: 'capacity', indices: 'all' }]);
-  assert.equal(job.handingOver.size, 2);
+  assert.equal(job.transferring.size, 2);
   planCycle(shard, { now: 10_000 } as unknown as SchedulingContext);
   answer({ kind: 'refused' });
   await new Promise((resolve) => setImmediate(resolve));
--- a/test/support/cycle-runner.ts
+++ b/test/support/cycle-runner.ts
@@ -166,14 +166,14 @@
   /** Advances the time by two seconds, runs a cycle, and applies the whole plan at once. */
   runCycle(): string {
     this.now += 2000;
-    for (const machine of this.shard.machines.values()) machine.lastHeardAt = this.now as never;
+    for (const machine of this.shard.machines.values()) machine.lastMessageAt = this.now as never;
     const plan = planCycle(this.shard, this.createContext());
     return this.applyPlan(plan);
   }
 
   /** Runs `decide` in a new cycle whose plan is not applied. */
   inCycle(decide: (cycle: SchedulingCycle) => boolean): { plan: SchedulingPlan; preempted: boolean } {
-    for (const machine of this.shard.machines.values()) machine.lastHeardAt = this.now as never;
+    for (const machine of this.shard.machines.values()) machine.lastMessageAt = this.now as never;
     const cycle = new SchedulingCycle(this.shard, this.createContext());
     const preempted = decide(cycle);
     return { plan: cycle.plan, preempted };
--- a/test/workers/heartbeat-answers.test.ts
+++ b/test/workers/heartbeat-answers.test.ts
@@ -34,7 +34,7 @@
     isResultRecorded: () => true,
     exclusive: <T>(work: () => T): Promise<T> => Promise.resolve(work()),
     shardRecord: (): ShardRecord | null => this.leader && ({ leader: this.leader } as ShardRecord),
-    heardWithin: () => this.leaderSendsAnnouncements,
+    hasAnnouncedWithin: () => this.leaderSendsAnnouncements,
   };
   private readonly handler = new HeartbeatHandler(
     this.controller,
