--- a/src/simulation/clock.ts
+++ b/src/simulation/clock.ts
@@ -23,7 +23,7 @@
 export class EventQueue {
   private time = 0;
   /** Number of events that have run. */
-  count = 0;
+  processedEvents = 0;
   private lastSequence = 0;
   protected stopped = false;
   private readonly heap: QueuedEvent[] = [];
@@ -58,7 +58,7 @@
       this.removeFirst();
       if (next.cancelled) continue;
       this.time = next.at;
-      this.count += 1;
+      this.processedEvents += 1;
       next.run();
       await flushPromises();
     }
@@ -121,7 +121,7 @@
     this.onPause(duration);
   }
 
-  end(): void {
+  stop(): void {
     this.lifetime += 1;
     this.up = false;
     this.pausedUntil = 0;
--- a/src/simulation/controller-node.ts
+++ b/src/simulation/controller-node.ts
@@ -57,10 +57,10 @@
     void new Controller(this.settings, properties, clock, log, this.ports()).run();
   }
 
-  end(): void {
+  stop(): void {
     if (!this.host.up) return;
     this.environment.trace.add(`${this.name} ends`);
-    this.host.end();
+    this.host.stop();
     this.handler = null;
     this.receive = null;
   }
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -67,7 +67,7 @@
     const key = `${rule} ${subject}`;
     if (this.reportedViolations.has(key)) return;
     this.reportedViolations.add(key);
-    const violation = { rule, atS: this.queue.now / 1000, event: this.queue.count, detail };
+    const violation = { rule, atS: this.queue.now / 1000, event: this.queue.processedEvents, detail };
     this.violations.push(violation);
     this.onViolation(violation);
   }
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -46,11 +46,11 @@
   readonly logLevel?: LogLevel;
   readonly defects?: readonly Defect[];
   /** Replaces simulated time and controllers in runs against real processes. */
-  readonly surroundings?: Surroundings;
+  readonly runEnvironment?: RunEnvironment;
 }
 
 /** Event queue, controllers and machine addresses of a run in which the controllers are real processes. */
-export interface Surroundings {
+export interface RunEnvironment {
   readonly queue: EventQueue;
   readonly machineAddressPrefix: string;
   createNode(
@@ -105,7 +105,7 @@
     readonly scenario: Scenario,
     private readonly options: SimulationOptions,
   ) {
-    const queue = options.surroundings?.queue ?? new EventQueue();
+    const queue = options.runEnvironment?.queue ?? new EventQueue();
     this.queue = queue;
     const { deployment } = scenario;
     this.random = new RandomStream(options.seed);
@@ -163,7 +163,7 @@
 
   private buildCloud(): SimulatedCloud {
     const { types, zones, cloud } = this.scenario.deployment;
-    const { surroundings } = this.options;
+    const { runEnvironment } = this.options;
     const instanceTypes: SimulatedInstanceType[] = types.map((type) => ({
       name: type.name,
       cpus: type.cpus,
@@ -183,17 +183,17 @@
         rps: cloud.rps,
         listLagS: cloud.list_lag_s,
         capacity: cloud.capacity,
-        addressPrefix: surroundings?.machineAddressPrefix ?? SIMULATED_MACHINE_ADDRESSES,
+        addressPrefix: runEnvironment?.machineAddressPrefix ?? SIMULATED_MACHINE_ADDRESSES,
       },
       this.random.fork('cloud'),
       this.trace,
       (machine) => {
         this.machines.boot(machine);
-        surroundings?.onMachineReady(machine, this);
+        runEnvironment?.onMachineReady(machine, this);
       },
       (machine) => {
         this.machines.remove(machine);
-        surroundings?.onMachineRemoved(machine);
+        runEnvironment?.onMachineRemoved(machine);
       },
     );
   }
@@ -254,9 +254,9 @@
       const settings = parseSettings(formatSettings(deployment, index), `${name}.toml`);
       const drift = random.between(0, MAX_CLOCK_DRIFT);
       const environment = buildEnvironment(name);
-      const { surroundings } = this.options;
-      return surroundings
-        ? surroundings.createNode(index, settings, environment, this)
+      const { runEnvironment } = this.options;
+      return runEnvironment
+        ? runEnvironment.createNode(index, settings, environment, this)
         : new ControllerNode(name, settings, drift, environment);
     });
   }
@@ -345,12 +345,12 @@
     this.faults.start(scenario.faults);
     await queue.run(Math.min(scenario.duration_s, this.options.untilS ?? Infinity) * 1000);
     checker.finish();
-    for (const node of this.nodes) node.host.end();
+    for (const node of this.nodes) node.host.stop();
     return {
       scenario: scenario.name,
       seed: this.options.seed,
       simulatedS: queue.now / 1000,
-      events: queue.count,
+      events: queue.processedEvents,
       hash: this.trace.digest(),
       violations: checker.violations,
       figures: {
--- a/src/simulation/worker.ts
+++ b/src/simulation/worker.ts
@@ -210,7 +210,7 @@
 
   /** Ends the machine and all tasks on it. */
   destroy(): void {
-    this.host.end();
+    this.host.stop();
     this.tasks.forgetAll();
   }
 }
--- a/test/cluster/concurrent-machine-faults.test.ts
+++ b/test/cluster/concurrent-machine-faults.test.ts
@@ -331,7 +331,7 @@
       (command, worker) => command.order === 'launch' && worker.zone === 'west',
       (worker) => {
         muted = worker.id;
-        for (const worker of machines(cluster, 'west')) cluster.unheardMachines.add(worker.id);
+        for (const worker of machines(cluster, 'west')) cluster.machinesWithLostHeartbeats.add(worker.id);
         if (killLeader) cluster.clock.after(700, () => cluster.killNode(1));
       },
     );
@@ -353,7 +353,7 @@
           1,
           `mute ${lasts}\n${cluster.traceLines.join('\n')}`,
         );
-    cluster.unheardMachines.clear();
+    cluster.machinesWithLostHeartbeats.clear();
     await cluster.step(60_000);
     assertNoViolations(cluster, [killLeader, lasts]);
     for (const node of killLeader ? [0, 2] : NODES)
--- a/test/cluster/recorded-fault-histories.test.ts
+++ b/test/cluster/recorded-fault-histories.test.ts
@@ -224,12 +224,12 @@
   // A call that fails: from now on the machine is called again and again.
   await cluster.sendUserRequest(1, 'POST', '/v2/runs/req-1/abort');
   await cluster.step(25000);
-  cluster.unheardMachines.add('m-0');
+  cluster.machinesWithLostHeartbeats.add('m-0');
   for (const node of [0, 1, 2]) cluster.networkCuts.delete(`n${node}|m-0`);
   cluster.trace('m-0 answers calls again, and its reports do not arrive yet');
   await cluster.submit(0, 'req-2', { tasks: 4, runMs: 8000, zone: 'east' });
   await cluster.step(5000);
-  cluster.unheardMachines.delete('m-0');
+  cluster.machinesWithLostHeartbeats.delete('m-0');
   await cluster.step(12000);
   assertTraceMatches(cluster, 'back-before-its-report');
   for (let i = 0; i < 4; i += 1)
--- a/test/cluster/scale-4000-gpu-machines.test.ts
+++ b/test/cluster/scale-4000-gpu-machines.test.ts
@@ -5,10 +5,10 @@
   runWorkload,
   GPU_CLUSTER,
   GPU_WORKLOAD,
-  runClusterLifetime,
+  runScaleScenario,
   countRunningTasks,
   type Workload,
-} from '../support/cluster-lifetime.js';
+} from '../support/scale-scenario.js';
 import type { ClusterConfig } from '../support/simulated-cluster.js';
 
 const MACHINES = 4000;
@@ -28,7 +28,7 @@
 };
 
 test('4,000 machines of 8 GPUs: every invariant and limit holds, also with one controller left', async () => {
-  const cluster = await runClusterLifetime(CONFIG, MACHINES, WORKLOAD);
+  const cluster = await runScaleScenario(CONFIG, MACHINES, WORKLOAD);
   const full = [...cluster.workers.values()].filter(
     (m) => m.runningTasks().length === GPUS_PER_MACHINE,
   ).length;
--- a/test/cluster/scale.test.ts
+++ b/test/cluster/scale.test.ts
@@ -5,20 +5,20 @@
   GPU_CLUSTER,
   GPU_WORKLOAD,
   LARGE_CLUSTER,
-  runClusterLifetime,
+  runScaleScenario,
   TWO_ZONE_CLUSTER,
-} from '../support/cluster-lifetime.js';
+} from '../support/scale-scenario.js';
 
 test('1,900 machines on three controllers: every invariant and limit holds', async () => {
-  await runClusterLifetime(LARGE_CLUSTER, 1900);
+  await runScaleScenario(LARGE_CLUSTER, 1900);
 });
 
 test('940 machines on five controllers in two zones: every invariant and limit holds', async () => {
-  await runClusterLifetime(TWO_ZONE_CLUSTER, 940);
+  await runScaleScenario(TWO_ZONE_CLUSTER, 940);
 });
 
 test('975 machines of 8 GPUs on five controllers, 8 tasks on each: every invariant and limit holds', async () => {
-  const cluster = await runClusterLifetime(GPU_CLUSTER, 975, GPU_WORKLOAD);
+  const cluster = await runScaleScenario(GPU_CLUSTER, 975, GPU_WORKLOAD);
   const full = [...cluster.workers.values()].filter((m) => m.runningTasks().length === 8).length;
   assert.ok(full > 0.8 * 975, `${full} machines have 8 tasks`);
 });
--- a/test/leadership/failover-with-cancellations.test.ts
+++ b/test/leadership/failover-with-cancellations.test.ts
@@ -126,11 +126,11 @@
     for (const node of NODES) cluster.killNode(node);
     let hanging = 0;
     for (const machine of holders) {
-      cluster.unheardMachines.add(machine);
+      cluster.machinesWithLostHeartbeats.add(machine);
       hangWhenCalled(cluster, machine, () => {
         hanging += 1;
         cluster.clock.after(hangMs, () => recover(cluster, [machine]));
-        cluster.clock.after(hangMs, () => cluster.unheardMachines.delete(machine));
+        cluster.clock.after(hangMs, () => cluster.machinesWithLostHeartbeats.delete(machine));
       });
     }
     cluster.heal(holders);
--- a/test/scheduling/dominant-resource.test.ts
+++ b/test/scheduling/dominant-resource.test.ts
@@ -134,7 +134,7 @@
 });
 
 test('crowding: a new machine gets replicas up to half of its GPUs', () => {
-  const runner = new CycleRunner(1, onGpuMachines({ machinesSince: 1_001_000 }));
+  const runner = new CycleRunner(1, onGpuMachines({ machinesAddedAt: 1_001_000 }));
   runner.addJob('req-web', { ...SERVICE, cpus: 1, memoryGb: 1, tasks: 8 });
   assert.equal(countOccurrences(runner.runCycle(), 'start'), 4);
 });
--- a/test/scheduling/gang-preemption.test.ts
+++ b/test/scheduling/gang-preemption.test.ts
@@ -46,7 +46,7 @@
   const runner = new CycleRunner();
   runner.addRunningTask('req-batch', 'm-0', { cpus: 8, priority: LOW_PRIORITY });
   runner.addJob('req-gang', { ...GANG, priority: 0 });
-  const { plan, preempted } = runner.inCycle((cycle: SchedulingCycle) => {
+  const { plan, preempted } = runner.decideWithoutApplying((cycle: SchedulingCycle) => {
     const job = runner.shard.jobs.get('req-gang' as never);
     return job !== undefined && preemptForTask(cycle, job, 0, null, { mayUse: () => false });
   });
--- a/test/soak/process-node.ts
+++ b/test/soak/process-node.ts
@@ -50,10 +50,10 @@
     this.child = child;
   }
 
-  override end(): void {
+  override stop(): void {
     if (!this.host.up) return;
     this.environment.trace.add(`${this.name} ends`);
-    this.host.end();
+    this.host.stop();
     this.kill();
   }
 
--- a/test/soak/real-time-queue.ts
+++ b/test/soak/real-time-queue.ts
@@ -17,7 +17,7 @@
     // An infinite delay: the event never occurs.
     if (!Number.isFinite(delay)) return { cancel: () => undefined };
     const timer = setTimeout(() => {
-      this.count += 1;
+      this.processedEvents += 1;
       if (!this.stopped) run();
     }, delay);
     return { cancel: () => clearTimeout(timer) };
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -78,7 +78,12 @@
   const surroundings = new SoakSurroundings(folder, await reserveNetworks());
   const endProcesses = (): void => surroundings.close();
   process.once('exit', endProcesses);
-  const simulation = new Simulation(scenario, { seed, keepTrace: true, defects, surroundings });
+  const simulation = new Simulation(scenario, {
+    seed,
+    keepTrace: true,
+    defects,
+    runEnvironment: surroundings,
+  });
   if (seed % 2 === 0) listInSmallPages(simulation);
   recordAcquiredTokens(simulation, surroundings);
   await surroundings.openServices(simulation);
--- a/test/soak/soak-surroundings.ts
+++ b/test/soak/soak-surroundings.ts
@@ -7,7 +7,7 @@
 import type { Host } from '../../src/simulation/clock.js';
 import type { CloudMachine } from '../../src/simulation/cloud-machine.js';
 import { formatSettings } from '../../src/simulation/settings-text.js';
-import type { Simulation, Surroundings } from '../../src/simulation/simulation.js';
+import type { Simulation, RunEnvironment } from '../../src/simulation/simulation.js';
 import { openGateway, openPeerProxy } from './gateways.js';
 import type { LoopbackNetworks } from './loopback-networks.js';
 import { ProcessNode } from './process-node.js';
@@ -24,7 +24,7 @@
 }
 
 /** Starts and closes the processes and sockets of one run. */
-export class SoakSurroundings implements Surroundings {
+export class SoakSurroundings implements RunEnvironment {
   readonly queue = new RealTimeQueue();
   readonly nodes: ProcessNode[] = [];
   /** Third octets of the addresses: 0 controllers, 10 the state service, 11 the cloud, from 20 on proxies. */
@@ -41,7 +41,7 @@
     this.servers.push(reservation);
   }
 
-  createNode: Surroundings['createNode'] = (index, settings, environment, simulation) => {
+  createNode: RunEnvironment['createNode'] = (index, settings, environment, simulation) => {
     const name = `n${index}`;
     const settingsFile = join(this.folder, `${name}.toml`);
     const table = parse(formatSettings(simulation.scenario.deployment, index)) as unknown as SettingsTable;
--- a/test/support/cycle-runner.ts
+++ b/test/support/cycle-runner.ts
@@ -32,7 +32,7 @@
   /** Each team's quota on the shard. */
   readonly shardQuota?: Resources;
   /** When the machines were added, in milliseconds; the first cycle is at 1,002,000 ms. */
-  readonly machinesSince?: number;
+  readonly machinesAddedAt?: number;
 }
 
 export class CycleRunner {
@@ -67,7 +67,7 @@
         type: 't' as never,
         zone: 'east' as never,
         spot: false,
-        addedAt: (options.machinesSince ?? 0) as never,
+        addedAt: (options.machinesAddedAt ?? 0) as never,
         reconciled: true,
         registeredVersion: NO_REVISION,
       });
@@ -172,7 +172,10 @@
   }
 
   /** Runs `decide` in a new cycle whose plan is not applied. */
-  inCycle(decide: (cycle: SchedulingCycle) => boolean): { plan: SchedulingPlan; preempted: boolean } {
+  decideWithoutApplying(decide: (cycle: SchedulingCycle) => boolean): {
+    plan: SchedulingPlan;
+    preempted: boolean;
+  } {
     for (const machine of this.shard.machines.values()) machine.lastMessageAt = this.now as never;
     const cycle = new SchedulingCycle(this.shard, this.createContext());
     const preempted = decide(cycle);
--- a/test/support/cluster-lifetime.ts
+++ b/test/support/scale-scenario.ts
@@ -155,7 +155,7 @@
 const REGISTRATION_WRITE_FRACTION = 0.6;
 
 /** Runs the whole scenario, checks the rules and limits, and returns the cluster in its final state. */
-export async function runClusterLifetime(
+export async function runScaleScenario(
   config: ClusterConfig,
   machines: number,
   workload = CPU_WORKLOAD,
--- a/test/support/simulated-cluster.ts
+++ b/test/support/simulated-cluster.ts
@@ -172,7 +172,7 @@
   /** Machines whose heartbeats arrive, but which get neither answers nor direct commands. */
   readonly unreachableMachines = new Set<string>();
   /** Machines whose heartbeats are lost, but which answer direct calls. */
-  readonly unheardMachines = new Set<string>();
+  readonly machinesWithLostHeartbeats = new Set<string>();
   /** The heartbeats that each machine has sent, for `replayHeartbeat`. */
   readonly sentHeartbeats = new Map<string, object[]>();
   /** The HTTP statuses of the answers to each machine's heartbeats. */
@@ -486,7 +486,7 @@
   ): Promise<HttpResponse | null> {
     await this.clock.sleep(this.linkLatencyMs);
     const node = this.nodes[nodeIndex] as ControllerNode;
-    if (this.isCut(`n${nodeIndex}`, worker.id) || this.unheardMachines.has(worker.id)) return null;
+    if (this.isCut(`n${nodeIndex}`, worker.id) || this.machinesWithLostHeartbeats.has(worker.id)) return null;
     if (this.config.recordHeartbeats)
       this.sentHeartbeats.set(worker.id, [...(this.sentHeartbeats.get(worker.id) ?? []), body as object]);
     if (!node.handler) return { status: 502, body: {} };
