--- a/test/cluster/concurrent-machine-faults.test.ts
+++ b/test/cluster/concurrent-machine-faults.test.ts
@@ -1,6 +1,7 @@
 /**
- * Two troubles at once, at machines: held and lost commands, machines that hang, are deaf or mute, zones cut off, with
- * and without a change of owner. Each is brought about by an event and judged by the rules, in several phases.
+ * Two faults at once at machines: delayed or lost commands, machines that hang, cannot be reached or cannot report, and
+ * partitioned zones, each with and without a change of shard leader. Each test triggers its faults by an event, with
+ * several timings, and the invariants are checked throughout.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -26,32 +27,32 @@
 const countCompletions = (cluster: SimulatedCluster, taskId: string): number =>
   countMatchingLines(cluster, new RegExp(` ends ${taskId}: done$`));
 
-/** Steps until something holds; how long that took, in milliseconds. */
-async function until(
+/** Steps the cluster until the condition holds. Returns the elapsed milliseconds. */
+async function stepUntil(
   cluster: SimulatedCluster,
-  what: string,
+  description: string,
   condition: () => boolean,
   withinMs = 60_000,
 ): Promise<number> {
-  const from = cluster.clock.now();
+  const startedAt = cluster.clock.now();
   while (!condition()) {
     assert.ok(
-      cluster.clock.now() - from < withinMs,
-      `${what}: not within ${withinMs} ms\n${cluster.traceLines.join('\n')}`,
+      cluster.clock.now() - startedAt < withinMs,
+      `${description}: not within ${withinMs} ms\n${cluster.traceLines.join('\n')}`,
     );
     await cluster.step(50);
   }
-  return cluster.clock.now() - from;
+  return cluster.clock.now() - startedAt;
 }
 
-/** The owner of a part as the state service says, by its number; null: nobody. */
+/** Returns the number of the controller that leads a shard according to the state service, or null if none does. */
 function leaderOf(cluster: SimulatedCluster, shard: number): number | null {
-  const row = cluster.store.entries.get(`c/parts/${shard}`)?.data as { owner: string | null } | undefined;
-  return row?.owner ? Number(row.owner.slice(1)) : null;
+  const record = cluster.store.entries.get(`c/parts/${shard}`)?.data as { owner: string | null } | undefined;
+  return record?.owner ? Number(record.owner.slice(1)) : null;
 }
 
-/** Asks all nodes about a job; done is only said when every task has ended well. */
-async function poll(cluster: SimulatedCluster, id: string): Promise<string[]> {
+/** Polls a job at all nodes. Fails if a node reports `done` before every task has completed. */
+async function pollAllNodes(cluster: SimulatedCluster, id: string): Promise<string[]> {
   const states: string[] = [];
   for (const node of NODES) {
     const answer = await cluster.sendUserRequest(node, 'GET', `/v2/runs/${id}`);
@@ -71,21 +72,21 @@
     `${cluster.violations.join('; ')} in phase ${JSON.stringify(phase)}\n${cluster.traceLines.join('\n')}`,
   );
 
-/** Tasks that started, or are on a machine, after their job's user was told that it is cancelled. */
-const countStartsAfter = (cluster: SimulatedCluster, id: string, from: number): number =>
-  cluster.traceLines.slice(from).filter((l) => l.includes(` runs ${id}/`)).length;
+/** Counts starts of the job's tasks after a line of the trace, such as the one that confirms its cancellation. */
+const countStartsAfter = (cluster: SimulatedCluster, id: string, line: number): number =>
+  cluster.traceLines.slice(line).filter((l) => l.includes(` runs ${id}/`)).length;
 
-/** Runs `act` once, when the first order that fits has been executed. */
+/** Runs `action` once, when a worker has executed the first command that matches. */
 function onFirstExecution(
   cluster: SimulatedCluster,
-  fits: (command: WorkerCommand, worker: FakeWorker) => boolean,
-  act: (worker: FakeWorker) => void,
+  matches: (command: WorkerCommand, worker: FakeWorker) => boolean,
+  action: (worker: FakeWorker) => void,
 ): void {
-  let acted = false;
+  let triggered = false;
   cluster.onCommandExecuted = (worker, command) => {
-    if (acted || !fits(command, worker)) return;
-    acted = true;
-    act(worker);
+    if (triggered || !matches(command, worker)) return;
+    triggered = true;
+    action(worker);
   };
 }
 
@@ -94,33 +95,33 @@
 
 const ARRAY: JobOptions = { tasks: 6, runMs: 12_000, zone: 'east' };
 
-test('jobs bound to one zone, arrays too, lose machines one after the other: nothing runs elsewhere, all ends', async () => {
-  for (const lost of [1, 2, 3]) {
+test('jobs bound to one zone lose machines one after the other: no task runs in another zone, every job ends', async () => {
+  for (const lossCount of [1, 2, 3]) {
     const cluster = await startCluster('east', 'east', 'east', 'west', 'west');
     cluster.cloudCapacity = 3;
-    let events = 0;
+    let losses = 0;
     cluster.onCommandExecuted = (worker, command) => {
-      if (command.order !== 'launch' || worker.zone !== 'east' || events >= lost) return;
-      events += 1;
-      // While the task fetches its image, or just after it began.
-      cluster.clock.after(events % 2 === 0 ? 50 : 400, () => cluster.removeWorker(worker.id, 'lost'));
+      if (command.order !== 'launch' || worker.zone !== 'east' || losses >= lossCount) return;
+      losses += 1;
+      // In turn just after the task has started (400 ms) and while it fetches its image (50 ms).
+      cluster.clock.after(losses % 2 === 0 ? 50 : 400, () => cluster.removeWorker(worker.id, 'lost'));
     };
     await cluster.submit(1, 'req-1', ARRAY);
     await cluster.submit(0, 'req-2', { service: true, tasks: 2, zone: 'east' });
     await cluster.submit(2, 'req-3', { tasks: 2, runMs: 8000, zone: 'east', team: 'blue' });
     await cluster.step(90_000);
-    assertNoViolations(cluster, lost);
+    assertNoViolations(cluster, lossCount);
     for (const worker of machines(cluster, 'west')) assert.equal(worker.tasks.size, 0);
-    assert.deepEqual(await poll(cluster, 'req-1'), ['done', 'done', 'done']);
-    assert.deepEqual(await poll(cluster, 'req-3'), ['done', 'done', 'done']);
-    assert.ok((await poll(cluster, 'req-2')).includes('running'));
+    assert.deepEqual(await pollAllNodes(cluster, 'req-1'), ['done', 'done', 'done']);
+    assert.deepEqual(await pollAllNodes(cluster, 'req-3'), ['done', 'done', 'done']);
+    assert.ok((await pollAllNodes(cluster, 'req-2')).includes('running'));
     for (let i = 0; i < 6; i += 1) assert.equal(countCompletions(cluster, `req-1/${i}`), 1);
-    assertNoViolations(cluster, lost);
+    assertNoViolations(cluster, lossCount);
   }
 });
 
-/** The zone west with its controller and machines loses all else, but keeps working inside. */
-function cutWest(cluster: SimulatedCluster): void {
+/** Partitions the zone west: its controller and its machines reach each other and nothing else. */
+function partitionWest(cluster: SimulatedCluster): void {
   const inside = ['n1', ...machines(cluster, 'west').map((worker) => worker.id)];
   const outside = ['n0', 'n2', ...machines(cluster, 'east').map((worker) => worker.id)];
   for (const insideEnd of inside)
@@ -128,99 +129,107 @@
   cluster.store.disconnectedNodes.add('n1');
 }
 
-function restoreWest(cluster: SimulatedCluster): void {
+function healWest(cluster: SimulatedCluster): void {
   cluster.networkCuts.clear();
   cluster.store.disconnectedNodes.clear();
 }
 
-test('a job whose tasks must be together loses machines, then its zone: its tasks are never in two zones', async () => {
-  for (const ended of [0, 1, 2]) {
+test('a job bound to a single zone loses machines one by one, then the whole zone: its tasks never run in two zones', async () => {
+  for (const completedTasks of [0, 1, 2]) {
     const cluster = await startCluster('east', 'east', 'west', 'west');
-    const zones = new Set<string>();
+    const zonesAfterLoss = new Set<string>();
     for (let i = 0; i < 3; i += 1) cluster.taskRunMs.set(`req-1/${i}`, 4000 + 4000 * i);
     const body = { ...cluster.submissionBody('req-1', { tasks: 3, cpus: 4 }), samePlace: true };
     await cluster.sendUserRequest(0, 'POST', '/v2/runs', body);
-    await until(cluster, 'all run', () => [0, 1, 2].every((i) => countStarts(cluster, `req-1/${i}`) > 0));
-    await until(
+    await stepUntil(cluster, 'all tasks run', () =>
+      [0, 1, 2].every((i) => countStarts(cluster, `req-1/${i}`) > 0),
+    );
+    await stepUntil(
       cluster,
-      'an end',
-      () => [0, 1, 2].filter((i) => countCompletions(cluster, `req-1/${i}`) > 0).length >= ended,
+      'the completions',
+      () => [0, 1, 2].filter((i) => countCompletions(cluster, `req-1/${i}`) > 0).length >= completedTasks,
     );
-    // Until the end is in the job's record.
-    await cluster.step(ended > 0 ? 2500 : 50);
+    // Until the completions are in the job's record.
+    await cluster.step(completedTasks > 0 ? 2500 : 50);
     const zone = machines(cluster).find((worker) => worker.runningTasks().length > 0)?.zone ?? '';
     const busy = machines(cluster, zone).filter((worker) => worker.runningTasks().length > 0);
-    // One that holds a task, then the others of the zone; a new one comes much later.
+    // First the machines that hold tasks, then the others of the zone; replacements come much later.
     for (const worker of [...busy, ...machines(cluster, zone)]) {
       cluster.removeWorker(worker.id, 'lost');
       await cluster.step(1500);
     }
     for (let s = 0; s < 60; s += 1) {
       await cluster.step(1000);
-      const now = new Set(
+      const zonesInUse = new Set(
         machines(cluster)
           .filter((worker) => worker.runningTasks().length > 0)
           .map((worker) => worker.zone),
       );
-      for (const zoneInUse of now) zones.add(zoneInUse);
-      assert.ok(now.size <= 1, `in two zones at once\n${cluster.traceLines.join('\n')}`);
+      for (const zoneInUse of zonesInUse) zonesAfterLoss.add(zoneInUse);
+      assert.ok(zonesInUse.size <= 1, `in two zones at once\n${cluster.traceLines.join('\n')}`);
     }
-    assertNoViolations(cluster, ended);
-    // The strictest reading: once a task of the job has ended in a zone, the others belong there too.
-    if (ended > 0) assert.ok(!zones.has(zone === 'east' ? 'west' : 'east'), cluster.traceLines.join('\n'));
+    assertNoViolations(cluster, completedTasks);
+    // The strictest reading: once a task of the job has ended in a zone, the others must run there too.
+    if (completedTasks > 0)
+      assert.ok(!zonesAfterLoss.has(zone === 'east' ? 'west' : 'east'), cluster.traceLines.join('\n'));
     else
       assert.equal(
         countCompletions(cluster, 'req-1/2'),
         1,
-        cluster.traceLines.join('\n') + 'none had ended: all of it moved to the other zone',
+        cluster.traceLines.join('\n') + 'no task had completed: the whole job moves to the other zone',
       );
     cluster.addWorker('large', zone);
     cluster.addWorker('large', zone);
     await cluster.step(30_000);
-    assert.deepEqual(await poll(cluster, 'req-1'), ['done', 'done', 'done']);
-    assertNoViolations(cluster, ended);
+    assert.deepEqual(await pollAllNodes(cluster, 'req-1'), ['done', 'done', 'done']);
+    assertNoViolations(cluster, completedTasks);
   }
 });
 
-test('a zone with workers and a controller is partitioned for longer than the lease, and recovers: jobs cancelled meanwhile end', async () => {
-  // When the cut begins after the launch was executed, how long it lasts, and when the user cancels.
-  for (const [after, lasts, cancel] of [
+test('a zone with workers and a controller is partitioned for longer than the lease and recovers: jobs cancelled meanwhile end', async () => {
+  // In milliseconds: from the launch to the partition, its length, and from its beginning to the cancellation.
+  for (const [partitionDelayMs, partitionMs, cancelDelayMs] of [
     [0, 14_000, 500],
     [300, 20_000, 3000],
     [1200, 34_000, 9000],
     [700, 50_000, 100],
   ] as const) {
     const cluster = await startCluster('east', 'west', 'east', 'west');
-    let cutAt = 0;
+    let partitionedAt = 0;
     onFirstExecution(
       cluster,
       (command, worker) => command.order === 'launch' && worker.zone === 'west',
       () =>
-        cluster.clock.after(after, () => {
-          cutWest(cluster);
-          cutAt = cluster.clock.now();
+        cluster.clock.after(partitionDelayMs, () => {
+          partitionWest(cluster);
+          partitionedAt = cluster.clock.now();
         }),
     );
     await cluster.submit(1, 'req-1', { tasks: 3, runMs: 200_000, zone: 'west' });
     await cluster.submit(1, 'req-2', { tasks: 2, runMs: 30_000, zone: 'west' });
     await cluster.submit(0, 'req-3', { tasks: 4, runMs: 30_000, team: 'blue' });
-    await until(cluster, 'the cut', () => cutAt > 0);
-    await cluster.step(cancel);
+    await stepUntil(cluster, 'the partition', () => partitionedAt > 0);
+    await cluster.step(cancelDelayMs);
     await cluster.sendUserRequest(0, 'POST', '/v2/runs/req-1/abort');
     const cancelledAtLine = cluster.traceLines.length;
-    await cluster.step(Math.max(50, lasts - (cluster.clock.now() - cutAt)));
-    restoreWest(cluster);
+    await cluster.step(Math.max(50, partitionMs - (cluster.clock.now() - partitionedAt)));
+    healWest(cluster);
     await cluster.step(80_000);
-    assertNoViolations(cluster, [after, lasts, cancel]);
-    assert.equal(countStartsAfter(cluster, 'req-1', cancelledAtLine), 0, 'no start after the user was told');
-    assert.deepEqual(await poll(cluster, 'req-1'), ['cancelled', 'cancelled', 'cancelled']);
-    for (const id of ['req-2', 'req-3']) assert.deepEqual(await poll(cluster, id), ['done', 'done', 'done']);
-    assertNoViolations(cluster, [after, lasts, cancel]);
+    assertNoViolations(cluster, [partitionDelayMs, partitionMs, cancelDelayMs]);
+    assert.equal(
+      countStartsAfter(cluster, 'req-1', cancelledAtLine),
+      0,
+      'no start after the user was told of the cancellation',
+    );
+    assert.deepEqual(await pollAllNodes(cluster, 'req-1'), ['cancelled', 'cancelled', 'cancelled']);
+    for (const id of ['req-2', 'req-3'])
+      assert.deepEqual(await pollAllNodes(cluster, id), ['done', 'done', 'done']);
+    assertNoViolations(cluster, [partitionDelayMs, partitionMs, cancelDelayMs]);
   }
 });
 
-test('jobs of two or three tasks end far apart across a change of leader: no end is lost, repeated or foretold', async () => {
-  for (const [tasks, delay, stateAway] of [
+test('the tasks of a job complete 9 s apart across a change of leader: no completion is lost, repeated or reported early', async () => {
+  for (const [tasks, killDelayMs, progressDelayed] of [
     [2, 0, false],
     [2, 60, false],
     [3, 300, false],
@@ -232,29 +241,29 @@
     for (let i = 0; i < tasks; i += 1) cluster.taskRunMs.set(`req-1/${i}`, 3000 + 9000 * i);
     let leader: number | null = null;
     await cluster.submit(0, 'req-1', { tasks, cpus: 4, runMs: 3000 });
-    // Progress is held back, so that the end of the first task is known to its machine and owner alone.
-    if (stateAway)
+    // Progress writes take 4 s, so that only the machine and the shard leader know of the first completion.
+    if (progressDelayed)
       cluster.store.transactionDelayMs = (body) => (JSON.stringify(body).includes('c/live/req-1') ? 4000 : 0);
-    await until(cluster, 'the first end', () => countCompletions(cluster, 'req-1/0') > 0);
-    await cluster.step(Math.max(50, delay));
+    await stepUntil(cluster, 'the first completion', () => countCompletions(cluster, 'req-1/0') > 0);
+    await cluster.step(Math.max(50, killDelayMs));
     for (let shard = 0; shard < 3 && leader === null; shard += 1) {
       const record = cluster.store.entries.get('c/live/req-1')?.data as { parts: number[][] } | undefined;
-      if (record?.parts.some((insideEnd) => (insideEnd[0] as number) <= 0 && insideEnd[2] === shard))
+      if (record?.parts.some((range) => (range[0] as number) <= 0 && range[2] === shard))
         leader = leaderOf(cluster, shard);
     }
     cluster.killNode(leader ?? 0);
-    const died = cluster.clock.now();
-    while (cluster.clock.now() - died < 30_000 + 9000 * tasks) {
-      await poll(cluster, 'req-1');
+    const killedAt = cluster.clock.now();
+    while (cluster.clock.now() - killedAt < 30_000 + 9000 * tasks) {
+      await pollAllNodes(cluster, 'req-1');
       await cluster.step(400);
     }
     cluster.store.transactionDelayMs = () => 0;
-    assertNoViolations(cluster, [tasks, delay]);
+    assertNoViolations(cluster, [tasks, killDelayMs]);
     for (let i = 0; i < tasks; i += 1) {
       assert.equal(
         countCompletions(cluster, `req-1/${i}`),
         1,
-        `task ${i} ends once\n${cluster.traceLines.join('\n')}`,
+        `task ${i} completes once\n${cluster.traceLines.join('\n')}`,
       );
       assert.equal(
         countStarts(cluster, `req-1/${i}`),
@@ -262,112 +271,118 @@
         `task ${i} starts once\n${cluster.traceLines.join('\n')}`,
       );
     }
-    const states = await poll(cluster, 'req-1');
+    const states = await pollAllNodes(cluster, 'req-1');
     assert.equal(states.filter((s) => s === 'done').length, 2, states.join());
   }
 });
 
-test('a command or its answer is held up, and the machine goes on: nothing twice, nothing after a cancellation', async () => {
-  for (const kind of ['launch', 'kill', 'clear'] as const)
-    for (const how of ['held', 'answer lost', 'hanging'] as const)
-      for (const phase of [2200, 2800, 6000, 11_000]) {
+test('a command is delayed, its answer is lost, or its machine hangs: no task starts twice, and none after its cancellation', async () => {
+  for (const commandKind of ['launch', 'kill', 'clear'] as const)
+    for (const faultKind of ['delayed', 'answer lost', 'hanging'] as const)
+      for (const delayMs of [2200, 2800, 6000, 11_000]) {
         const cluster = await startCluster('east', 'east', 'west', 'east');
         cluster.hangingQueuesCommands = true;
         let faultCount = 0;
-        const fault = (call: { body?: unknown }): boolean => {
-          if (!containsCommand(call, kind) || faultCount >= 3) return false;
+        const injectFault = (call: { body?: unknown }): boolean => {
+          if (!containsCommand(call, commandKind) || faultCount >= 3) return false;
           faultCount += 1;
           return true;
         };
-        if (how === 'held') cluster.commandDelayMs = (_node, _worker, call) => (fault(call) ? phase : null);
-        if (how === 'answer lost') cluster.losesCommandAnswer = (_node, _worker, call) => fault(call);
-        if (how === 'hanging')
+        if (faultKind === 'delayed')
+          cluster.commandDelayMs = (_node, _worker, call) => (injectFault(call) ? delayMs : null);
+        if (faultKind === 'answer lost')
+          cluster.losesCommandAnswer = (_node, _worker, call) => injectFault(call);
+        if (faultKind === 'hanging')
           onFirstExecution(
             cluster,
-            (command) => command.order === kind,
+            (command) => command.order === commandKind,
             (worker) => {
               worker.hanging = true;
-              cluster.clock.after(phase, () => cluster.resume(worker.id));
+              cluster.clock.after(delayMs, () => cluster.resume(worker.id));
             },
           );
         await cluster.submit(0, 'req-1', { tasks: 6, runMs: 2500 });
         await cluster.submit(1, 'req-2', { tasks: 3, runMs: 200_000, team: 'blue' });
-        // So short that it has ended, by the launch in a report's answer, before a direct launch arrives late.
+        // So short that it starts by a heartbeat answer and completes before the delayed direct launch arrives.
         await cluster.submit(2, 'req-4', { tasks: 2, runMs: 150 });
         await cluster.submit(2, 'req-3', { service: true, tasks: 2, priority: 'critical', team: 'blue' });
         await cluster.step(1500);
         await cluster.sendUserRequest(0, 'POST', '/v2/runs/req-2/abort');
         const cancelledAtLine = cluster.traceLines.length;
         await cluster.step(45_000);
-        assertNoViolations(cluster, [kind, how, phase]);
+        assertNoViolations(cluster, [commandKind, faultKind, delayMs]);
         assert.equal(
           countStartsAfter(cluster, 'req-2', cancelledAtLine),
           0,
-          `starts after the cancellation\n${cluster.traceLines.join('\n')}`,
+          `no start after the cancellation\n${cluster.traceLines.join('\n')}`,
+        );
+        assert.deepEqual(
+          await pollAllNodes(cluster, 'req-1'),
+          ['done', 'done', 'done'],
+          `${commandKind} ${faultKind} ${delayMs}`,
         );
-        assert.deepEqual(await poll(cluster, 'req-1'), ['done', 'done', 'done'], `${kind} ${how} ${phase}`);
         for (const taskId of ['1/0', '1/1', '1/2', '1/3', '1/4', '1/5', '4/0', '4/1'])
           assert.equal(
             countStarts(cluster, `req-${taskId}`),
             1,
-            `${kind} ${how} ${phase} ${taskId}\n${cluster.traceLines.join('\n')}`,
+            `${commandKind} ${faultKind} ${delayMs} ${taskId}\n${cluster.traceLines.join('\n')}`,
           );
-        assert.ok((await poll(cluster, 'req-3')).includes('running'));
-        assertNoViolations(cluster, [kind, how, phase]);
+        assert.ok((await pollAllNodes(cluster, 'req-3')).includes('running'));
+        assertNoViolations(cluster, [commandKind, faultKind, delayMs]);
       }
 });
 
-test('machines reach no controller while commands reach them: their tasks end by lease expiry, also after a change of leader', async () => {
-  for (const [killLeader, lasts] of [
+test('heartbeats of machines are lost while commands reach them: their tasks end by lease expiry, also after a change of leader', async () => {
+  for (const [killLeader, lossMs] of [
     [false, 20_000],
     [false, 50_000],
     [true, 20_000],
     [true, 70_000],
   ] as const) {
     const cluster = await startCluster('east', 'east', 'west', 'west');
-    let muted: string | null = null;
+    let unheardMachine: string | null = null;
     onFirstExecution(
       cluster,
       (command, worker) => command.order === 'launch' && worker.zone === 'west',
       (worker) => {
-        muted = worker.id;
+        unheardMachine = worker.id;
         for (const worker of machines(cluster, 'west')) cluster.unheardMachines.add(worker.id);
         if (killLeader) cluster.clock.after(700, () => cluster.killNode(1));
       },
     );
     await cluster.submit(1, 'req-1', { tasks: 6, runMs: 14_000 });
     await cluster.submit(0, 'req-2', { tasks: 2, runMs: 200_000, zone: 'west', team: 'blue' });
-    await until(cluster, 'mute', () => muted !== null);
+    await stepUntil(cluster, 'the first launch in the west', () => unheardMachine !== null);
     await cluster.step(4000);
     await cluster.sendUserRequest(2, 'POST', '/v2/runs/req-2/abort');
     const cancelledAtLine = cluster.traceLines.length;
-    await cluster.step(lasts - 4000);
-    // Orders do not renew a lease: what ran there at first is gone, and its tasks run elsewhere by now.
-    assertNoViolations(cluster, [killLeader, lasts]);
+    await cluster.step(lossMs - 4000);
+    // Commands do not renew a lease: the tasks there have ended, and run on other machines by now.
+    assertNoViolations(cluster, [killLeader, lossMs]);
     assert.ok(countMatchingLines(cluster, /lease over, forgets/) > 0);
     assert.equal(countStartsAfter(cluster, 'req-2', cancelledAtLine), 0);
-    if (lasts >= 50_000)
+    if (lossMs >= 50_000)
       for (let i = 0; i < 6; i += 1)
         assert.equal(
           countCompletions(cluster, `req-1/${i}`),
           1,
-          `mute ${lasts}\n${cluster.traceLines.join('\n')}`,
+          `heartbeats lost for ${lossMs} ms\n${cluster.traceLines.join('\n')}`,
         );
     cluster.unheardMachines.clear();
     await cluster.step(60_000);
-    assertNoViolations(cluster, [killLeader, lasts]);
+    assertNoViolations(cluster, [killLeader, lossMs]);
     for (const node of killLeader ? [0, 2] : NODES)
       assert.equal((await cluster.sendUserRequest(node, 'GET', '/v2/runs/req-1')).body['status'], 'done');
     for (let i = 0; i < 6; i += 1) assert.ok(countCompletions(cluster, `req-1/${i}`) === 1);
   }
 });
 
-test('all controllers are away, for less and for more than the lease: nothing twice, done stays done, all ends', async () => {
-  for (const away of [400, 5000, 11_500, 12_500, 30_000]) {
+test('all controllers are down, for less and for more than the lease: no task runs twice, done stays done, every job ends', async () => {
+  for (const downMs of [400, 5000, 11_500, 12_500, 30_000]) {
     const cluster = await startCluster('east', 'east', 'east', 'east', 'west', 'west');
     await cluster.submit(0, 'req-0', { tasks: 1, runMs: 500 });
     await cluster.step(3000);
-    await poll(cluster, 'req-0');
+    await pollAllNodes(cluster, 'req-0');
     await cluster.submit(0, 'req-1', { tasks: 8, runMs: 15_000 });
     await cluster.submit(1, 'req-2', { service: true, tasks: 2, spread: true, team: 'blue' });
     let killed = false;
@@ -380,11 +395,11 @@
       },
     );
     await cluster.submit(2, 'req-3', { tasks: 3, runMs: 9000, team: 'blue' });
-    await until(cluster, 'all are killed', () => killed);
-    // One that holds tasks is reached a while after the others.
-    const slow = machines(cluster).find((worker) => worker.runningTasks().length > 0);
-    if (slow) for (const node of NODES) cluster.networkCuts.add(`n${node}|${slow.id}`);
-    await cluster.step(away);
+    await stepUntil(cluster, 'all controllers are killed', () => killed);
+    // A machine that holds tasks can be reached only some seconds after the others.
+    const lateMachine = machines(cluster).find((worker) => worker.runningTasks().length > 0);
+    if (lateMachine) for (const node of NODES) cluster.networkCuts.add(`n${node}|${lateMachine.id}`);
+    await cluster.step(downMs);
     await cluster.startNode(2);
     await cluster.step(900);
     await cluster.startNode(0);
@@ -392,35 +407,35 @@
     cluster.networkCuts.clear();
     await cluster.startNode(1);
     await cluster.step(75_000);
-    assertNoViolations(cluster, away);
+    assertNoViolations(cluster, downMs);
     for (const id of ['req-0', 'req-1', 'req-3'])
-      assert.deepEqual(await poll(cluster, id), ['done', 'done', 'done'], `${away} ${id}`);
+      assert.deepEqual(await pollAllNodes(cluster, id), ['done', 'done', 'done'], `${downMs} ${id}`);
     assert.equal(machines(cluster).flatMap((worker) => worker.runningTasks()).length, 2, 'the replicas run');
-    assertNoViolations(cluster, away);
+    assertNoViolations(cluster, downMs);
   }
 });
 
-test('old heartbeats arrive after newer ones, from an earlier agent epoch, attempt or leader: they free and start nothing', async () => {
+test('late copies of heartbeats, also from an earlier agent epoch or leader, free no allocation and start no task', async () => {
   for (const phase of [0, 1, 2, 3]) {
     const cluster = await startCluster('east', 'east', 'west', 'west');
     await cluster.submit(0, 'req-1', { tasks: 4, runMs: 9000, checkpointDurationS: 1 });
     await cluster.submit(1, 'req-2', { service: true, tasks: 2, spread: true, team: 'blue' });
     await cluster.step(2500);
     const busy = machines(cluster).filter((worker) => worker.runningTasks().length > 0);
-    // Phases: the same session; a new session; a new owner; a new owner that has just begun.
-    const first = busy[0] as FakeWorker;
-    if (phase === 1) first.restart();
+    // Phase 0: the same agent epoch; 1: a new agent epoch; 2: a new leader; 3: new leaders that have just started.
+    const firstBusy = busy[0] as FakeWorker;
+    if (phase === 1) firstBusy.restart();
     if (phase === 2) cluster.killNode(0);
     await cluster.step(phase === 2 ? 2500 : 700);
-    for (let again = 0; again < 3; again += 1) {
-      if (phase === 3 && again === 1) {
+    for (let round = 0; round < 3; round += 1) {
+      if (phase === 3 && round === 1) {
         for (const node of NODES) cluster.killNode(node);
         for (const node of NODES) await cluster.startNode(node);
       }
       for (const worker of busy)
-        for (const back of [1, 2, 4])
+        for (const heartbeatsBack of [1, 2, 4])
           for (const node of NODES) {
-            const body = (cluster.sentHeartbeats.get(worker.id) ?? []).at(-1 - back);
+            const body = (cluster.sentHeartbeats.get(worker.id) ?? []).at(-1 - heartbeatsBack);
             if (body) void cluster.request(node, 'POST', '/agent/beat', body);
             await cluster.step(phase === 3 ? 50 : 150);
           }
@@ -428,7 +443,7 @@
     }
     await cluster.step(60_000);
     assertNoViolations(cluster, phase);
-    const states = await poll(cluster, 'req-1');
+    const states = await pollAllNodes(cluster, 'req-1');
     assert.ok(states.filter((s) => s === 'done').length >= 2, `phase ${phase}: ${states.join()}`);
     assert.equal(machines(cluster).flatMap((worker) => worker.runningTasks()).length, 2, 'the replicas run');
     if (phase === 0) for (let i = 0; i < 4; i += 1) assert.equal(countStarts(cluster, `req-1/${i}`), 1);
@@ -436,8 +451,8 @@
   }
 });
 
-test('a cancelled task goes on after its machine hung, the kill lost, with and without a change of leader', async () => {
-  for (const [hangs, killLeader, orders] of [
+test('a machine hangs while its job is cancelled and the kill is lost: the task is stopped, with and without a change of leader', async () => {
+  for (const [hangMs, killLeader, commands] of [
     [3000, false, 'lost'],
     [9000, false, 'kept'],
     [11_500, false, 'lost'],
@@ -446,10 +461,12 @@
     [5000, true, 'lost'],
   ] as const) {
     const cluster = await startCluster('east', 'east', 'west');
-    cluster.hangingQueuesCommands = orders === 'kept';
+    cluster.hangingQueuesCommands = commands === 'kept';
     await cluster.submit(0, 'req-1', { tasks: 4, runMs: 300_000 });
     await cluster.submit(1, 'req-2', { service: true, tasks: 2, team: 'blue' });
-    await until(cluster, 'it runs', () => [0, 1, 2, 3].every((i) => countStarts(cluster, `req-1/${i}`) > 0));
+    await stepUntil(cluster, 'all tasks run', () =>
+      [0, 1, 2, 3].every((i) => countStarts(cluster, `req-1/${i}`) > 0),
+    );
     await cluster.step(1200);
     const hung = machines(cluster).filter((worker) =>
       worker.runningTasks().some((t) => t.taskId.startsWith('req-1/')),
@@ -459,17 +476,17 @@
     const hungAt = cluster.clock.now();
     await cluster.sendUserRequest(2, 'POST', '/v2/runs/req-1/abort');
     const cancelledAtLine = cluster.traceLines.length;
-    // Kills that reach a machine just as it goes on are lost as well: only its reports tell that the tasks live.
+    // Kills that arrive just after the machines resume are lost too: only heartbeats show that the tasks still run.
     cluster.commandDelayMs = (_node, _worker, call) => (containsCommand(call, 'kill') ? 1e9 : null);
     if (killLeader) {
       await cluster.step(600);
       cluster.killNode(0);
     }
-    await cluster.step(Math.max(50, hangs - (cluster.clock.now() - hungAt)));
+    await cluster.step(Math.max(50, hangMs - (cluster.clock.now() - hungAt)));
     for (const worker of hung) cluster.resume(worker.id);
-    cluster.trace('they go on');
+    cluster.trace('they resume');
     await cluster.step(45_000);
-    assertNoViolations(cluster, [hangs, killLeader, orders]);
+    assertNoViolations(cluster, [hangMs, killLeader, commands]);
     assert.equal(countStartsAfter(cluster, 'req-1', cancelledAtLine), 0);
     for (const worker of machines(cluster))
       assert.ok(!worker.runningTasks().some((t) => t.taskId.startsWith('req-1/')));
@@ -486,7 +503,7 @@
       (worker) => {
         unreachable = worker;
         cluster.unreachableMachines.add(worker.id);
-        // It cannot be deleted either, which would settle everything that it may hold.
+        // A deletion would prove that it runs nothing: the cloud has an outage, except for a faulty machine.
         cluster.cloudOutage = fault !== 'sick';
         if (fault === 'sick') worker.faulty = true;
         if (fault === 'leader at once') cluster.killNode(0);
@@ -495,12 +512,12 @@
     await cluster.submit(0, 'req-1', { tasks: 4, runMs: 20_000 });
     await cluster.submit(1, 'req-2', { service: true, tasks: 2, team: 'blue' });
     await cluster.submit(1, 'req-3', { tasks: 3, runMs: 100_000, team: 'blue' });
-    await until(cluster, 'deaf', () => unreachable !== null);
+    await stepUntil(cluster, 'an unreachable machine', () => unreachable !== null);
     const worker = unreachable as unknown as FakeWorker;
     await cluster.step(2500);
-    let launches = 0;
+    let launchesSent = 0;
     cluster.commandDelayMs = (_, id, call) => {
-      if (id === worker.id && containsCommand(call, 'launch')) launches += 1;
+      if (id === worker.id && containsCommand(call, 'launch')) launchesSent += 1;
       return null;
     };
     if (fault === 'leader') cluster.killNode(0);
@@ -512,11 +529,11 @@
     await cluster.sendUserRequest(2, 'POST', '/v2/runs/req-3/abort');
     const cancelledAtLine = cluster.traceLines.length;
     await cluster.step(75_000);
-    assert.equal(launches, 0, `${fault}: nothing new is sent to a machine that is not reached`);
+    assert.equal(launchesSent, 0, `${fault}: no launch is sent to an unreachable machine`);
     for (let i = 0; i < 4; i += 1)
       assert.ok(
         countCompletions(cluster, `req-1/${i}`) > 0,
-        `${fault}: what it held runs elsewhere\n${cluster.traceLines.join('\n')}`,
+        `${fault}: its tasks run on other machines\n${cluster.traceLines.join('\n')}`,
       );
     cluster.unreachableMachines.clear();
     cluster.cloudOutage = false;
@@ -524,7 +541,7 @@
     await cluster.step(30_000);
     assertNoViolations(cluster, fault);
     assert.equal(countStartsAfter(cluster, 'req-3', cancelledAtLine), 0);
-    const states = await poll(cluster, 'req-1');
+    const states = await pollAllNodes(cluster, 'req-1');
     assert.ok(states.filter((s) => s === 'done').length >= 2, `${fault}: ${states.join()}`);
     assert.equal(
       machines(cluster).flatMap((worker) => worker.runningTasks()).length,
--- a/test/cluster/concurrent-user-requests.test.ts
+++ b/test/cluster/concurrent-user-requests.test.ts
@@ -1,6 +1,6 @@
 /**
- * Users' requests that meet another trouble, or each other. Each test brings its meeting about by an event (a
- * transaction is applied, a cancellation is confirmed, a task ends) and is judged by the rules alone.
+ * User requests that coincide with a fault or with each other. Each test triggers the coincidence by an event (a
+ * transaction is applied, a cancellation is confirmed, a task ends), and the invariants are checked throughout.
  */
 import assert from 'node:assert/strict';
 import { connect, type AddressInfo, type Socket } from 'node:net';
@@ -22,69 +22,83 @@
 } from '../support/simulated-cluster.js';
 
 const NODES = [0, 1, 2];
-/** A task that was ordered just before its job was cancelled may start so much later, in seconds. */
+/** Seconds within which a task that was launched just before its job's cancellation may still start. */
 const IN_FLIGHT_S = 1.5;
-/** Milliseconds after an event at which all nodes are asked. */
-const BURST = [0, 1, 2, 5, 10, 20, 50];
-
-async function startCluster(...zones: string[]): Promise<{ world: SimulatedCluster; users: SimulatedUsers }> {
+/** Time of the simulated clock at the start of a trace, whose lines count from 0. */
+const CLOCK_START_MS = 1_000_000;
+/** Delays after an event at which all nodes are polled. */
+const BURST_DELAYS_MS = [0, 1, 2, 5, 10, 20, 50];
+
+async function startCluster(
+  ...zones: string[]
+): Promise<{ cluster: SimulatedCluster; users: SimulatedUsers }> {
   const cluster = new SimulatedCluster();
   for (const zone of zones) cluster.addWorker('large', zone);
   await cluster.start();
-  return { world: cluster, users: new SimulatedUsers(cluster) };
+  return { cluster, users: new SimulatedUsers(cluster) };
 }
 
-const changes = (body: TransactionBody): NonNullable<TransactionBody['apply']> => body.apply ?? [];
+const changesOf = (body: TransactionBody): NonNullable<TransactionBody['apply']> => body.apply ?? [];
 const putsUnder = (body: TransactionBody, prefix: string): boolean =>
-  changes(body).some((load) => load.put?.startsWith(prefix));
+  changesOf(body).some((change) => change.put?.startsWith(prefix));
 
-/** The job that a transaction accepts or ends. */
-function jobOf(body: TransactionBody): string | null {
+/** Returns the job that a transaction accepts or ends, or null for other transactions. */
+function acceptedOrEndedJob(body: TransactionBody): string | null {
   if (!isCreation(body) && !isEnd(body)) return null;
-  const entry = changes(body).find((load) => /^(c\/live|over)\//.test(load.put ?? ''));
+  const entry = changesOf(body).find((change) => /^(c\/live|over)\//.test(change.put ?? ''));
   return entry?.put?.split('/').at(-1) ?? null;
 }
 
 const isCreation = (body: TransactionBody): boolean =>
-  putsUnder(body, 'c/live/') && body.when.some((load) => load.path.startsWith('over/'));
-const isEnd = (body: TransactionBody): boolean => changes(body).some((load) => load.put?.startsWith('over/'));
-type Kind = 'submission' | 'cancellation' | 'end' | 'progress or hand-over' | 'claim' | 'share' | 'other';
-
-function kindOf(body: TransactionBody): Kind {
+  putsUnder(body, 'c/live/') && body.when.some((condition) => condition.path.startsWith('over/'));
+const isEnd = (body: TransactionBody): boolean =>
+  changesOf(body).some((change) => change.put?.startsWith('over/'));
+type TransactionKind =
+  | 'submission'
+  | 'cancellation'
+  | 'completion'
+  | 'progress or overflow'
+  | 'token claim'
+  | 'quota transfer'
+  | 'other';
+
+function classify(body: TransactionBody): TransactionKind {
   if (isCreation(body)) return 'submission';
   if (isCancellation(body)) return 'cancellation';
-  if (isEnd(body)) return 'end';
-  if (putsUnder(body, 'c/live/')) return 'progress or hand-over';
-  if (putsUnder(body, 'c/token')) return 'claim';
-  return putsUnder(body, 'c/quota/') ? 'share' : 'other';
+  if (isEnd(body)) return 'completion';
+  if (putsUnder(body, 'c/live/')) return 'progress or overflow';
+  if (putsUnder(body, 'c/token')) return 'token claim';
+  return putsUnder(body, 'c/quota/') ? 'quota transfer' : 'other';
 }
 
-const KINDS: readonly Kind[] = [
+const INJECTED_KINDS: readonly TransactionKind[] = [
   'submission',
   'cancellation',
-  'end',
-  'progress or hand-over',
-  'claim',
-  'share',
+  'completion',
+  'progress or overflow',
+  'token claim',
+  'quota transfer',
 ];
 
 const isCancellation = (body: TransactionBody): boolean =>
   isEnd(body) && JSON.stringify(body).includes('cancelled');
 
-/** Everybody asks about every job until it is over for all, or the time is up. */
+/**
+ * Polls every unfinished job each second, at one node after the other, until all are final or the time is up. Then
+ * polls and resubmits every job at all nodes, whose answers must agree.
+ */
 async function pollUntilFinal(
   cluster: SimulatedCluster,
   users: SimulatedUsers,
   ids: readonly string[],
-  seconds: number,
+  timeoutS: number,
 ): Promise<void> {
-  for (let second = 0; second < seconds; second += 1) {
-    const open = ids.filter((id) => users.finalStateOf(id) === null);
-    if (open.length === 0) break;
-    for (const id of open) void users.poll(second % NODES.length, id);
+  for (let second = 0; second < timeoutS; second += 1) {
+    const unfinished = ids.filter((id) => users.finalStateOf(id) === null);
+    if (unfinished.length === 0) break;
+    for (const id of unfinished) void users.poll(second % NODES.length, id);
     await cluster.step(1000);
   }
-  // Every node says the same of every job.
   for (const id of ids) {
     users.pollAndResubmitEverywhere(id, [0]);
     await cluster.step(300);
@@ -92,7 +106,7 @@
   await cluster.step(3000);
 }
 
-/** An answer, the clock moving on until it has come. */
+/** Steps the cluster until an answer has come, for at most 8 s. Returns status 0 if none has. */
 async function waitForAnswer(cluster: SimulatedCluster, answer: Promise<UserAnswer>): Promise<UserAnswer> {
   let received: UserAnswer | null = null;
   void answer.then((a) => (received = a));
@@ -101,57 +115,62 @@
 }
 
 const assertNoViolations = (cluster: SimulatedCluster): void =>
-  assert.deepEqual(cluster.violations, [], `rules broken:\n${cluster.traceLines.slice(-60).join('\n')}`);
+  assert.deepEqual(
+    cluster.violations,
+    [],
+    `invariant violations:\n${cluster.traceLines.slice(-60).join('\n')}`,
+  );
 
 /**
- * Starts of a cancelled job's tasks after its user was told so, but for those that were on their way: the owner hears of
- * the cancellation through its watch or from the peer that confirmed it, and a task starts when it has its image.
+ * Returns the starts of cancelled jobs' tasks after their user was told of the cancellation, except for launches in
+ * flight: the shard leader learns of the cancellation from its watch or from the peer that confirmed it, and a task
+ * starts once its image is fetched.
  */
 function startsAfterCancellation(cluster: SimulatedCluster, users: SimulatedUsers): string[] {
   return [...cluster.jobs.keys()].flatMap((id) => {
-    const at = users.cancelledAt(id);
-    if (at === null) return [];
-    const stamp = (at - 1_000_000) / 1000;
+    const cancelledAt = users.cancelledAt(id);
+    if (cancelledAt === null) return [];
+    const cancelledAtS = (cancelledAt - CLOCK_START_MS) / 1000;
     return cluster.traceLines.filter(
-      (l) => Number(l.slice(0, 6)) > stamp + IN_FLIGHT_S && l.includes(` runs ${id}/`),
+      (line) => Number(line.slice(0, 6)) > cancelledAtS + IN_FLIGHT_S && line.includes(` runs ${id}/`),
     );
   });
 }
 
-const key = (text: string): StoreKey => text as StoreKey;
+const storeKey = (text: string): StoreKey => text as StoreKey;
 const revision = (n: number): Revision => n as Revision;
-const at = (ms: number): SteadyMs => ms as SteadyMs;
+const steadyMs = (ms: number): SteadyMs => ms as SteadyMs;
 
-test('a write or a read that is answered late brings nothing back that the watch has shown to be gone', () => {
+test('a write or a read that is answered late does not restore a key that the watch has deleted', () => {
   const storeCache = new StoreCache(() => undefined);
-  const job = key('c/live/req-1');
-  storeCache.loadSnapshot([{ key: job, value: 'accepted', version: revision(3) }], revision(3), at(0));
-  // The watch shows a write of ours, and that the job is over; the write is answered only then.
+  const job = storeKey('c/live/req-1');
+  storeCache.loadSnapshot([{ key: job, value: 'accepted', version: revision(3) }], revision(3), steadyMs(0));
+  // The watch delivers our write and the end of the job before the write is answered.
   storeCache.applyEvents(
     [
       { key: job, value: 'progress', version: revision(4) },
       { key: job, value: undefined, version: revision(5) },
     ],
     revision(5),
-    at(10),
+    steadyMs(10),
   );
   storeCache.apply(job, 'progress', revision(4));
   assert.equal(storeCache.get(job), undefined);
   storeCache.apply(job, 'accepted', revision(3));
   assert.equal(storeCache.get(job), undefined);
-  // What the watch has not reached yet is news.
-  storeCache.apply(key('c/live/req-2'), 'accepted', revision(6));
-  assert.equal(storeCache.version(key('c/live/req-2')), 6);
+  // A revision that the watch has not reached yet is stored.
+  storeCache.apply(storeKey('c/live/req-2'), 'accepted', revision(6));
+  assert.equal(storeCache.version(storeKey('c/live/req-2')), 6);
 });
 
 test('progress is written at once and acknowledged late while another controller cancels the job', async () => {
   for (const delay of [50, 200, 600, 1200]) {
-    const { world: cluster, users } = await startCluster('east', 'west', 'east');
+    const { cluster, users } = await startCluster('east', 'west', 'east');
     await cluster.step(500);
     let cancelled = false;
     cluster.store.answerDelayMs = (_, call) =>
       JSON.stringify(call.body ?? '').includes('"done":[[') ? delay : 0;
-    // Progress has been written, and its writer does not know it yet: a user cancels elsewhere.
+    // Progress is stored, and its writer does not know yet: a user cancels at another node.
     cluster.store.onTransactionApplied = (body) => {
       if (cancelled || !putsUnder(body, 'c/live/') || isCreation(body)) return;
       cancelled = true;
@@ -168,18 +187,18 @@
   }
 });
 
-test('a cancellation that reads the record while the last task ends does not cancel what is done', async () => {
-  // The read is answered 800 ms late; the end is walked over it.
+test('a cancellation that reads the record while the last task ends does not cancel a done job', async () => {
+  // The read is answered 800 ms late; the run times move the end of the task across that window.
   for (let runMs = 1000; runMs <= 4600; runMs += 150) {
-    const { world: cluster, users } = await startCluster('east', 'west', 'east');
+    const { cluster, users } = await startCluster('east', 'west', 'east');
     await cluster.step(500);
     await waitForAnswer(cluster, users.submit(0, 'req-1', { runMs, zone: 'east' }));
-    // The first try is lost on its way, so that the second one reads the record first.
-    let tries = 0;
+    // The first attempt is lost, so that the second one reads the record first.
+    let attempts = 0;
     cluster.store.transactionFate = (node, body) => {
       if (node !== 'n1' || !isCancellation(body)) return 'normal';
-      tries += 1;
-      return tries === 1 ? { holdMs: 1e9 } : 'normal';
+      attempts += 1;
+      return attempts === 1 ? { holdMs: 1e9 } : 'normal';
     };
     cluster.store.answerDelayMs = (node, call) =>
       node === 'n1' && call.path.startsWith('/kv/c/live') ? 800 : 0;
@@ -196,28 +215,27 @@
 
 interface UserLoad {
   readonly jobs: number;
-  /** Between two submissions, on average, in milliseconds. */
-  readonly gap: number;
-  /** Of a hundred jobs, how many their users cancel. */
-  readonly cancelled: number;
+  /** Average interval between two submissions. */
+  readonly intervalMs: number;
+  readonly cancelledPercent: number;
   readonly options: (random: Random, index: number) => JobOptions;
 }
 
-/** Users who repeat themselves until they are answered, as the protocol says, at another node each time. */
-async function persist(
+/** Repeats a request each second until it is answered, as the protocol asks of users, at the next node each time. */
+async function retryUntilAnswered(
   cluster: SimulatedCluster,
-  from: number,
-  ask: (node: number) => Promise<UserAnswer>,
+  firstNode: number,
+  sendTo: (node: number) => Promise<UserAnswer>,
 ): Promise<UserAnswer> {
   for (let attempt = 0; ; attempt += 1) {
-    const answer = await ask((from + attempt) % NODES.length);
+    const answer = await sendTo((firstNode + attempt) % NODES.length);
     if (answer.status > 0 && answer.status < 429) return answer;
     if (attempt > 60) return answer;
     await cluster.clock.sleep(1000);
   }
 }
 
-/** Submits jobs and cancels some: a third of these at once, a third within a second, the others later. */
+/** Submits jobs and cancels some: a third of these at once, a third within 1 s, and the rest after 1 to 5 s. */
 async function runUserLoad(
   cluster: SimulatedCluster,
   users: SimulatedUsers,
@@ -229,62 +247,71 @@
     const id = `req-${index}`;
     ids.push(id);
     const options = load.options(random, index);
-    const accepted = persist(cluster, random(3), (node) => users.submit(node, id, options));
-    if (random(100) < load.cancelled) {
+    const accepted = retryUntilAnswered(cluster, random(3), (node) => users.submit(node, id, options));
+    if (random(100) < load.cancelledPercent) {
       const delay = [0, random(1000), 1000 + random(4000)][random(3)] ?? 0;
-      const cancel = (): Promise<UserAnswer> => persist(cluster, random(3), (node) => users.cancel(node, id));
+      const cancel = (): Promise<UserAnswer> =>
+        retryUntilAnswered(cluster, random(3), (node) => users.cancel(node, id));
       void accepted.then(() => cluster.clock.after(delay, () => void cancel()));
     }
-    await cluster.step(10 + random(2 * load.gap));
+    await cluster.step(10 + random(2 * load.intervalMs));
   }
   return ids;
 }
 
-test('all nodes are asked again and again right after a job is accepted, cancelled or ended', async () => {
+test('all nodes are polled repeatedly right after a job is accepted, cancelled or ended', async () => {
   for (let seed = 1; seed <= 6; seed += 1) {
-    const { world: cluster, users } = await startCluster('east', 'west', 'east');
+    const { cluster, users } = await startCluster('east', 'west', 'east');
     const random = seededRandom(seed);
-    // On every other run one controller is answered late.
-    const slow = `n${seed % 3}`;
-    cluster.store.answerDelayMs = (node) => (seed % 2 === 0 && node === slow ? random(400) : 0);
+    // With even seeds the store answers one controller up to 400 ms late.
+    const slowNode = `n${seed % 3}`;
+    cluster.store.answerDelayMs = (node) => (seed % 2 === 0 && node === slowNode ? random(400) : 0);
     cluster.store.onTransactionApplied = (body) => {
-      const id = jobOf(body);
-      if (id !== null) users.pollAndResubmitEverywhere(id, BURST);
+      const id = acceptedOrEndedJob(body);
+      if (id !== null) users.pollAndResubmitEverywhere(id, BURST_DELAYS_MS);
     };
     const options = (): JobOptions => ({ tasks: 1 + random(2), cpus: 1, runMs: 300 + random(2000) });
-    const ids = await runUserLoad(cluster, users, random, { jobs: 16, gap: 250, cancelled: 40, options });
+    const ids = await runUserLoad(cluster, users, random, {
+      jobs: 16,
+      intervalMs: 250,
+      cancelledPercent: 40,
+      options,
+    });
     await pollUntilFinal(cluster, users, ids, 30);
     assertNoViolations(cluster);
-    for (const id of ids) assert.notEqual(users.finalStateOf(id), null, `${id} is over`);
+    for (const id of ids) assert.notEqual(users.finalStateOf(id), null, `${id} is final`);
   }
 });
 
-test('a submission is answered late, when its repetition has been accepted and cancelled elsewhere', async () => {
+test('a submission is answered only after its repetition was accepted and cancelled at another node', async () => {
   for (const delay of [400, 700, 1400]) {
-    const { world: cluster, users } = await startCluster('east', 'west', 'east');
+    const { cluster, users } = await startCluster('east', 'west', 'east');
     await cluster.step(500);
     cluster.store.answerDelayMs = (node, call) => (node === 'n0' && call.path === '/txn' ? delay : 0);
-    let answer = false;
+    let repeated = false;
     cluster.store.onTransactionApplied = (body) => {
-      if (answer || !isCreation(body)) return;
-      answer = true;
+      if (repeated || !isCreation(body)) return;
+      repeated = true;
       void users.submit(1, 'req-1').then(() => users.cancel(1, 'req-1'));
     };
-    const late = await waitForAnswer(cluster, users.submit(0, 'req-1', { runMs: 60_000 }));
-    assert.deepEqual(late, { status: 200, state: 'cancelled' });
+    const lateAnswer = await waitForAnswer(cluster, users.submit(0, 'req-1', { runMs: 60_000 }));
+    assert.deepEqual(lateAnswer, { status: 200, state: 'cancelled' });
     await pollUntilFinal(cluster, users, ['req-1'], 5);
     assertNoViolations(cluster);
     assert.deepEqual(startsAfterCancellation(cluster, users), []);
   }
 });
 
-/** Every kind of write has met the trouble, or the test shows nothing about it. */
-function assertEveryKindOccurred(met: ReadonlyMap<Kind, number>): void {
-  const missed = KINDS.filter((kind) => (met.get(kind) ?? 0) === 0);
-  assert.deepEqual(missed, [], 'kinds of writes that did not meet the trouble');
+/** Fails if the fault was not injected into every kind of transaction: then the test shows nothing about that kind. */
+function assertEveryKindOccurred(faultsByKind: ReadonlyMap<TransactionKind, number>): void {
+  const missingKinds = INJECTED_KINDS.filter((kind) => (faultsByKind.get(kind) ?? 0) === 0);
+  assert.deepEqual(missingKinds, [], 'kinds of transactions without an injected fault');
 }
 
-/** Work for all parts at once: shares move, tasks are handed over, and a controller ends and comes back. */
+/**
+ * Runs load on all shards at once, so that quota moves and tasks overflow, then kills and restarts a controller.
+ * `endFault` is called before the last 12 s. Returns the submitted jobs.
+ */
 async function workDuringFailover(
   cluster: SimulatedCluster,
   users: SimulatedUsers,
@@ -298,29 +325,34 @@
     team: ['red', 'red', 'red', 'blue'][random(4)] ?? 'red',
   });
   const stoppedNode = random(3);
-  const first = await runUserLoad(cluster, users, random, { jobs: 12, gap: 250, cancelled: 40, options });
+  const ids = await runUserLoad(cluster, users, random, {
+    jobs: 12,
+    intervalMs: 250,
+    cancelledPercent: 40,
+    options,
+  });
   cluster.killNode(stoppedNode);
   await cluster.step(2000 + random(4000));
   await cluster.startNode(stoppedNode);
   await cluster.step(8000);
   endFault();
   await cluster.step(12_000);
-  return first;
+  return ids;
 }
 
-test('a transaction is carried out at once and its answer is lost, while all nodes read what it wrote', async () => {
-  const met = new Map<Kind, number>();
+test('a transaction is applied at once and its answer is lost, while all nodes read its writes', async () => {
+  const faultsByKind = new Map<TransactionKind, number>();
   for (let seed = 1; seed <= 6; seed += 1) {
-    const { world: cluster, users } = await startCluster('east', 'west', 'east', 'west', 'east');
+    const { cluster, users } = await startCluster('east', 'west', 'east', 'west', 'east');
     const random = seededRandom(seed);
     cluster.store.transactionFate = (_, body) => {
-      if (changes(body).length === 0 || random(100) >= 50) return 'normal';
-      met.set(kindOf(body), (met.get(kindOf(body)) ?? 0) + 1);
+      if (changesOf(body).length === 0 || random(100) >= 50) return 'normal';
+      faultsByKind.set(classify(body), (faultsByKind.get(classify(body)) ?? 0) + 1);
       return 'lose-answer';
     };
     cluster.store.onTransactionApplied = (body) => {
-      const id = jobOf(body);
-      if (id !== null) users.pollAndResubmitEverywhere(id, [...BURST, 200, 700, 1490, 1510, 1600]);
+      const id = acceptedOrEndedJob(body);
+      if (id !== null) users.pollAndResubmitEverywhere(id, [...BURST_DELAYS_MS, 200, 700, 1490, 1510, 1600]);
     };
     const ids = await workDuringFailover(
       cluster,
@@ -331,24 +363,24 @@
     await pollUntilFinal(cluster, users, ids, 60);
     assertNoViolations(cluster);
     assert.deepEqual(startsAfterCancellation(cluster, users), []);
-    for (const id of ids) assert.notEqual(users.finalStateOf(id), null, `${id} is over (seed ${seed})`);
+    for (const id of ids) assert.notEqual(users.finalStateOf(id), null, `${id} is final (seed ${seed})`);
   }
-  assertEveryKindOccurred(met);
+  assertEveryKindOccurred(faultsByKind);
 });
 
-test('transactions without an answer are carried out 2 to 12 s late, after newer ones', async () => {
-  const met = new Map<Kind, number>();
+test('unanswered transactions are applied 2 to 12 s late, after newer ones', async () => {
+  const faultsByKind = new Map<TransactionKind, number>();
   for (let seed = 1; seed <= 8; seed += 1) {
-    const { world: cluster, users } = await startCluster('east', 'west', 'east', 'west', 'east');
+    const { cluster, users } = await startCluster('east', 'west', 'east', 'west', 'east');
     const random = seededRandom(seed);
     cluster.store.transactionFate = (_, body) => {
-      if (changes(body).length === 0 || random(100) >= 30) return 'normal';
-      met.set(kindOf(body), (met.get(kindOf(body)) ?? 0) + 1);
+      if (changesOf(body).length === 0 || random(100) >= 30) return 'normal';
+      faultsByKind.set(classify(body), (faultsByKind.get(classify(body)) ?? 0) + 1);
       return { holdMs: 2000 + random(10_000) };
     };
     cluster.store.onTransactionApplied = (body) => {
-      const id = jobOf(body);
-      if (id !== null) users.pollAndResubmitEverywhere(id, BURST);
+      const id = acceptedOrEndedJob(body);
+      if (id !== null) users.pollAndResubmitEverywhere(id, BURST_DELAYS_MS);
     };
     const ids = await workDuringFailover(
       cluster,
@@ -359,33 +391,33 @@
     await pollUntilFinal(cluster, users, ids, 60);
     assertNoViolations(cluster);
     assert.deepEqual(startsAfterCancellation(cluster, users), []);
-    for (const id of ids) assert.notEqual(users.finalStateOf(id), null, `${id} is over (seed ${seed})`);
+    for (const id of ids) assert.notEqual(users.finalStateOf(id), null, `${id} is final (seed ${seed})`);
   }
-  assertEveryKindOccurred(met);
+  assertEveryKindOccurred(faultsByKind);
 });
 
-/** Holds back the first transaction of a kind; the next ones pass. */
-function delayFirst(cluster: SimulatedCluster, kind: Kind, delayMs: number): void {
+/** Delays the first transaction of a kind; later ones pass. */
+function delayFirst(cluster: SimulatedCluster, kind: TransactionKind, delayMs: number): void {
   let isDelayed = false;
   cluster.store.transactionFate = (_, body) => {
-    if (isDelayed || kindOf(body) !== kind) return 'normal';
+    if (isDelayed || classify(body) !== kind) return 'normal';
     isDelayed = true;
     return { holdMs: delayMs };
   };
 }
 
-test('a late copy of a submission, a cancellation or an end finds that its job is over and changes nothing', async () => {
-  for (const kind of ['submission', 'cancellation', 'end'] as const) {
+test('a submission, cancellation or completion that is applied late finds its job ended and changes nothing', async () => {
+  for (const kind of ['submission', 'cancellation', 'completion'] as const) {
     for (let delayMs = 2000; delayMs <= 12_000; delayMs += 2500) {
-      const { world: cluster, users } = await startCluster('east', 'west', 'east');
+      const { cluster, users } = await startCluster('east', 'west', 'east');
       await cluster.step(500);
       delayFirst(cluster, kind, delayMs);
-      const submitted = persist(cluster, 0, (node) => users.submit(node, 'req-1', { runMs: 400 }));
+      const submitted = retryUntilAnswered(cluster, 0, (node) => users.submit(node, 'req-1', { runMs: 400 }));
       await waitForAnswer(cluster, submitted);
       if (kind !== 'submission')
         await waitForAnswer(
           cluster,
-          persist(cluster, 1, (n) => users.cancel(n, 'req-1')),
+          retryUntilAnswered(cluster, 1, (n) => users.cancel(n, 'req-1')),
         );
       await pollUntilFinal(cluster, users, ['req-1'], 10);
       await cluster.step(14_000);
@@ -401,8 +433,8 @@
   }
 });
 
-test('a cancellation, questions and a repeated submission meet the end of the last task, every 5 ms', async () => {
-  const { world: cluster, users } = await startCluster('east', 'west', 'east', 'west');
+test('a cancellation, polls and a repeated submission coincide with the end of the last task, at offsets 5 ms apart', async () => {
+  const { cluster, users } = await startCluster('east', 'west', 'east', 'west');
   const runMs = 1000;
   const ids: string[] = [];
   const trace = cluster.trace.bind(cluster);
@@ -414,60 +446,60 @@
     const offset = -100 + 5 * Number(number);
     cluster.clock.after(runMs + offset, () => {
       const node = Number(number) % NODES.length;
-      void persist(cluster, node, (n) => users.cancel(n, id));
+      void retryUntilAnswered(cluster, node, (n) => users.cancel(n, id));
       users.pollAndResubmitEverywhere(id, [0, 5, 50, 300]);
     });
   };
   for (let i = 0; i <= 160; i += 1) {
     ids.push(`req-${i}`);
-    void persist(cluster, i % 3, (node) => users.submit(node, `req-${i}`, { cpus: 1, runMs }));
+    void retryUntilAnswered(cluster, i % 3, (node) => users.submit(node, `req-${i}`, { cpus: 1, runMs }));
     await cluster.step(300);
   }
   await pollUntilFinal(cluster, users, ids, 20);
   assertNoViolations(cluster);
   const finals = ids.map((id) => users.finalStateOf(id));
   const count = (state: string): number => finals.filter((f) => f === state).length;
-  assert.equal(count('done') + count('cancelled'), ids.length, 'every job is over');
-  assert.ok(count('done') >= 10 && count('cancelled') >= 10, 'the walk crosses the end');
+  assert.equal(count('done') + count('cancelled'), ids.length, 'every job is final');
+  assert.ok(count('done') >= 10 && count('cancelled') >= 10, 'the offsets span the end of the task');
 });
 
-test('a hand-over without an answer keeps its tasks from starting here, for it may be applied late', async () => {
+test('an unanswered overflow write keeps its tasks from starting here, since it may be applied late', async () => {
   for (let delayMs = 3000; delayMs <= 9000; delayMs += 1500) {
-    const { world: cluster, users } = await startCluster('east', 'west');
-    const full = { tasks: 4, team: 'blue' };
-    await waitForAnswer(cluster, users.submit(0, 'req-1', { ...full, zone: 'east', runMs: 4500 }));
-    await waitForAnswer(cluster, users.submit(1, 'req-2', { ...full, zone: 'west', runMs: 2500 }));
+    const { cluster, users } = await startCluster('east', 'west');
+    const fullZone = { tasks: 4, team: 'blue' };
+    await waitForAnswer(cluster, users.submit(0, 'req-1', { ...fullZone, zone: 'east', runMs: 4500 }));
+    await waitForAnswer(cluster, users.submit(1, 'req-2', { ...fullZone, zone: 'west', runMs: 2500 }));
     await cluster.step(1000);
-    // Accepted while nobody has room; the west has room first, and then the east.
+    // Accepted while no shard has capacity; capacity becomes free in the west first, and then in the east.
     await waitForAnswer(cluster, users.submit(0, 'req-3', { runMs: 15_000 }));
     let held = 0;
     cluster.store.transactionFate = (_, body) => {
-      if (kindOf(body) !== 'progress or hand-over' || !JSON.stringify(body).includes('req-3'))
+      if (classify(body) !== 'progress or overflow' || !JSON.stringify(body).includes('req-3'))
         return 'normal';
       held += 1;
       return { holdMs: delayMs };
     };
     await pollUntilFinal(cluster, users, ['req-1', 'req-2', 'req-3'], 40);
-    assert.ok(held > 0, 'the job was handed over');
+    assert.ok(held > 0, 'the overflow was written');
     assertNoViolations(cluster);
     assert.equal(cluster.traceLines.filter((l) => l.includes(' runs req-3/0')).length, 1);
   }
 });
 
-/** Limits that are enforced, and room for the jobs that come. */
+/** The small cluster with enforced limits of the state service. */
 const RATE_LIMITED_CLUSTER: ClusterConfig = {
   ...SMALL_CLUSTER,
   storeLimits: { ...SMALL_CLUSTER.storeLimits, enforced: true },
 };
 
-test('one-task jobs come four a second for two minutes, a quarter of them cancelled', async () => {
+test('four one-task jobs a second for two minutes, a quarter of them cancelled, stay within the limits', async () => {
   const cluster = new SimulatedCluster(RATE_LIMITED_CLUSTER);
   for (let i = 0; i < 9; i += 1) cluster.addWorker('large', i % 2 === 0 ? 'east' : 'west');
   await cluster.start();
   const users = new SimulatedUsers(cluster);
   const random = seededRandom(7);
   cluster.store.onTransactionApplied = (body) => {
-    const id = jobOf(body);
+    const id = acceptedOrEndedJob(body);
     if (id !== null && isEnd(body)) users.pollAndResubmitEverywhere(id, [0, 20]);
   };
   // The teams are near their limits, and at times beyond them.
@@ -476,53 +508,63 @@
     runMs: 1000 + random(3000),
     team: random(2) === 0 ? 'red' : 'blue',
   });
-  const from = cluster.store.changes.total;
-  const ids = await runUserLoad(cluster, users, random, { jobs: 480, gap: 240, cancelled: 25, options });
-  const changesAJob = (cluster.store.changes.total - from) / ids.length;
+  const changesBefore = cluster.store.changes.total;
+  const ids = await runUserLoad(cluster, users, random, {
+    jobs: 480,
+    intervalMs: 240,
+    cancelledPercent: 25,
+    options,
+  });
+  const changesPerJob = (cluster.store.changes.total - changesBefore) / ids.length;
   await pollUntilFinal(cluster, users, ids, 60);
   assertNoViolations(cluster);
-  const over = ids.filter((id) => users.finalStateOf(id) !== null).length;
-  assert.equal(over, ids.length, 'all jobs are over');
+  const finalJobs = ids.filter((id) => users.finalStateOf(id) !== null).length;
+  assert.equal(finalJobs, ids.length, 'all jobs are final');
   assert.deepEqual(startsAfterCancellation(cluster, users), []);
-  // Accepted, ended (two changes), and a little for the rest.
-  assert.ok(changesAJob < 4.5, `${changesAJob} changes a job`);
+  // One change for the acceptance, two for the end, and some for the rest.
+  assert.ok(changesPerJob < 4.5, `${changesPerJob} changes a job`);
   assert.equal(cluster.store.observed.rateLimited, 0, 'no request beyond the limits');
 });
 
-test('the state service answers after up to a second while users cancel and ask', async () => {
+test('the state service answers after up to a second while users cancel and poll', async () => {
   for (let seed = 1; seed <= 8; seed += 1) {
-    const { world: cluster, users } = await startCluster('east', 'west', 'east');
+    const { cluster, users } = await startCluster('east', 'west', 'east');
     const random = seededRandom(seed);
-    // All controllers, or one of them.
+    // Seeds 3 and 7 slow all controllers, the others one of them.
     const slow = (node: string): boolean => seed % 4 === 3 || node === `n${seed % 4}`;
     cluster.store.answerDelayMs = (node) => (slow(node) ? 300 + random(700) : 0);
     cluster.store.onTransactionApplied = (body) => {
-      const id = jobOf(body);
-      if (id !== null) users.pollAndResubmitEverywhere(id, BURST);
+      const id = acceptedOrEndedJob(body);
+      if (id !== null) users.pollAndResubmitEverywhere(id, BURST_DELAYS_MS);
     };
     const options = (): JobOptions => ({ tasks: 1 + random(3), cpus: 1, runMs: 500 + random(4000) });
-    const ids = await runUserLoad(cluster, users, random, { jobs: 12, gap: 500, cancelled: 50, options });
+    const ids = await runUserLoad(cluster, users, random, {
+      jobs: 12,
+      intervalMs: 500,
+      cancelledPercent: 50,
+      options,
+    });
     await pollUntilFinal(cluster, users, ids, 60);
     assertNoViolations(cluster);
-    // The watch is answered late as well; the notice of the peer that confirmed is not.
+    // Watches are answered late as well; the notice from the peer that confirmed the cancellation is not late.
     assert.deepEqual(startsAfterCancellation(cluster, users), []);
-    for (const id of ids) assert.notEqual(users.finalStateOf(id), null, `${id} is over (seed ${seed})`);
+    for (const id of ids) assert.notEqual(users.finalStateOf(id), null, `${id} is final (seed ${seed})`);
   }
 });
 
-test('the leader alone is refused, then everybody for longer than cancel_s, while users cancel and ask', async () => {
-  // The cancellation is confirmed elsewhere; the outage begins at each of these times after it.
-  for (const outageAfter of [0, 100, 500, 1500, 3000]) {
-    for (let phase = 0; phase < SMALL_CLUSTER.heartbeatIntervalS * 1000; phase += 500) {
-      const { world: cluster, users } = await startCluster('east', 'west', 'east');
+test('the store refuses the leader alone, then all nodes for longer than cancel_s, while users cancel and poll', async () => {
+  // Milliseconds from the confirmed cancellation, at another node, to the outage.
+  for (const outageDelayMs of [0, 100, 500, 1500, 3000]) {
+    for (let phaseMs = 0; phaseMs < SMALL_CLUSTER.heartbeatIntervalS * 1000; phaseMs += 500) {
+      const { cluster, users } = await startCluster('east', 'west', 'east');
       await waitForAnswer(cluster, users.submit(0, 'req-1', { tasks: 4, service: true, zone: 'east' }));
-      await cluster.step(2000 + phase);
+      await cluster.step(2000 + phaseMs);
       cluster.store.refusedNodes.add('n0');
       await waitForAnswer(
         cluster,
-        persist(cluster, 1, () => users.cancel(1, 'req-1')),
+        retryUntilAnswered(cluster, 1, () => users.cancel(1, 'req-1')),
       );
-      await cluster.step(outageAfter);
+      await cluster.step(outageDelayMs);
       cluster.store.outage = true;
       for (let second = 0; second < SMALL_CLUSTER.cancelS + 10; second += 1) {
         for (const node of NODES) void users.poll(node, 'req-1');
@@ -541,7 +583,7 @@
   }
 });
 
-/** Bodies that no new job could have, and that must not hurt a known one. */
+/** Returns bodies that are refused for a new job and must not affect an existing one. */
 const malformedBodies = (body: Record<string, unknown>): Record<string, unknown>[] => {
   const { crew, ...withoutTeam } = body;
   return [
@@ -558,7 +600,7 @@
 
 test('malformed repeated submissions never affect an existing job, and impossible jobs are refused with a message, also during a failover', async () => {
   for (let seed = 1; seed <= 3; seed += 1) {
-    const { world: cluster, users } = await startCluster('east', 'west', 'east');
+    const { cluster, users } = await startCluster('east', 'west', 'east');
     const random = seededRandom(seed);
     await waitForAnswer(cluster, users.submit(0, 'req-1', { service: true, tasks: 2 }));
     await waitForAnswer(cluster, users.submit(1, 'req-2', { tasks: 2, runMs: 20_000 }));
@@ -568,44 +610,46 @@
     await cluster.step(3000);
     await waitForAnswer(cluster, users.poll(0, 'req-3'));
     assert.equal(users.finalStateOf('req-3'), 'done');
-    const known = ['req-1', 'req-2', 'req-3', 'req-4'];
-    const impossible: string[] = [];
-    const plain = cluster.submissionBody('req-plain');
-    const verdicts = new Set<number>();
+    const existing = ['req-1', 'req-2', 'req-3', 'req-4'];
+    const refusedIds: string[] = [];
+    const validBody = cluster.submissionBody('req-plain');
+    const statuses = new Set<number>();
     for (let round = 0; round < 100; round += 1) {
       if (round === 10) cluster.killNode(seed % 3);
       if (round === 40 + random(20)) await cluster.startNode(seed % 3);
       if (round === 70) await cluster.startNode(seed % 3);
-      const id = known[random(4)] ?? '';
-      for (const body of malformedBodies({ ...plain, uid: id })) void users.submitBody(random(3), id, body);
+      const id = existing[random(4)] ?? '';
+      for (const body of malformedBodies({ ...validBody, uid: id }))
+        void users.submitBody(random(3), id, body);
       void users.cancel(random(3), random(2) === 0 ? 'req-3' : 'req-4');
-      const fresh = `req-odd-${round}`;
-      impossible.push(fresh);
-      const odd = malformedBodies({ ...plain, uid: fresh })[random(7)];
-      const answer = cluster.request(random(3), 'POST', '/v2/runs', odd);
+      const newId = `req-odd-${round}`;
+      refusedIds.push(newId);
+      const malformed = malformedBodies({ ...validBody, uid: newId })[random(7)];
+      const answer = cluster.request(random(3), 'POST', '/v2/runs', malformed);
       void answer.then((response) => {
-        verdicts.add(response?.status ?? 0);
+        statuses.add(response?.status ?? 0);
         const text = (response?.body as { error?: string } | undefined)?.error;
-        if (response && !text) cluster.violations.push(`${fresh} answered ${response.status} without a text`);
+        if (response && !text)
+          cluster.violations.push(`${newId} answered ${response.status} without an error text`);
       });
       await cluster.step(200);
     }
     await cluster.step(5000);
-    for (const id of impossible) {
+    for (const id of refusedIds) {
       const answer = await waitForAnswer(cluster, users.poll(random(3), id));
       assert.equal(answer.status, 404, `${id} was never accepted`);
     }
     await pollUntilFinal(cluster, users, ['req-2'], 30);
     assertNoViolations(cluster);
-    assert.ok([400, 422].every((status) => verdicts.has(status)));
-    assert.ok([...verdicts].every((status) => [0, 400, 422, 503].includes(status)));
+    assert.ok([400, 422].every((status) => statuses.has(status)));
+    assert.ok([...statuses].every((status) => [0, 400, 422, 503].includes(status)));
     assert.equal(users.finalStateOf('req-2'), 'done');
     assert.equal(cluster.traceLines.filter((l) => l.includes('runs req-odd')).length, 0);
   }
 });
 
-/** Sends bytes, perhaps ends there, and resolves with all that came until the connection was closed. */
-function exchange(sockets: Socket[], port: number, bytes: string, ends: boolean): Promise<string> {
+/** Sends bytes, optionally ends the stream, and resolves with all that arrives until the connection is closed. */
+function exchange(sockets: Socket[], port: number, bytes: string, endsStream: boolean): Promise<string> {
   return new Promise((resolve) => {
     const socket = connect(port, '127.0.0.1');
     sockets.push(socket);
@@ -613,13 +657,13 @@
     socket.on('data', (data) => (received += data.toString()));
     socket.on('error', () => undefined);
     socket.on('close', () => resolve(received));
-    if (ends) socket.end(bytes);
+    if (endsStream) socket.end(bytes);
     else socket.write(bytes);
   });
 }
 
-test('garbage, oversized and half-sent requests during a failover are answered or closed, and nothing is lost', async () => {
-  const { world: cluster, users } = await startCluster('east', 'west', 'east');
+test('malformed, oversized and incomplete requests during a failover are answered or closed, and no job is lost', async () => {
+  const { cluster, users } = await startCluster('east', 'west', 'east');
   const options = {
     maxConnections: 100,
     receiveTimeout: millis(300),
@@ -658,22 +702,22 @@
     ];
     cluster.killNode(0);
     const exchanges: Promise<string>[] = [];
-    let open = 0;
+    let openConnections = 0;
     for (let round = 0; round < 6; round += 1) {
       for (const port of ports)
-        for (const [bytes, ends] of cases) {
-          open += 1;
-          exchanges.push(exchange(sockets, port, bytes, ends).finally(() => (open -= 1)));
+        for (const [bytes, endsStream] of cases) {
+          openConnections += 1;
+          exchanges.push(exchange(sockets, port, bytes, endsStream).finally(() => (openConnections -= 1)));
         }
       if (round === 3) await cluster.startNode(0);
-      for (let i = 0; i < 400 && open > 0; i += 1) {
+      for (let i = 0; i < 400 && openConnections > 0; i += 1) {
         await cluster.step(5);
         await new Promise((resolve) => setTimeout(resolve, 2));
       }
-      assert.equal(open, 0, 'every connection is answered or closed');
+      assert.equal(openConnections, 0, 'every connection is answered or closed');
     }
     for (const text of await Promise.all(exchanges))
-      assert.match(text, /^$|^HTTP\/1\.1 (200|4\d\d|503) /, 'refused, or nothing');
+      assert.match(text, /^$|^HTTP\/1\.1 (200|4\d\d|503) /, 'an answer with one of these statuses, or none');
     await pollUntilFinal(cluster, users, ['req-1'], 60);
     assertNoViolations(cluster);
     assert.equal(users.finalStateOf('req-1'), 'done');
@@ -683,33 +727,38 @@
   }
 });
 
-test('after a restart of all amid an outage every job is known within 75 s, asked by hundreds at once', async () => {
+test('after all controllers restart in an outage every job is known within 75 s, while hundreds of users poll at once', async () => {
   const cluster = new SimulatedCluster(RATE_LIMITED_CLUSTER);
   for (let i = 0; i < 6; i += 1) cluster.addWorker('large', i % 2 === 0 ? 'east' : 'west');
   await cluster.start();
-  const before = new SimulatedUsers(cluster);
+  const users = new SimulatedUsers(cluster);
   const random = seededRandom(3);
   const options = (): JobOptions => ({ cpus: 1, runMs: 300 + random(3) * 40_000 });
-  const ids = await runUserLoad(cluster, before, random, { jobs: 120, gap: 250, cancelled: 30, options });
+  const ids = await runUserLoad(cluster, users, random, {
+    jobs: 120,
+    intervalMs: 250,
+    cancelledPercent: 30,
+    options,
+  });
   await cluster.step(5000);
   for (const node of NODES) cluster.killNode(node);
   cluster.store.outage = true;
   await cluster.start();
   await cluster.step(40_000);
   cluster.store.endOutage();
-  const from = cluster.clock.now();
+  const outageEndedAt = cluster.clock.now();
   const knownAfter = new Map<string, number>();
   for (let tick = 0; tick < 300 && knownAfter.size < ids.length; tick += 1) {
-    // Every user asks every 5 s, and all of them at the same moment; others ask about jobs that nobody submitted.
+    // All users poll at the same moment, every 5 s; others poll jobs that nobody submitted.
     if (tick % 20 === 0)
       for (const [index, id] of ids.entries()) {
-        const asked = cluster.clock.now();
-        void before.poll((index + tick / 20) % 3, id).then((answer) => {
+        const polledAt = cluster.clock.now();
+        void users.poll((index + tick / 20) % 3, id).then((answer) => {
           const now = cluster.clock.now();
-          if (answer.status === 200 && now - asked <= 2000 && !knownAfter.has(id))
-            knownAfter.set(id, now - from);
+          if (answer.status === 200 && now - polledAt <= 2000 && !knownAfter.has(id))
+            knownAfter.set(id, now - outageEndedAt);
         });
-        for (const node of NODES) void before.poll(node, `req-nobody-${tick}-${index}`);
+        for (const node of NODES) void users.poll(node, `req-nobody-${tick}-${index}`);
       }
     await cluster.step(250);
   }
