--- a/test/cluster/invariant-checker.test.ts
+++ b/test/cluster/invariant-checker.test.ts
@@ -1,4 +1,4 @@
-/** The judge of the stand-ins: each rule is seen to break at the event that breaks it, and not before. */
+/** The invariant checker reports each violation at the event that causes it, and not before. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -21,7 +21,7 @@
     this.violations,
   );
 
-  /** Describes a job and has it accepted. */
+  /** Describes a job and reports that a user was told of its acceptance. */
   accept(options: Partial<JobDescription> = {}): void {
     this.checker.describeJob({
       id: 'req-1',
@@ -40,8 +40,8 @@
   }
 
   exchange(method: string, path: string, status: number, state?: string, body?: unknown): void {
-    const question = this.checker.requestSent(method, path, body);
-    this.checker.responseReceived({ method, path, status, jobState: state }, body, question);
+    const knowledge = this.checker.requestSent(method, path, body);
+    this.checker.responseReceived({ method, path, status, jobState: state }, body, knowledge);
   }
 
   get(status: number, state?: string): void {
@@ -63,13 +63,13 @@
 
 function assertViolates(
   rule: RegExp,
-  act: (fixture: CheckerFixture) => void,
+  action: (fixture: CheckerFixture) => void,
   options: Partial<JobDescription> = {},
 ): void {
   const fixture = new CheckerFixture();
   fixture.accept(options);
   assert.deepEqual(fixture.violations, []);
-  act(fixture);
+  action(fixture);
   assert.equal(fixture.violations.length, 1, `${rule}: ${fixture.violations.join(', ')}`);
   assert.match(fixture.violations[0] ?? '', rule);
 }
@@ -99,7 +99,7 @@
   });
 });
 
-test('quota: CPUs and GPUs at the start that exceeds them', () => {
+test('quota: CPUs and GPUs, at the start that exceeds the limit', () => {
   assertViolates(/^quota red: 6 CPUs/, (fixture) => [0, 1, 2].forEach((i) => fixture.start(i)), { tasks: 3 });
   assertViolates(/^quota red: 2 GPUs/, (fixture) => [0, 1].forEach((i) => fixture.start(i)), { gpus: 1 });
 });
@@ -121,7 +121,7 @@
   );
 });
 
-test('ran_cancelled: still there, gone late, started late; what starts in time is counted', () => {
+test('ran_cancelled: not ended in time, ended late, started late; a start within the limit is only counted', () => {
   assertViolates(/^ran_cancelled req-1\/0$/, (fixture) => {
     fixture.start(0);
     fixture.cancel();
@@ -181,16 +181,16 @@
   );
 });
 
-test('an answer that another one overtakes may be older; one to a later question may not', () => {
+test('an answer overtaken by a newer one may be older; an answer to a later request may not', () => {
   const fixture = new CheckerFixture();
   fixture.accept();
   const path = '/v2/runs/req-1';
-  const early = fixture.checker.requestSent('GET', path, undefined);
+  const knowledgeAtRequest = fixture.checker.requestSent('GET', path, undefined);
   fixture.cancel();
   fixture.checker.responseReceived(
     { method: 'GET', path, status: 200, jobState: 'running' },
     undefined,
-    early,
+    knowledgeAtRequest,
   );
   assert.deepEqual(fixture.violations, []);
   fixture.get(200, 'running');
--- a/test/cluster/recorded-histories.test.ts
+++ b/test/cluster/recorded-histories.test.ts
@@ -1,4 +1,4 @@
-/** Whole controllers against stand-ins on a simulated clock: events in, what happens out, as kept traces. */
+/** Recorded traces of whole controllers that run against fake workers, store and cloud on a simulated clock. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { assertTraceMatches } from '../support/recorded-trace.js';
@@ -63,7 +63,7 @@
   assertTraceMatches(cluster, 'takeover-and-return');
 });
 
-test('all controllers die at once: nothing accepted is forgotten, nothing runs twice', async () => {
+test('all controllers die at once: no accepted job is forgotten, no task runs twice', async () => {
   const cluster = await startClusterWithThreeMachines();
   await cluster.submit(0, 'req-1', { tasks: 5, runMs: 9000 });
   await cluster.submit(1, 'req-2', { service: true, tasks: 2 });
@@ -83,12 +83,12 @@
   await cluster.step(500);
   for (const node of [0, 1, 2])
     for (const machine of ['m-0', 'm-2'])
-      if (runs(cluster, machine)) cluster.networkCuts.add(`n${node}|${machine}`);
+      if (hasRunningTasks(cluster, machine)) cluster.networkCuts.add(`n${node}|${machine}`);
   await cluster.step(20000);
   assertTraceMatches(cluster, 'lease-over');
 });
 
-function runs(cluster: SimulatedCluster, machine: string): boolean {
+function hasRunningTasks(cluster: SimulatedCluster, machine: string): boolean {
   return (cluster.workers.get(machine)?.runningTasks().length ?? 0) > 0;
 }
 
@@ -104,7 +104,7 @@
   assertTraceMatches(cluster, 'late-direct-order');
 });
 
-test('a cancelled job is gone, also while the state service is away and back', async () => {
+test('a cancelled job ends, also when the cancellation is sent during an outage of the state service', async () => {
   const cluster = await startClusterWithThreeMachines();
   await cluster.submit(0, 'req-1', { service: true, tasks: 2 });
   await cluster.step(1000);
@@ -132,12 +132,12 @@
   const cluster = await startClusterWithThreeMachines();
   await cluster.submit(0, 'req-1', { service: true, tasks: 1, zone: 'east' });
   await cluster.step(1000);
-  const [leader, machine] = runs(cluster, 'm-0') ? ['n0', 'm-0'] : ['n2', 'm-2'];
+  const [leader, machine] = hasRunningTasks(cluster, 'm-0') ? ['n0', 'm-0'] : ['n2', 'm-2'];
   cluster.store.refusedNodes.add(leader);
-  // Only the refused owner reaches the machine: nobody else can stop what runs there.
+  // Only the refused leader reaches the machine: no other controller can stop its task.
   for (const node of ['n0', 'n1', 'n2']) if (node !== leader) cluster.networkCuts.add(`${node}|${machine}`);
   for (const node of ['n0', 'n1', 'n2']) if (node !== leader) cluster.networkCuts.add(`${node}|${leader}`);
-  // Nor can it be deleted: only the owner's own limit ends its lease in time.
+  // The machine cannot be deleted either: only the leader's own time limit lets its lease expire in time.
   cluster.cloudOutage = true;
   await cluster.step(2000);
   await cluster.sendUserRequest(1, 'POST', '/v2/runs/req-1/abort');
@@ -161,9 +161,9 @@
 
 test('a submission whose answer is lost, or that is applied late, is accepted once', async () => {
   const cluster = await startClusterWithThreeMachines();
-  let lose = 1;
+  let answersToLose = 1;
   cluster.store.transactionFate = (_, body) =>
-    body.apply?.[0]?.put === 'c/live/req-1' && lose-- > 0 ? 'lose-answer' : 'normal';
+    body.apply?.[0]?.put === 'c/live/req-1' && answersToLose-- > 0 ? 'lose-answer' : 'normal';
   await cluster.submit(0, 'req-1', { runMs: 2000 });
   let dropsLeft = 2;
   cluster.store.transactionFate = (_, body) =>
@@ -177,7 +177,7 @@
   assertTraceMatches(cluster, 'doubtful-transactions');
 });
 
-test('shard quotas move to where the team waits, and the quota holds', async () => {
+test('shard quotas move to the shard where the team waits, and the team quota holds', async () => {
   const cluster = new SimulatedCluster();
   for (let i = 0; i < 4; i += 1) cluster.addWorker('large', 'east');
   for (let i = 0; i < 2; i += 1) cluster.addWorker('large', 'west');
@@ -190,7 +190,7 @@
   assertTraceMatches(cluster, 'shares-move');
 });
 
-test('replicas that must be spread are pinned to zones; one zone alone runs its half', async () => {
+test('replicas that must be spread are pinned to zones; a zone alone runs only its half', async () => {
   const cluster = new SimulatedCluster();
   for (let i = 0; i < 3; i += 1) cluster.addWorker('small', 'east');
   cluster.addWorker('small', 'west');
@@ -247,7 +247,7 @@
   assertTraceMatches(cluster, 'allowed-places');
 });
 
-test('an interruption notice moves tasks with checkpoints at once; an interrupted machine is returned, not waited for', async () => {
+test('an interruption notice moves tasks with checkpoints at once; an interrupted machine is returned without waiting for it', async () => {
   const cluster = new SimulatedCluster();
   for (const zone of ['east', 'west', 'east']) cluster.addWorker('large', zone);
   const spot = cluster.addWorker('large', 'east', true);
@@ -263,18 +263,18 @@
   assertTraceMatches(cluster, 'spot-notice');
 });
 
-test('a machine on which every task fails is avoided; a job that fails everywhere is held back', async () => {
+test('a machine on which every task fails is avoided; a job that fails everywhere restarts with backoff', async () => {
   const cluster = await startClusterWithThreeMachines();
   await cluster.submit(0, 'req-1', { tasks: 1, fails: true });
   await cluster.step(12000);
   await cluster.submit(1, 'req-2', { tasks: 2, runMs: 2000 });
   await cluster.step(5000);
-  assert.ok(countLines(cluster, 'ends req-1/0: error') <= 6, 'a bad job is not started over and over');
+  assert.ok(countLines(cluster, 'ends req-1/0: error') <= 6, 'a failing job restarts with backoff');
   await cluster.sendUserRequest(1, 'GET', '/v2/runs/req-2');
   assertTraceMatches(cluster, 'bad-job');
 });
 
-test('a result stays with its worker until the record has it, even when the leader dies in between', async () => {
+test('a worker keeps a result until the job record has it, even when the leader dies in between', async () => {
   const cluster = await startClusterWithThreeMachines();
   cluster.store.transactionFate = (_, body) =>
     body.apply?.some((a) => a.put === 'over/req-1') ? { holdMs: 60000 } : 'normal';
@@ -290,7 +290,7 @@
   assertTraceMatches(cluster, 'result-kept');
 });
 
-test('a leader that its workers do not reach gives its shard to a peer that they reach', async () => {
+test('a leader that its workers cannot reach hands its shard over to a peer that they can reach', async () => {
   const cluster = await startClusterWithThreeMachines();
   cluster.addWorker('large', 'east');
   cluster.addWorker('large', 'east');
@@ -305,7 +305,7 @@
   assertTraceMatches(cluster, 'workers-side-cut');
 });
 
-test('a zone that is silent as a whole is partitioned, not interrupted; a returned machine is not registered again', async () => {
+test('a zone that is silent as a whole is treated as partitioned, not as interrupted; a returned machine is not registered again', async () => {
   const cluster = new SimulatedCluster();
   cluster.addWorker('large', 'east');
   cluster.addWorker('large', 'west');
@@ -330,18 +330,18 @@
   assertTraceMatches(cluster, 'silent-zone');
 });
 
-test('a gang starts all at once with one attempt, or waits', async () => {
+test('a gang starts all its tasks with one attempt, or waits', async () => {
   const cluster = await startClusterWithThreeMachines();
   await cluster.submit(0, 'req-1', { tasks: 8, cpus: 2, runMs: 6000, team: 'blue' });
   await cluster.submit(0, 'req-2', { tasks: 3, cpus: 2, runMs: 3000, gang: true });
   await cluster.step(2000);
-  const gang = (): string[] =>
+  const gangAttempts = (): string[] =>
     [...cluster.workers.values()].flatMap((machine) =>
       [...machine.tasks.values()].filter((t) => t.taskId.startsWith('req-2/')).map((t) => String(t.attempt)),
     );
-  assert.ok(gang().length === 0 || gang().length === 3);
+  assert.ok(gangAttempts().length === 0 || gangAttempts().length === 3);
   await cluster.step(7000);
-  assert.equal(new Set(gang()).size <= 1, true, 'its tasks share an attempt');
+  assert.equal(new Set(gangAttempts()).size <= 1, true, 'its tasks share an attempt');
   await cluster.step(6000);
   await cluster.sendUserRequest(0, 'GET', '/v2/runs/req-2');
   assertTraceMatches(cluster, 'gang');
