--- a/test/cluster/randomized-upgrades.test.ts
+++ b/test/cluster/randomized-upgrades.test.ts
@@ -1,4 +1,7 @@
-/** Rolls of an upgrade drawn from seeds: any order, one or several at a time, crashes, stopped half-way, rolled back. */
+/**
+ * Rolling upgrades drawn from seeds: in any order, one or two controllers at a time, with crashes, stopped half-way or
+ * rolled back.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { RandomStream } from '../../src/simulation/random.js';
@@ -8,24 +11,24 @@
 const production = await loadProductionBuild();
 
 const FIVE_CONTROLLERS: ClusterConfig = { ...SMALL_CLUSTER, zones: ['east', 'east', 'west', 'west', 'east'] };
-/** Beyond all leases, retries and waits of this deployment. */
+/** Longer than all leases, retries and waits of this deployment. */
 const SETTLE_TIME_MS = 90_000;
 
-/** What becomes of a job: an array, a gang, a service, and one of each of the first two that its user cancels. */
-const KINDS = ['array', 'gang', 'service', 'cancelled array', 'cancelled gang'] as const;
-type Kind = (typeof KINDS)[number];
+/** Kinds of submitted jobs; the cancelled ones are cancelled by their user. */
+const JOB_KINDS = ['array', 'gang', 'service', 'cancelled array', 'cancelled gang'] as const;
+type JobKind = (typeof JOB_KINDS)[number];
 
 class RollingUpgrade {
   readonly cluster: SimulatedCluster;
   private readonly builds: ControllerBuild[];
-  private readonly jobs = new Map<string, Kind>();
+  private readonly jobs = new Map<string, JobKind>();
 
   constructor(
-    shape: ClusterConfig,
+    config: ClusterConfig,
     private readonly random: RandomStream,
   ) {
-    this.cluster = new SimulatedCluster(shape);
-    this.builds = shape.zones.map(() => production);
+    this.cluster = new SimulatedCluster(config);
+    this.builds = config.zones.map(() => production);
     this.cluster.buildOf = (node) => this.builds[node] ?? production;
   }
 
@@ -40,10 +43,10 @@
     return this.cluster.nodes.map((_, node) => node).filter((node) => this.cluster.nodes[node]?.handler);
   }
 
-  /** A few jobs through any controllers; some are cancelled through others while they gather or run. */
+  /** Submits a job of each kind at random controllers, and cancels the cancelled kinds while they gather or run. */
   async submitJobs(round: number): Promise<void> {
     const { cluster, random } = this;
-    for (const kind of KINDS) {
+    for (const kind of JOB_KINDS) {
       const id = `req-${kind.replace(' ', '-')}${round}`;
       const gang = kind.endsWith('gang');
       const options = {
@@ -63,7 +66,7 @@
         await cluster.sendUserRequest(random.pick(this.aliveNodes), 'POST', `/v2/runs/${id}/abort`);
   }
 
-  /** Ends these controllers together; they come back with a version, each after a while of its own. */
+  /** Kills these controllers together, waits 0.2 to 9 s, and starts them with a build. */
   async restart(nodes: readonly number[], build: ControllerBuild): Promise<void> {
     const { cluster, random } = this;
     for (const node of nodes) if (cluster.nodes[node]?.handler) cluster.killNode(node);
@@ -75,30 +78,30 @@
     await cluster.step(random.integer(500, 6000));
   }
 
-  /** A controller ends out of turn, and comes back with the version that it had. */
+  /** Kills a random controller and restarts it with the build that it had. */
   async crash(): Promise<void> {
     const node = this.random.pick(this.aliveNodes);
     await this.restart([node], this.builds[node] ?? production);
   }
 
-  /** Upgrades some, one or several at a time, with work and a crash between. */
+  /** Upgrades these controllers, one or two at a time, with new jobs after each step and a crash after some. */
   async upgrade(order: readonly number[]): Promise<void> {
-    const left = [...order];
-    for (let round = 1; left.length > 0; round += 1) {
-      await this.restart(left.splice(0, this.random.pick([1, 1, 2])), WORKING_BUILD);
+    const remaining = [...order];
+    for (let round = 1; remaining.length > 0; round += 1) {
+      await this.restart(remaining.splice(0, this.random.pick([1, 1, 2])), WORKING_BUILD);
       await this.submitJobs(round);
       if (this.random.chance(0.4)) await this.crash();
     }
   }
 
-  /** No rule is broken, and everybody tells every user what became of the job. */
-  async assertAllEnded(): Promise<void> {
+  /** Checks that no invariant is violated and that every controller reports the expected status of every job. */
+  async assertExpectedStatuses(): Promise<void> {
     const { cluster } = this;
     for (const [id, kind] of this.jobs)
       if (kind.startsWith('cancelled'))
         await cluster.sendUserRequest(this.random.pick(this.aliveNodes), 'POST', `/v2/runs/${id}/abort`);
     await cluster.step(SETTLE_TIME_MS);
-    assert.ok(this.jobs.size >= 2 * KINDS.length, `${this.jobs.size} jobs accepted`);
+    assert.ok(this.jobs.size >= 2 * JOB_KINDS.length, `${this.jobs.size} jobs accepted`);
     for (const node of this.aliveNodes) {
       for (const [id, kind] of this.jobs) {
         const { body } = await cluster.sendUserRequest(node, 'GET', `/v2/runs/${id}`);
@@ -112,51 +115,51 @@
 }
 
 async function startUpgrade(
-  shape: ClusterConfig,
+  config: ClusterConfig,
   seed: number,
-): Promise<{ roll: RollingUpgrade; order: number[]; random: RandomStream }> {
+): Promise<{ rollout: RollingUpgrade; order: number[]; random: RandomStream }> {
   const random = new RandomStream(seed);
-  const roll = new RollingUpgrade(shape, random);
-  await roll.start();
-  await roll.submitJobs(0);
-  const order = random.sample([...shape.zones.keys()], shape.zones.length);
-  return { roll, order, random };
+  const rollout = new RollingUpgrade(config, random);
+  await rollout.start();
+  await rollout.submitJobs(0);
+  const order = random.sample([...config.zones.keys()], config.zones.length);
+  return { rollout, order, random };
 }
 
-for (const [controllers, shape] of [
+for (const [controllers, config] of [
   [3, SMALL_CLUSTER],
   [5, FIVE_CONTROLLERS],
 ] as const) {
-  test(`${controllers} controllers are upgraded in drawn orders, with crashes in between`, async () => {
+  test(`${controllers} controllers are upgraded in random orders, with crashes in between`, async () => {
     for (const seed of [1, 2, 3]) {
-      const { roll, order } = await startUpgrade(shape, seed);
-      await roll.upgrade(order);
-      await roll.assertAllEnded();
+      const { rollout, order } = await startUpgrade(config, seed);
+      await rollout.upgrade(order);
+      await rollout.assertExpectedStatuses();
     }
   });
 
-  test(`${controllers} controllers: a roll is stopped half-way for long and rolled back`, async () => {
+  test(`${controllers} controllers: an upgrade is stopped half-way for a minute and rolled back`, async () => {
     for (const seed of [11, 12]) {
-      const { roll, order, random } = await startUpgrade(shape, seed);
+      const { rollout, order, random } = await startUpgrade(config, seed);
       const upgraded = order.slice(0, Math.ceil(order.length / 2));
-      await roll.upgrade(upgraded);
-      await roll.cluster.step(60_000);
-      await roll.submitJobs(8);
-      for (const node of random.sample(upgraded, upgraded.length)) await roll.restart([node], production);
-      await roll.submitJobs(9);
-      await roll.assertAllEnded();
+      await rollout.upgrade(upgraded);
+      await rollout.cluster.step(60_000);
+      await rollout.submitJobs(8);
+      for (const node of random.sample(upgraded, upgraded.length)) await rollout.restart([node], production);
+      await rollout.submitJobs(9);
+      await rollout.assertExpectedStatuses();
     }
   });
 
-  test(`${controllers} controllers: one is away for the whole roll and comes back old`, async () => {
+  test(`${controllers} controllers: one is down for the whole upgrade and restarts with the old build`, async () => {
     for (const seed of [21, 22]) {
-      const { roll, order } = await startUpgrade(shape, seed);
-      const [away = 0, ...others] = order;
-      roll.cluster.killNode(away);
-      await roll.upgrade(others);
-      await roll.restart([away], production);
-      await roll.submitJobs(9);
-      await roll.assertAllEnded();
+      const { rollout, order } = await startUpgrade(config, seed);
+      const [downNode = 0, ...others] = order;
+      rollout.cluster.killNode(downNode);
+      await rollout.upgrade(others);
+      await rollout.restart([downNode], production);
+      await rollout.submitJobs(9);
+      await rollout.assertExpectedStatuses();
     }
   });
 }
--- a/test/cluster/rolling-upgrade.test.ts
+++ b/test/cluster/rolling-upgrade.test.ts
@@ -1,12 +1,12 @@
-/** The version in production and the working sources side by side, each on the other's records, leases and messages. */
+/** The production build and the working sources in one cluster, on each other's records, leases and messages. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import * as records from '../../src/jobs/codec.js';
+import * as jobCodec from '../../src/jobs/codec.js';
 import type { JobRecord } from '../../src/jobs/record.js';
 import { storedSizeBytes, withFinishedTasks } from '../../src/jobs/stored-size.js';
-import * as machines from '../../src/shards/codec.js';
-import type * as Mesh from '../../src/peers/peer-transport.js';
-import * as mesh from '../../src/peers/peer-transport.js';
+import * as shardCodec from '../../src/shards/codec.js';
+import type * as PeerTransport from '../../src/peers/peer-transport.js';
+import * as peerTransport from '../../src/peers/peer-transport.js';
 import { encodeQuotas } from '../../src/quota/codec.js';
 import { evenQuotas } from '../../src/quota/shard-quota.js';
 import { RangeSet } from '../../src/model/ranges.js';
@@ -26,27 +26,32 @@
 
 const production = await loadProductionBuild();
 
-/** A world whose nodes all start with the version in production. */
+/** Starts a cluster whose controllers all run the production build. */
 async function startProductionCluster(
-  shape: ClusterConfig = SMALL_CLUSTER,
+  config: ClusterConfig = SMALL_CLUSTER,
 ): Promise<{ cluster: SimulatedCluster; builds: ControllerBuild[] }> {
-  const cluster = new SimulatedCluster(shape);
-  const builds = shape.zones.map(() => production);
+  const cluster = new SimulatedCluster(config);
+  const builds = config.zones.map(() => production);
   cluster.buildOf = (node) => builds[node] ?? production;
   for (let i = 0; i < 6; i += 1) cluster.addWorker(i % 2 ? 'small' : 'large', i % 3 === 2 ? 'west' : 'east');
   await cluster.start();
   return { cluster, builds };
 }
 
-/** Submits a few jobs through a node; some are cancelled through another. */
+/** Submits three jobs through different nodes, and cancels one of them through another node. */
 async function submitJobs(cluster: SimulatedCluster, round: number): Promise<void> {
-  const alive = cluster.nodes.map((_, node) => node).filter((node) => cluster.nodes[node]?.handler);
-  const node = (i: number): number => alive[i % alive.length] ?? 0;
-  await cluster.submit(node(round), `req-a${round}`, { tasks: 3, runMs: 4000 });
-  await cluster.submit(node(round + 1), `req-s${round}`, { service: true, tasks: 1, cpus: 1, team: 'blue' });
-  await cluster.submit(node(round + 2), `req-c${round}`, { tasks: 2, runMs: 30_000, team: 'blue' });
+  const aliveNodes = cluster.nodes.map((_, node) => node).filter((node) => cluster.nodes[node]?.handler);
+  const pickNode = (i: number): number => aliveNodes[i % aliveNodes.length] ?? 0;
+  await cluster.submit(pickNode(round), `req-a${round}`, { tasks: 3, runMs: 4000 });
+  await cluster.submit(pickNode(round + 1), `req-s${round}`, {
+    service: true,
+    tasks: 1,
+    cpus: 1,
+    team: 'blue',
+  });
+  await cluster.submit(pickNode(round + 2), `req-c${round}`, { tasks: 2, runMs: 30_000, team: 'blue' });
   await cluster.step(1000);
-  await cluster.sendUserRequest(node(round + 1), 'POST', `/v2/runs/req-c${round}/abort`);
+  await cluster.sendUserRequest(pickNode(round + 1), 'POST', `/v2/runs/req-c${round}/abort`);
 }
 
 async function restart(cluster: SimulatedCluster, node: number): Promise<void> {
@@ -85,7 +90,7 @@
   [2, 0, 1],
   [2, 1, 0],
 ])
-  test(`upgraded in the order ${order.join(', ')}: jobs are taken, cancelled, polled and finished across versions`, async () => {
+  test(`upgraded in the order ${order.join(', ')}: jobs are accepted, cancelled, polled and finished across versions`, async () => {
     const { cluster, builds } = await startProductionCluster();
     await submitJobs(cluster, 0);
     let round = 1;
@@ -98,18 +103,18 @@
     await assertAllDone(cluster, round);
   });
 
-test('a controller that ends before its turn comes back old, one of each version takes over from the other', async () => {
+test('controllers die during the upgrade and restart with the same build; each build takes over from the other', async () => {
   const { cluster, builds } = await startProductionCluster();
   builds[1] = WORKING_BUILD;
   await restart(cluster, 1);
   await submitJobs(cluster, 0);
-  // The old leader is gone for longer than its lease: the new one has its pool, and gives it back.
+  // A controller of the old build is down for longer than its lease: the new build leads its shard and returns it.
   cluster.killNode(0);
   await cluster.step(8000);
   await submitJobs(cluster, 1);
   await cluster.startNode(0);
   await cluster.step(6000);
-  // And the other way round.
+  // The same with a controller of the new build, whose shard the old build takes over.
   cluster.killNode(1);
   await cluster.step(8000);
   await submitJobs(cluster, 2);
@@ -117,7 +122,7 @@
   await cluster.step(6000);
   await restart(cluster, 2);
   await submitJobs(cluster, 3);
-  // All at once, in the middle of the roll.
+  // All controllers die at once in the middle of the upgrade.
   for (const node of [0, 1, 2]) cluster.killNode(node);
   await cluster.step(1000);
   for (const node of [2, 0, 1]) await cluster.startNode(node);
@@ -126,37 +131,39 @@
   await assertAllDone(cluster, 5);
 });
 
-test('limits that come down in the middle of the roll: nothing larger is sent by then, and all goes on', async () => {
-  const next = { writeRps: 15, valueKb: 2, txnOps: 4 };
-  const shape: ClusterConfig = {
+test('limits that are lowered after the upgrade: nothing larger is sent from then on, and all jobs go on', async () => {
+  const nextLimits = { writeRps: 15, valueKb: 2, txnOps: 4 };
+  const config: ClusterConfig = {
     ...SMALL_CLUSTER,
     storeLimits: { ...SMALL_CLUSTER.storeLimits, enforced: true },
-    nextStoreLimits: next,
+    nextStoreLimits: nextLimits,
   };
-  const { cluster, builds } = await startProductionCluster(shape);
+  const { cluster, builds } = await startProductionCluster(config);
   await submitJobs(cluster, 0);
   for (const node of [0, 1, 2]) {
     builds[node] = WORKING_BUILD;
     await restart(cluster, node);
   }
   await submitJobs(cluster, 1);
-  const refused = cluster.store.observed.rateLimited;
-  cluster.store.lowerLimits(next);
+  const rateLimitedBefore = cluster.store.observed.rateLimited;
+  cluster.store.lowerLimits(nextLimits);
   await submitJobs(cluster, 2);
   for (let i = 0; i < 20; i += 1) cluster.addWorker('small', 'east');
   await cluster.step(20_000);
-  const registered = [...cluster.store.entries.keys()].filter((key) => key.startsWith('c/machines/')).length;
-  assert.ok(registered >= 20, `${registered} machines are registered`);
+  const registeredCount = [...cluster.store.entries.keys()].filter((key) =>
+    key.startsWith('c/machines/'),
+  ).length;
+  assert.ok(registeredCount >= 20, `${registeredCount} machines are registered`);
   await submitJobs(cluster, 3);
   await assertAllDone(cluster, 4);
   assert.equal(cluster.store.rejectedForSize, 0);
   assert.ok(
-    cluster.store.observed.rateLimited - refused < 40,
-    `${cluster.store.observed.rateLimited - refused} refused for a limit`,
+    cluster.store.observed.rateLimited - rateLimitedBefore < 40,
+    `${cluster.store.observed.rateLimited - rateLimitedBefore} requests refused for the rate`,
   );
 });
 
-/** A job of the largest array whose finished tasks are scattered. */
+/** Returns the record of the largest array, whose finished tasks form this many separate ranges. */
 function recordWithScatteredResults(ranges: number): JobRecord {
   const done = RangeSet.of(Array.from({ length: ranges }, (_, i) => [7 * i, 7 * i + 1] as const));
   return {
@@ -172,54 +179,63 @@
   };
 }
 
-test('records of each version are read by the other, and written alike', async () => {
-  const old = await loadProductionModule<ProductionRecords>('jobs/record.js');
+test('each build reads the records of the other and writes them identically', async () => {
+  const productionRecords = await loadProductionModule<ProductionRecords>('jobs/record.js');
   for (const record of [
     recordWithScatteredResults(0),
     recordWithScatteredResults(1),
     recordWithScatteredResults(300),
   ]) {
-    const written = old.encodeRecord(toProductionRecord(record));
-    assert.deepEqual(records.encodeRecord(record), written);
-    assert.deepEqual(records.decodeRecord(written)?.done.ranges(), record.done.ranges());
-    const decoded = old.decodeRecord(records.encodeRecord(record));
+    const written = productionRecords.encodeRecord(toProductionRecord(record));
+    assert.deepEqual(jobCodec.encodeRecord(record), written);
+    assert.deepEqual(jobCodec.decodeRecord(written)?.done.ranges(), record.done.ranges());
+    const decoded = productionRecords.decodeRecord(jobCodec.encodeRecord(record));
     assert.ok(decoded);
-    const { done, ...rest } = toProductionRecord(record);
-    assert.deepEqual({ ...decoded, done: decoded.done.ranges() }, { ...rest, done: done.ranges() });
+    const { done, ...expected } = toProductionRecord(record);
+    assert.deepEqual({ ...decoded, done: decoded.done.ranges() }, { ...expected, done: done.ranges() });
   }
-  assert.deepEqual(records.encodeFinalState('done'), old.encodeFinal('done'));
-  const oldMachines = await loadProductionModule<ProductionShardRecords>('parts/records.js');
+  assert.deepEqual(jobCodec.encodeFinalState('done'), productionRecords.encodeFinal('done'));
+  const productionShardRecords = await loadProductionModule<ProductionShardRecords>('parts/records.js');
   const shard = { owner: 'n1', incarnation: 'x', token: 9 };
-  const decodedShard = machines.decodeShardRecord(shard);
+  const decodedShard = shardCodec.decodeShardRecord(shard);
   assert.ok(decodedShard);
-  assert.deepEqual(machines.encodeShardRecord(decodedShard), oldMachines.decodePart(shard));
+  assert.deepEqual(shardCodec.encodeShardRecord(decodedShard), productionShardRecords.decodePart(shard));
   const machine = { part: 1, address: '10.0.0.1:1', type: 't', zone: 'z', spot: true };
-  const decodedMachine = machines.decodeMachineRecord(machine);
+  const decodedMachine = shardCodec.decodeMachineRecord(machine);
   assert.ok(decodedMachine);
-  assert.deepEqual(machines.encodeMachineRecord(decodedMachine), oldMachines.decodeMachine(machine));
-  const oldShardQuotas = await loadProductionModule<ProductionQuotas>('quota/shares.js');
+  assert.deepEqual(
+    shardCodec.encodeMachineRecord(decodedMachine),
+    productionShardRecords.decodeMachine(machine),
+  );
+  const productionQuotas = await loadProductionModule<ProductionQuotas>('quota/shares.js');
   const team = buildTeam({ cpus: 4, cpusMax: 10 });
   assert.deepEqual(
     encodeQuotas(team, evenQuotas(team, 3)),
-    oldShardQuotas.encodeShares(toProductionTeam(team), oldShardQuotas.evenShares(toProductionTeam(team), 3)),
+    productionQuotas.encodeShares(
+      toProductionTeam(team),
+      productionQuotas.evenShares(toProductionTeam(team), 3),
+    ),
   );
 });
 
-test('frames of each version are read by the other', async () => {
-  const old = await loadProductionModule<typeof Mesh>('mesh/mesh.js');
+test('each build reads the frames of the other', async () => {
+  const productionMesh = await loadProductionModule<typeof PeerTransport>('mesh/mesh.js');
   const message = { kind: 'cancelled', job: 'req-1', version: 77 };
-  assert.deepEqual(new mesh.FrameReader().push(old.frame(message)), [message]);
-  assert.deepEqual(new old.FrameReader().push(mesh.frame(message)), [message]);
+  assert.deepEqual(new peerTransport.FrameReader().push(productionMesh.frame(message)), [message]);
+  assert.deepEqual(new productionMesh.FrameReader().push(peerTransport.frame(message)), [message]);
 });
 
-test('a record that is larger than the limit to come is left as it is until it fits, and then rewritten', () => {
-  const limit = 2048;
-  const large = recordWithScatteredResults(400);
-  assert.ok(storedSizeBytes(large) > limit);
-  const more = RangeSet.of([[50_000, 50_001]]);
-  assert.ok(storedSizeBytes(withFinishedTasks(large, more, limit)) > limit, 'one more task does not help');
-  const nearly = RangeSet.of([[0, 99_999]]);
-  const grown = withFinishedTasks(large, nearly, limit);
-  assert.deepEqual(grown.done.ranges(), [[0, 99_999]]);
-  assert.ok(storedSizeBytes(grown) <= limit);
+test('a record larger than the future limit is kept as it is until it fits, and then rewritten', () => {
+  const limitBytes = 2048;
+  const oversizedRecord = recordWithScatteredResults(400);
+  assert.ok(storedSizeBytes(oversizedRecord) > limitBytes);
+  const oneMoreTask = RangeSet.of([[50_000, 50_001]]);
+  assert.ok(
+    storedSizeBytes(withFinishedTasks(oversizedRecord, oneMoreTask, limitBytes)) > limitBytes,
+    'one more task does not help',
+  );
+  const almostAllTasks = RangeSet.of([[0, 99_999]]);
+  const rewritten = withFinishedTasks(oversizedRecord, almostAllTasks, limitBytes);
+  assert.deepEqual(rewritten.done.ranges(), [[0, 99_999]]);
+  assert.ok(storedSizeBytes(rewritten) <= limitBytes);
 });
