--- a/test/cluster/scale-4000-machines.test.ts
+++ b/test/cluster/scale-4000-machines.test.ts
@@ -1,4 +1,4 @@
-/** 4,000 machines of two CPU types on three controllers, through a whole life. */
+/** 4,000 machines of two CPU types on three controllers, for a cluster lifetime. */
 import { test } from 'node:test';
 import { LARGE_CLUSTER, runClusterLifetime } from '../support/cluster-lifetime.js';
 
--- a/test/cluster/scale-limits.test.ts
+++ b/test/cluster/scale-limits.test.ts
@@ -1,4 +1,4 @@
-/** Limits that a large deployment or a long life reaches: attempts of one token, pages of a long list. */
+/** Limits that large or long-running deployments reach: attempts of one fencing token, pages of a long machine list. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CloudClient } from '../../src/cloud/client.js';
@@ -11,7 +11,7 @@
 
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
 
-test('attempt numbers of one fencing token end before those of the next begin, and a new token is requested in time', () => {
+test('attempt numbers of one fencing token stay below those of the next, and a new token is requested in time', () => {
   const shard = new Shard(0 as never, 7 as never, 1 as never, 0 as never, new Map());
   let last = 0;
   for (let i = 0; i < ATTEMPTS_PER_TOKEN * 0.7; i += 1) last = shard.nextAttempt();
@@ -21,7 +21,7 @@
   assert.throws(() => {
     for (;;) last = shard.nextAttempt();
   }, /used all attempts/);
-  assert.ok(last < 8 * ATTEMPTS_PER_TOKEN, 'none belongs to another token');
+  assert.ok(last < 8 * ATTEMPTS_PER_TOKEN, 'no attempt belongs to another token');
   shard.adoptFencingToken(9 as FencingToken);
   assert.equal(shard.needsNewFencingToken, false);
   const next = shard.nextAttempt();
@@ -29,10 +29,10 @@
   assert.ok(shard.issuedAttempt(next));
 });
 
-/** Names of a page of the cloud's list. */
-const page = (from: number, count: number): object[] =>
+/** Returns a page of the cloud's list of machines. */
+const machinePage = (firstNumber: number, count: number): object[] =>
   Array.from({ length: count }, (_, i) => ({
-    uid: `m-${String(from + i).padStart(6, '0')}`,
+    uid: `m-${String(firstNumber + i).padStart(6, '0')}`,
     endpoint: '10.1.0.1:9000',
     hull: 't',
     harbor: 'east',
@@ -50,14 +50,14 @@
       calls += 1;
       if (calls % 3 === 2) return Promise.resolve({ kind: 'answer', status: 429, body: {} });
       const after = /from=m-0*(\d+)/.exec(path);
-      const from = after ? Number(after[1]) + 1 : 0;
-      const body = { berths: page(from, 500), hasNext: from + 500 < 4000 };
+      const firstNumber = after ? Number(after[1]) + 1 : 0;
+      const body = { berths: machinePage(firstNumber, 500), hasNext: firstNumber + 500 < 4000 };
       return Promise.resolve({ kind: 'answer', status: 200, body });
     },
   };
   const cloud = new CloudClient(http, clock, settings);
-  let listed: number | null = null;
-  void cloud.listMachines().then((all) => (listed = new Set(all?.map((m) => m.id)).size));
-  for (let ms = 0; ms < 60_000 && listed === null; ms += 100) await clock.advance(100);
-  assert.equal(listed, 4000);
+  let listedCount: number | null = null;
+  void cloud.listMachines().then((machines) => (listedCount = new Set(machines?.map((m) => m.id)).size));
+  for (let ms = 0; ms < 60_000 && listedCount === null; ms += 100) await clock.advance(100);
+  assert.equal(listedCount, 4000);
 });
--- a/test/cluster/scale.test.ts
+++ b/test/cluster/scale.test.ts
@@ -1,4 +1,4 @@
-/** The life of deployments half as large again as the largest that are run, on three and five controllers. */
+/** Lifetimes of clusters 1.5 times as large as the largest in use, on three and five controllers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -19,6 +19,6 @@
 
 test('975 machines of 8 GPUs on five controllers, 8 tasks on each: every invariant and limit holds', async () => {
   const cluster = await runClusterLifetime(GPU_CLUSTER, 975, GPU_WORKLOAD);
-  const full = [...cluster.workers.values()].filter((m) => m.runningTasks().length === 8).length;
-  assert.ok(full > 0.8 * 975, `${full} machines have 8 tasks`);
+  const fullMachines = [...cluster.workers.values()].filter((m) => m.runningTasks().length === 8).length;
+  assert.ok(fullMachines > 0.8 * 975, `${fullMachines} machines have 8 tasks`);
 });
