--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -50,7 +50,7 @@
     private readonly core: Core,
     private readonly runtimeEstimator: RuntimeEstimator,
     onMachineDeleted: (shard: Shard, machine: Machine) => void,
-    /** Returns whether a machine sends heartbeats and waits for its registration; it is then not unused. */
+    /** Returns whether a machine sends heartbeats and waits for its registration: it then counts as used. */
     awaitsRegistration: (id: MachineId) => boolean,
   ) {
     this.pendingMachines = new PendingMachines(core);
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Checks every machine and starts to delete those with a reason to; to be called once a second. */
+  /** Checks every machine and starts to delete those that are to be deleted; to be called once a second. */
   scaleInShards(): void {
     const now = this.core.clock.now();
     for (const shard of this.core.shards.values()) {
--- a/src/autoscaling/instance-types.ts
+++ b/src/autoscaling/instance-types.ts
@@ -9,7 +9,7 @@
 const REFRESH_INTERVAL_MS = 60_000;
 /** Interval between checks whether a refresh is due. */
 const CHECK_INTERVAL = millis(5000);
-/** The same interval as long as the catalog is empty. */
+/** Interval between these checks while the catalog is empty. */
 const FIRST_CHECK_INTERVAL = millis(500);
 
 /** Reads the catalog periodically and fills `Core.types`. */
--- a/src/autoscaling/listing-review.ts
+++ b/src/autoscaling/listing-review.ts
@@ -19,13 +19,13 @@
 const MIN_UNUSED_MS = 3000;
 /** A machine that this controller requested counts as unused if it is unregistered after this many boot times. */
 const PENDING_BOOT_TIMES = 4;
-/** Number of boot times for other machines, plus an extra time: another controller may have requested the machine. */
+/** The same for any other machine, plus an extra time: another controller may have requested it. */
 const FOREIGN_BOOT_TIMES = 5;
 const FOREIGN_EXTRA_MS = 15_000;
 
 /** Lists the machines of the cloud periodically and deletes the failed and unused ones. */
 export class ListingReview {
-  /** Listed machines that no shard uses, with the time since when. */
+  /** Listed machines that no shard uses, and since when. */
   private readonly unusedSince = new Map<MachineId, SteadyMs>();
   /** Returns whether the last list proves that the machine no longer exists. */
   isUnlisted: (id: MachineId) => boolean = () => false;
@@ -34,7 +34,7 @@
     private readonly core: Core,
     private readonly pendingMachines: PendingMachines,
     private readonly deletions: MachineDeletionService,
-    /** Returns whether a machine sends heartbeats and waits for its registration; it is then not unused. */
+    /** Returns whether a machine sends heartbeats and waits for its registration: it then counts as used. */
     private readonly awaitsRegistration: (id: MachineId) => boolean,
   ) {}
 
@@ -49,7 +49,7 @@
 
   /**
    * Requires an up-to-date watch cache, since with an empty one every machine looks unused: a process that starts while
-   * the store is down must not delete the whole fleet.
+   * the store is down must not delete all machines.
    */
   private async review(listed: readonly ListedMachine[]): Promise<void> {
     const { core } = this;
--- a/src/autoscaling/scale-in.ts
+++ b/src/autoscaling/scale-in.ts
@@ -24,7 +24,7 @@
 const MIN_SILENT_MS = 5000;
 /** A machine is live if its last message is less than this many heartbeat intervals old. */
 const LIVE_WITHIN_INTERVALS = 1.5;
-/** A spot machine past its announced end was interrupted if it has sent nothing for this many heartbeat intervals. */
+/** A spot machine past the time of its notice was interrupted after this many heartbeat intervals without a message. */
 const INTERRUPTED_AFTER_INTERVALS = 2;
 /** During a partition, the timeout for silent machines is multiplied by this. */
 const PARTITION_TIMEOUT_FACTOR = 2;
@@ -65,7 +65,7 @@
   readonly liveCountByZone: ReadonlyMap<ZoneId, number>;
   readonly liveMachineIds: ReadonlySet<MachineId>;
   readonly reachableMachines: number;
-  /** On-demand machines that are not being deleted; each decision to delete one of them decrements it. */
+  /** Reconciled on-demand machines that are not being deleted; each decision to delete one of them decrements it. */
   remainingOnDemand: number;
   /** If more on-demand machines than this are silent at once, there is a partition. */
   readonly maxSilentOnDemand: number;
@@ -208,7 +208,7 @@
   // When a partition ends, heartbeats arrive before the first command gets through, and `unreachableSince` still dates
   // from the beginning of the partition.
   const unreachableMs = now - Math.max(machine.unreachableSince, machine.continuousHeartbeatsSince);
-  // A machine that sends nothing either may be behind a partition.
+  // A machine whose messages no longer arrive either may be behind a partition.
   if (
     unreachableMs < UNREACHABLE_TIMEOUT_MS ||
     now - (machine.lastMessageAt ?? 0) > UNREACHABLE_TIMEOUT_MS / 2
--- a/src/autoscaling/scale-out-plan.ts
+++ b/src/autoscaling/scale-out-plan.ts
@@ -9,7 +9,7 @@
 import { mayRunOn } from '../model/constraints.js';
 import type { InstanceTypeId, ZoneId } from '../model/units.js';
 
-/** Tasks of a job that wait for capacity, all with the same required zone, or none if null. */
+/** Tasks of a job that wait for capacity, all with the same required zone; null: any zone. */
 export interface CapacityDemand {
   readonly spec: JobSpec;
   readonly requiredZone: ZoneId | null;
@@ -80,7 +80,7 @@
   return remaining;
 }
 
-/** Share of the tasks that finish soon whose capacity counts for waiting tasks; jobs that arrive later take the rest. */
+/** Of the tasks that finish soon, the share whose capacity waiting tasks get; jobs that arrive later take the rest. */
 const TURNOVER_FACTOR = 0.1;
 /** Upper bound of the boot time, in seconds, within which turnover counts. */
 const MAX_TURNOVER_BOOT_S = 60;
--- a/src/controller/job-assignment.ts
+++ b/src/controller/job-assignment.ts
@@ -45,7 +45,7 @@
     return refreshedAt !== null && now - refreshedAt <= FREE_CAPACITY_MAX_AGE_MS;
   }
 
-  /** Returns this controller's own shard, or one that it leads if it leads only other shards. */
+  /** Returns this controller's home shard, or a shard that it leads if it leads only others. */
   private homeShard(): ShardId {
     const { shards, settings } = this.core;
     if (shards.has(settings.shard)) return settings.shard;
--- a/src/controller/periodic-work.ts
+++ b/src/controller/periodic-work.ts
@@ -55,7 +55,7 @@
     private readonly services: PeriodicServices,
   ) {}
 
-  /** Ticks now and then once per interval. */
+  /** Ticks immediately, and again after each interval. */
   start(): void {
     // Not awaited: a tick that waits for exclusive access must not delay the next tick.
     void this.context.exclusive(() => this.tick());
--- a/src/controller/ports.ts
+++ b/src/controller/ports.ts
@@ -16,9 +16,8 @@
 const MIN_SERVER_CONNECTIONS = 16;
 /** Share of the server's connections that workers may keep open between heartbeats. */
 const IDLE_WORKER_CONNECTION_SHARE = 0.7;
-/** A connection without requests is closed after this many heartbeat intervals, ... */
+/** An idle connection is closed after this many heartbeat intervals, but not before `MIN_IDLE_TIMEOUT_MS`. */
 const IDLE_HEARTBEAT_INTERVALS = 5;
-/** ... but not before this time. */
 const MIN_IDLE_TIMEOUT_MS = 30_000;
 const RECEIVE_TIMEOUT_MS = 10_000;
 const RESPONSE_TIMEOUT_MS = 4500;
--- a/src/controller/store-limits.ts
+++ b/src/controller/store-limits.ts
@@ -9,14 +9,14 @@
 /** The store usage that a peer announced is valid for this time. */
 const USAGE_TIMEOUT_MS = 3000;
 
-/** The part of the controller that the division of limits uses: facts, and the client whose limits are set. */
+/** The part of the controller that the division of limits uses; it sets the limits of the client `store`. */
 export interface LimitDivisionContext {
   readonly settings: { readonly shards: Pick<Settings['shards'], 'length'> };
   readonly storeCache: Pick<StoreCache, 'entriesUnder'>;
   readonly store: Pick<KeyValueClient, 'setControllerCount'>;
 }
 
-/** The part of the controller that borrowing limits uses: facts, and the client whose limits are set. */
+/** The part of the controller that borrowing limits uses; it sets the limits of the client `store`. */
 export interface LimitBorrowingContext {
   readonly settings: { readonly peers: readonly Pick<Peer, 'node'>[] };
   readonly peers: Pick<PeerDirectory, 'get'>;
@@ -31,7 +31,10 @@
   store.setControllerCount(Math.max(1, Math.min(alive, settings.shards.length)));
 }
 
-/** Borrows what live peers leave unused. A live peer without a recent announcement may be using all of its share. */
+/**
+ * Borrows the store limits that live peers leave unused. A live peer without a recent announcement may be using all of
+ * its share.
+ */
 export function borrowStoreLimits(context: LimitBorrowingContext): void {
   const { peers, settings, store } = context;
   const wholeShare = { requests: store.requestRate, writes: store.writeRate };
--- a/src/core.ts
+++ b/src/core.ts
@@ -177,9 +177,9 @@
   }
 
   /**
-   * Returns whether a task's result need not be kept anywhere but in the store: the job's record contains the result,
-   * or the job has ended. A job that is not in the cache has ended only if the cache is complete; a job whose
-   * record cannot be decoded has not ended.
+   * Returns whether a task's result need not be kept anywhere but in the store: the job is a service, its record
+   * contains the result, or the job has ended. A job that is not in the cache has ended only if the cache is complete;
+   * a job whose record cannot be decoded has not ended.
    */
   isResultRecorded(job: JobId, index: TaskIndex): boolean {
     const record = this.activeJobs.get(job);
--- a/src/leadership/command-lease.ts
+++ b/src/leadership/command-lease.ts
@@ -18,7 +18,7 @@
  *
  * Prevents: the store refuses only this controller; another controller confirms the cancellation of a job to its
  * user; this controller, which has not read the cancellation, answers a heartbeat and thereby renews the lease of a
- * worker that runs the job. The tasks would outlive `cancel_s`. Because the full length of the worker lease is
+ * worker that runs the job. The tasks would still run after `cancel_s`. Because the full length of the worker lease is
  * subtracted here, a lease that is renewed at the last moment still ends within `cancel_s`.
  */
 export function commandLeaseDuration({ cancelS, leaseS }: Pick<Settings, 'cancelS' | 'leaseS'>): Millis {
--- a/src/leadership/failover.ts
+++ b/src/leadership/failover.ts
@@ -22,10 +22,10 @@
   readonly leaderAlive: boolean;
   /** Whether the home controller's membership key exists, with any incarnation. */
   readonly homeControllerAlive: boolean;
-  /** Whether this process has led its home shard before, and lost or released it. */
+  /** Whether this process leads, or has led before, its home shard. */
   readonly ledHomeShardBefore: boolean;
   /**
-   * Since when this controller has held its membership lease; null: its lease or its store cache may be out of date.
+   * Since when this controller has held its membership lease; null: its lease or its watch cache may be out of date.
    */
   readonly membershipStableSince: SteadyMs | null;
   /** How many machines of the shard recently sent heartbeats here because the leader does not answer them. */
@@ -34,14 +34,20 @@
   readonly releasedBySelf: boolean;
   /** Whether workers of the home shard have answered a probe recently. */
   readonly workersReachable: boolean;
-  /** How long the state of leader and home controller has not changed, less this controller's delay. */
+  /**
+   * For how many milliseconds the leader, and whether leader and home controller are alive, have not changed, less this
+   * controller's delay (`ObservedSituations`).
+   */
   readonly situationAgeMs: number;
 }
 
 /** `claim`: acquire leadership; `probe`: first check whether the shard's workers answer; `wait`: do nothing now. */
 export type FailoverDecision = 'claim' | 'probe' | 'wait';
 
-/** How long a membership, or a released shard without heartbeats from its workers, must last before it is acted on. */
+/**
+ * Minimum time for which a controller must have held its membership lease before it claims its home shard back, and for
+ * which a shard must have been released before a controller that receives none of its heartbeats claims it.
+ */
 const MIN_STABLE_MS = 3000;
 /** Time for the home controller of a shard that was never led to start. */
 const NEVER_LED_DELAY_MS = 6000;
@@ -67,7 +73,7 @@
 const RULES: readonly FailoverRule[] = [
   // This process already leads the shard. Prevents: the fencing token is raised needlessly.
   { applies: isLeader, decision: 'wait' },
-  // The lease may have expired, or the store cache may be out of date. Prevents: a controller that returns from a
+  // The lease may have expired, or the watch cache may be out of date. Prevents: a controller that returns from a
   // partition acquires a shard, and a peer that does not see its membership key takes the shard over at once.
   { applies: (facts) => facts.membershipStableSince === null, decision: 'wait' },
 
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -40,15 +40,15 @@
   isAlive(node: ControllerId, incarnation: Incarnation | null): boolean;
 }
 
-/** The store cache is current if it was confirmed within the watch timeout plus this time for the answer. */
+/** The watch cache is current if it was confirmed within the watch timeout plus this time for the answer. */
 const WATCH_ANSWER_ALLOWANCE_MS = 1500;
 /** How long a probe that workers answered remains valid, and the delay after a probe without an answer. */
 const PROBE_VALIDITY_MS = 2000;
 const PROBE_RETRY_DELAY_MS = 2000;
-/** Delay after a failed acquisition: the store cache needs this time to show the controller that was faster. */
+/** Delay after a failed acquisition: the watch cache needs this time to show the controller that was faster. */
 const ACQUIRE_RETRY_DELAY_MS = 100;
 const ACQUIRE_RETRY_JITTER_MS = 150;
-/** A new leader does not release its shard before this time, which workers need to find the new leader. */
+/** Minimum time from acquisition to release of a shard: its workers need this time to find the new leader. */
 const MIN_LEADERSHIP_MS = 8000;
 
 /** Leadership of this process over its home shard and over the shards of failed peers. */
@@ -112,7 +112,7 @@
     await this.transition(shard.id, () => this.acquire(shard.id));
   }
 
-  /** Applies a change of a shard's record: this process leads a shard only once the store cache shows it. */
+  /** Applies a change of a shard's record: this process leads a shard only once the watch cache shows it. */
   onShardRecord(key: string, value: unknown, version: Revision): void {
     const { context } = this;
     const id = shardId(Number(key.slice(SHARDS_PREFIX.length)));
@@ -128,7 +128,7 @@
     else openShard(context, id, record.fencingToken, version);
   }
 
-  /** Runs one store request or probe. Ticks do not wait for it: its effect becomes visible in the store cache. */
+  /** Runs one store request or probe. Ticks do not wait for it: its effect becomes visible in the watch cache. */
   private transition(shard: ShardId, run: () => Promise<void>): Promise<void> {
     this.shardsInTransition.add(shard);
     return run().finally(() => this.shardsInTransition.delete(shard));
@@ -183,9 +183,9 @@
     else await this.context.sleep(millis(PROBE_RETRY_DELAY_MS));
   }
 
-  /** Releases shards if most of their machines do not reach this controller and a peer may reach them. */
+  /** Releases the shards of which most machines do not reach this controller but may reach a peer. */
   private releaseUnreachableShards(now: SteadyMs): void {
-    // With an outdated store cache the release would fail its condition: the shard may already have another leader.
+    // With an outdated watch cache the release would fail its condition: the shard may already have another leader.
     if (this.cacheAgeMs(now) > this.cacheAgeLimitMs) return;
     for (const shard of this.context.shards.values()) {
       if (this.shardsInTransition.has(shard.id) || now - shard.acquiredAt < MIN_LEADERSHIP_MS) continue;
@@ -204,7 +204,7 @@
     if (!(await this.transactions.release(shard))) this.releasedShards.delete(shard.id);
   }
 
-  /** Drops the shard if this process led it: the store shows that it does not, or no longer does. */
+  /** Drops the shard if this process led it; called for a record that does not name this process as the leader. */
   private closeShard(id: ShardId, record: ShardRecord | null, version: Revision): void {
     const { shards, log } = this.context;
     const leader = record?.leader ?? null;
--- a/src/leadership/membership.ts
+++ b/src/leadership/membership.ts
@@ -57,7 +57,7 @@
   /**
    * Returns since when the lease has been held without interruption, or null if the key may be gone by now.
    *
-   * Prevents: after a partition the store cache becomes current a moment before this controller learns that its lease
+   * Prevents: after a partition the watch cache becomes current a moment before this controller learns that its lease
    * has expired. It acquires a shard, and peers, which do not see its membership key, take the shard over at once.
    */
   stableSince(now: SteadyMs): SteadyMs | null {
@@ -68,7 +68,7 @@
     return RETRY_DELAY_MS + this.context.random(RETRY_JITTER_MS);
   }
 
-  /** Grants or renews the lease, and writes the key unless it is on that lease. Returns whether both are in place. */
+  /** Grants or renews the lease, and writes the key unless it is attached to it. Returns whether both are in place. */
   private async renew(): Promise<boolean> {
     const { store, tuning } = this.context;
     if (this.lease === null) {
--- a/src/leadership/observed-situations.ts
+++ b/src/leadership/observed-situations.ts
@@ -22,7 +22,7 @@
 
 /** Additional delay of controllers outside the home controller's zone. */
 const OTHER_ZONE_DELAY_MS = 250;
-/** Upper limit of the random delay, which spreads the controllers of one zone. */
+/** Upper limit of the random delay, which spreads the requests of the controllers of one zone. */
 const DELAY_JITTER_MS = 150;
 
 /** Tracks the current situation of every shard. */
--- a/src/leadership/open-shard.ts
+++ b/src/leadership/open-shard.ts
@@ -1,6 +1,6 @@
 /**
  * Builds the in-memory state of a shard for its new leader: the registered machines, all of them unreconciled, and the
- * tasks of active jobs that are assigned to the shard. Reads the store cache; the listeners of the cache apply later
+ * tasks of active jobs that are assigned to the shard. Reads the watch cache; the listeners of the cache apply later
  * changes.
  */
 import type { InstanceType } from '../cloud/wire.js';
--- a/src/leadership/redirected-heartbeats.ts
+++ b/src/leadership/redirected-heartbeats.ts
@@ -30,7 +30,7 @@
     return receivedAtByMachine.size;
   }
 
-  /** Returns the counts of all shards with such machines, for the announcement to peers. */
+  /** Returns the counts of all shards whose count is not 0, for the announcement to peers. */
   counts(): Map<ShardId, number> {
     const now = this.clock.now();
     const counts = new Map<ShardId, number>();
--- a/src/leadership/worker-reachability.ts
+++ b/src/leadership/worker-reachability.ts
@@ -28,7 +28,7 @@
 /** A machine is silent after this many heartbeat intervals without a heartbeat, but not before the minimum time. */
 const SILENT_INTERVALS = 3.2;
 const MIN_SILENCE_MS = 4500;
-/** The silence of fewer machines than this proves nothing. */
+/** A shard with fewer expected machines than this is not released: their silence proves nothing. */
 const MIN_MACHINES = 2;
 /** Peers send announcements about once a second; a peer that is silent for longer than this is unreachable. */
 const PEER_SILENCE_LIMIT = millis(3000);
@@ -58,8 +58,8 @@
 
 /**
  * Returns when a heartbeat of the machine last arrived. Heartbeats that were refused because commands do not reach the
- * machine are included: this controller receives them, and a new leader would have to wait for the expiry of the
- * machine's lease all over again.
+ * machine are included: this controller receives them, and a new leader would have to wait again for the
+ * expiry of the machine's lease.
  */
 function lastHeartbeatArrivalAt(machine: Machine): number {
   return Math.max(machine.lastHeartbeatAt ?? -Infinity, machine.refusedUnreachableAt ?? -Infinity);
@@ -71,9 +71,9 @@
 }
 
 /**
- * Returns whether a peer receives heartbeats of the shard's machines, or no peer can be heard, which means that this
- * controller is cut off. Prevents: when the machines themselves are cut off or dead, a release only changes the leader,
- * and the new leader has to reconcile all machines.
+ * Returns whether a peer receives heartbeats of the shard's machines, or no announcements of peers arrive, which means
+ * that this controller is cut off. Prevents: when the machines themselves are cut off or have failed, a release only
+ * changes the leader, and the new leader has to reconcile all machines.
  */
 function mayPeersReachMachines(context: ReachabilityContext, shard: ShardId): boolean {
   const { settings, peers } = context;
--- a/src/model/constraints.ts
+++ b/src/model/constraints.ts
@@ -3,7 +3,7 @@
 import type { InstanceTypeId, ZoneId } from './units.js';
 
 /**
- * Returns whether a task of the job may run on a machine of this type and zone, which may be a spot instance.
+ * Returns whether a task of the job may run on a machine of this type and zone, which may be a spot machine.
  * `requiredZone` is the zone that the job's record sets for the task, in addition to a zone that the job itself may
  * specify; null: any zone.
  */
--- a/src/model/gang.ts
+++ b/src/model/gang.ts
@@ -84,7 +84,7 @@
   readonly action: GangAction;
 }
 
-/** An incomplete gang is stopped after this share of the wait limit, well before its tasks exit by themselves. */
+/** An incomplete gang is stopped after this share of `gangWaitTimeout`, well before its tasks exit by themselves. */
 const INCOMPLETE_SHARE = 0.7;
 
 const WAIT: GangAction = { kind: 'wait' };
@@ -107,7 +107,7 @@
  * |                                                     |           | last checkpoint is lost                 |
  * | a task exited because the gang was incomplete       | stopping  | stop the others                         |
  * | some unaccounted                                    | gathering | wait                                    |
- * | some missing, attempt of a previous leader          | stopping  | stop the others                         |
+ * | some missing, attempt of an earlier leader          | stopping  | stop the others                         |
  * | a task has waited too long                          | stopping  | stop all                                |
  * | some missing, it may have started meanwhile         | gathering | wait for the others' next heartbeats    |
  * | some missing                                        | gathering | replace them                            |
@@ -152,9 +152,9 @@
   return { state: 'stopping', action };
 }
 
-function hasWaitedTooLong({ now, members, gangWaitTimeout: waitLimit }: GangDecisionInput): boolean {
+function hasWaitedTooLong({ now, members, gangWaitTimeout }: GangDecisionInput): boolean {
   return members.some(
     ({ waitingForGangSince }) =>
-      waitingForGangSince !== null && now - waitingForGangSince > waitLimit * INCOMPLETE_SHARE,
+      waitingForGangSince !== null && now - waitingForGangSince > gangWaitTimeout * INCOMPLETE_SHARE,
   );
 }
--- a/src/model/resources.ts
+++ b/src/model/resources.ts
@@ -114,7 +114,7 @@
   return share;
 }
 
-/** Returns the resource of which the amount takes the largest share; CPUs win ties. */
+/** Returns the resource of which the amount takes the largest share; of equal shares, the earlier kind. */
 export function dominantKind(amount: Resources, capacity: Resources): ResourceKind {
   const share = (kind: ResourceKind): number => (capacity[kind] > 0 ? amount[kind] / capacity[kind] : 0);
   let dominant: ResourceKind = 'cpus';
--- a/src/shards/allocation-changes.ts
+++ b/src/shards/allocation-changes.ts
@@ -19,7 +19,7 @@
 }
 
 /**
- * Adds an allocation to the machine and to its team's usage, and replaces an earlier allocation of the same task there.
+ * Adds an allocation to the machine and to the usage of its job's team; replaces an allocation of the same task there.
  * Called directly for a task that is seen on a machine and should not be there: it uses resources until it is gone.
  */
 export function addToMachine(shard: Shard, machine: Machine, allocation: Allocation): void {
--- a/src/shards/allocation.ts
+++ b/src/shards/allocation.ts
@@ -29,7 +29,7 @@
 
 /** A request to stop a task. `direct`: whether the direct command for it is yet to be sent, or has been sent. */
 export interface StopRequest {
-  /** Seconds that the task may take to save a checkpoint. */
+  /** Grace period in seconds: how long the task may take to save a checkpoint. */
   grace: number;
   direct: 'due' | 'sent';
 }
--- a/src/shards/codec.ts
+++ b/src/shards/codec.ts
@@ -35,7 +35,7 @@
 export const shardKey = (shard: ShardId): StoreKey => storeKey(`${SHARDS_PREFIX}${shard}`);
 /** Key of a machine's record, which exists while the machine is registered. */
 export const machineKey = (machine: MachineId): StoreKey => storeKey(`${MACHINES_PREFIX}${machine}`);
-/** Membership key of a live controller, which is deleted when its lease ends. */
+/** Membership key of a live controller, which is deleted when its lease expires. */
 export const aliveKey = (controller: ControllerId): StoreKey => storeKey(`${ALIVE_PREFIX}${controller}`);
 
 /** The leader of a shard. Writing it, on condition of the version that was read, acquires the shard. */
@@ -55,7 +55,7 @@
   readonly address: Address;
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
-  /** A spot instance. */
+  /** A spot machine. */
   readonly spot: boolean;
 }
 
--- a/src/shards/image-announcements.ts
+++ b/src/shards/image-announcements.ts
@@ -1,6 +1,6 @@
 /**
  * Chooses the machines whose images are announced to other controllers next. An announcement covers only a few
- * machines: changed machines come first, and all machines are repeated in turn, since an announcement may be lost.
+ * machines: first those with a new image, then all in turn, repeatedly, since an announcement may be lost.
  */
 import type { MachineId } from '../model/units.js';
 import type { Machine } from './machine.js';
--- a/src/shards/job.ts
+++ b/src/shards/job.ts
@@ -36,7 +36,7 @@
   readonly waiting: RangeSet;
   /** Tasks that an earlier leader may have started and that have not been seen since; they may be on a machine. */
   readonly unaccounted: RangeSet;
-  /** Tasks assigned by a record ahead of the watch: an earlier leader cannot have started them, a later leader may. */
+  /** Tasks assigned by a record ahead of the watch: a later leader may have started them, an earlier one cannot. */
   readonly unconfirmed: RangeSet;
   /** Revision of the newest record that assigned tasks to the shard. */
   assignedVersion: Revision;
@@ -67,7 +67,7 @@
   readonly failedMachines: Set<MachineId>;
   /** When tasks were last assigned to this shard. */
   lastAssignedAt: SteadyMs;
-  /** What is known of the attempts of the gang; null: the job is no gang. */
+  /** What is known of the attempts of the gang; null: the job is not a gang. */
   readonly gangHistory: GangHistory | null;
 }
 
@@ -127,7 +127,7 @@
 export const requiredZone = (job: ShardJob, index: number): ZoneId | null =>
   requiredZoneOf(job.record, index);
 
-/** Consecutive waiting tasks [from, to) that must run in the same zone; null: in any zone. */
+/** Consecutive waiting tasks [start, end) that must run in the same zone; null: in any zone. */
 export interface WaitingRange {
   readonly start: number;
   readonly end: number;
--- a/src/shards/machine-health.ts
+++ b/src/shards/machine-health.ts
@@ -2,9 +2,9 @@
 import type { SteadyMs } from '../model/units.js';
 import type { Machine } from './machine.js';
 
-/** A machine that misses this many consecutive heartbeats gets no new tasks, ... */
+/** A machine that misses this many consecutive heartbeats gets no new tasks. */
 const MISSED_HEARTBEATS = 2;
-/** ... after this additional time, which covers network delays. */
+/** Allowance for network delays, added to the time of these heartbeats. */
 const HEARTBEAT_DELAY_MS = 1000;
 
 /** The current time, and how often machines send heartbeats. */
@@ -25,7 +25,7 @@
   return machine.lastMessageAt !== null && now - machine.lastMessageAt < silenceLimitMs(heartbeatIntervalMs);
 }
 
-/** Whether it is being transferred to another shard, returned to the cloud, or interrupted by the cloud. */
+/** Whether it is being transferred to another shard, deleted, or interrupted by the cloud. */
 const isLeaving = (machine: Machine): boolean =>
   machine.draining || machine.scalingIn || machine.interruptedAt !== null;
 
--- a/src/shards/machine.ts
+++ b/src/shards/machine.ts
@@ -43,7 +43,7 @@
   sequence: Sequence;
   /** The fencing token of the leader that the worker obeys. */
   fencingToken: FencingToken;
-  /** Messages of earlier epochs list tasks that are certainly gone, and are refused. Raised when the lease expires. */
+  /** Messages of earlier agent epochs list tasks that are certainly gone: they are refused. Raised on lease expiry. */
   minimumAgentEpoch: AgentEpoch;
   /** When the last heartbeat or answer to a direct command arrived; null: none yet. Changed by reconciliation. */
   lastMessageAt: SteadyMs | null;
@@ -64,7 +64,7 @@
   readonly registeredVersion: Revision;
   /** Whether this leader knows all changes up to that record. Changed only by `RecordConfirmation`. */
   confirmed: boolean;
-  /** When the cloud will take the spot instance, by its notice. Changed only by `Shard.setInterruption`. */
+  /** When the cloud will take the spot machine back, by its notice. Changed only by `Shard.setInterruption`. */
   interruptedAt: SteadyMs | null;
   /** Tasks that are or may be on it. Changed by the shard, like the next four fields. */
   readonly allocations: Map<TaskId, Allocation>;
@@ -103,7 +103,7 @@
   taskFailures: TaskFailure[];
   /** Whether it is being transferred to another shard and takes no more tasks. Changed by the transfer of machines. */
   draining: boolean;
-  /** Whether it is being returned to the cloud. Set by the autoscaler, never cleared. */
+  /** Whether it is being deleted, which returns it to the cloud. Set by the autoscaler, never cleared. */
   scalingIn: boolean;
   /** Since when nothing has been allocated on it. Changed by scale-in. */
   idleSince: SteadyMs | null;
@@ -116,7 +116,7 @@
   readonly address: Address;
   readonly type: InstanceTypeId;
   readonly zone: ZoneId;
-  /** A spot instance. */
+  /** A spot machine. */
   readonly spot: boolean;
   readonly addedAt: SteadyMs;
   /** True: it was registered after the shard was acquired, so that no earlier leader can have started tasks on it. */
--- a/src/shards/record-confirmation.ts
+++ b/src/shards/record-confirmation.ts
@@ -1,5 +1,5 @@
 /**
- * Tracks which records a shard's leader may act on. The watch cache learns single keys ahead of the watch, from this
+ * Tracks which records a shard's leader may act on. Single keys enter the watch cache ahead of the watch: from this
  * controller's own commits and from reads of one key. A leader that acts on such a record must also know everything
  * written before it: the record may be newer than an acquisition by another controller that the watch has not shown
  * yet. Tasks may therefore be started only if this process leads the shard and its cache is complete up to the
--- a/src/shards/registered-machines.ts
+++ b/src/shards/registered-machines.ts
@@ -1,4 +1,4 @@
-/** Counts the machines that are registered in the store by shard and type, as records are added and removed. */
+/** Counts, by shard and type, the machines that are registered in the store, as records are added and removed. */
 import type { InstanceType } from '../cloud/wire.js';
 import { addTo, ZERO, type MutableResources, type Resources } from '../model/resources.js';
 import type { MachineId, ShardId, InstanceTypeId } from '../model/units.js';
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -67,7 +67,7 @@
   readonly machinesWithPendingCommands = new Set<Machine>();
   /** Allocations that were requested to stop and may still exist. Changed with the allocations. */
   readonly stopping = new Set<Allocation>();
-  /** Spot instances with an interruption notice. Changed by `setInterruption`. */
+  /** Spot machines with an interruption notice. Changed by `setInterruption`. */
   readonly interruptedMachines = new Set<Machine>();
   readonly totals = new ShardTotals();
   /** Whether all machines are reconciled, and no task that an earlier leader may have started is unaccounted. */
--- a/src/shards/statistics.ts
+++ b/src/shards/statistics.ts
@@ -1,6 +1,7 @@
 /**
  * Shard statistics: one log line that shows how the capacity of a shard is used and where it is lost. They are computed
- * from all machines, allocations and waiting jobs, so at most every few seconds. The field names are those of the log.
+ * from all machines, allocations and waiting jobs, so they must not be computed more often than every few seconds. The
+ * field names are those of the log.
  */
 import type { AllocationPhase } from '../model/allocation-phase.js';
 import { addTo, mapResources, ZERO, type MutableResources, type Resources } from '../model/resources.js';
@@ -21,7 +22,7 @@
   readonly capacity: Resources;
   /** Resources of tasks of known size, by phase; tasks that were requested to stop are counted separately. */
   readonly allocated: Readonly<AllocatedByPhase<Resources>>;
-  /** Free resources of machines that are not unusable. */
+  /** Free resources of the machines on which tasks may be started now. */
   readonly free: Resources;
   /** Resources that all waiting tasks need. */
   readonly waiting: Resources;
--- a/src/shards/sync.ts
+++ b/src/shards/sync.ts
@@ -81,14 +81,15 @@
 
 /** Adds tasks that the record newly assigns to the shard. */
 function addAssignedTasks(shard: Shard, job: ShardJob, added: RangeSet): void {
-  // The tasks were transferred to this shard, whose previous owner knew that none of them was on a machine.
+  // The tasks were transferred from a shard whose leader knew that none of them was on a machine.
   job.assignedVersion = job.version;
   if (job.version > shard.acquiredVersion) shard.addUnconfirmed(job, added);
   else shard.addUnaccounted(job, added);
 }
 
 /**
- * Drops tasks that are done or assigned elsewhere, and removes tasks on machines or finished from the waiting tasks.
+ * Removes tasks that are done or assigned elsewhere from all sets of the copy, and tasks that are on a machine or have
+ * finished from `waiting` and `unconfirmed`.
  */
 function retainUnfinished(shard: Shard, job: ShardJob, unfinished: RangeSet): void {
   for (const tasks of [job.waiting, job.unaccounted, job.unconfirmed, job.transferring, job.finished])
--- a/src/shards/totals.ts
+++ b/src/shards/totals.ts
@@ -59,7 +59,7 @@
   tasks: number;
 }
 
-/** Adds or removes a task. Without tasks the total is set to exactly zero, since sums of fractions drift. */
+/** Adds or removes a task. Without tasks the total is set to exactly 0, so that rounding errors do not add up. */
 function countIn(total: TaskTotal, spec: JobSpec, sign: 1 | -1): void {
   total.tasks += sign;
   if (total.tasks === 0) resetToZero(total);
@@ -103,7 +103,7 @@
     return sum;
   }
 
-  /** Adds (1) or removes (-1) a task of this size from the usage of its team. */
+  /** Adds (1) a task of this size to the usage of its team, or removes it (-1). */
   countTask(spec: JobSpec, sign: 1 | -1): void {
     const team = this.teams.get(spec.team) ?? { ...ZERO, tasks: 0 };
     countIn(team, spec, sign);
--- a/src/shards/unaccounted-tasks.ts
+++ b/src/shards/unaccounted-tasks.ts
@@ -33,14 +33,14 @@
 }
 
 function rangesOnNoMachine(shard: Shard, job: ShardJob): Range[] {
-  const mayRunInZone = new Map<ZoneId | null, boolean>();
+  const mayBeRunningByZone = new Map<ZoneId | null, boolean>();
   const ranges: Range[] = [];
   for (const index of job.unaccounted) {
     const zone = requiredZone(job, index);
-    let mayBeRunning = mayRunInZone.get(zone);
+    let mayBeRunning = mayBeRunningByZone.get(zone);
     if (mayBeRunning === undefined) {
       mayBeRunning = shard.unreconciled.mayHaveTask(job, zone);
-      mayRunInZone.set(zone, mayBeRunning);
+      mayBeRunningByZone.set(zone, mayBeRunning);
     }
     if (!mayBeRunning) ranges.push([index, index + 1]);
   }
