--- a/src/jobs/cluster-clock.ts
+++ b/src/jobs/cluster-clock.ts
@@ -52,8 +52,8 @@
 }
 
 /**
- * Writes the count to the store if this controller is the first live controller of the settings, on the condition that
- * no other controller has written it meanwhile.
+ * Writes the count to the store if this controller is the first live one in the order of the settings, on the condition
+ * that no other controller has written it meanwhile.
  */
 export class ClusterClockWriter {
   /** Time of this process's last write; null: none yet. */
@@ -66,7 +66,7 @@
     const { context } = this;
     const now = context.clock.now();
     if (!context.mayCommand(now) || !context.storeHealthy()) return;
-    if (this.wroteRecently(now) || !this.isFirstAliveController()) return;
+    if (this.wroteRecently(now) || !this.isFirstLiveController()) return;
     this.lastWriteAt = now;
     // Not awaited: if this write is lost, a later tick writes a higher count.
     void this.write(encodeTime(context.clusterClock.now(now)));
@@ -88,7 +88,7 @@
     await this.context.exclusive(() => storeCache.apply(TIME_KEY, value, result.revision));
   }
 
-  private isFirstAliveController(): boolean {
+  private isFirstLiveController(): boolean {
     const { settings, storeCache } = this.context;
     const first = settings.shards.find((shard) => storeCache.get(aliveKey(shard.node)) !== undefined);
     return first?.node === settings.node;
--- a/src/jobs/job-record-cache.ts
+++ b/src/jobs/job-record-cache.ts
@@ -1,6 +1,6 @@
 /**
  * Caches the records of active jobs, decoded once per version, and the specifications of recently ended jobs. Must be
- * updated with every change of a job record, in the order of the watch cache.
+ * updated with every change of a job record, in the order in which the store cache applies them.
  */
 import type { JobId } from '../model/units.js';
 import { decodeRecord } from './codec.js';
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -22,7 +22,7 @@
 const PROGRESS_WRITE_FRACTION = 0.3;
 /** Maximum number of concurrent writes. */
 const MAX_OPEN_WRITES = 4;
-/** Maximum number of recorded write times; beyond it all are dropped, which costs at most one early write per job. */
+/** Maximum number of recorded write times; above it, all are dropped, which costs at most one early write per job. */
 const MAX_WRITE_TIMES = 5000;
 
 /** The parts of the controller that the writer uses. */
@@ -106,7 +106,7 @@
     );
   }
 
-  /** Returns whether no task of the job remains here: this write, or one for another shard, may end the job. */
+  /** Returns whether no task of the job remains here: this write, or a later one by another controller, may end it. */
   private isLastLocalWrite(job: ShardJob, finished: RangeSet, record: JobRecord): boolean {
     const pending = [job.waiting, job.unaccounted, job.unconfirmed, job.transferring];
     if (pending.some((tasks) => !tasks.isEmpty)) return false;
--- a/src/jobs/spec.ts
+++ b/src/jobs/spec.ts
@@ -34,7 +34,7 @@
   readonly oneZone: boolean;
   /** At most half of the tasks, rounded up, may run in one zone. */
   readonly spread: boolean;
-  /** Spot instances are allowed. */
+  /** Spot machines are allowed. */
   readonly spot: boolean;
   readonly image: ImageId;
   readonly imageGb: number;
--- a/src/jobs/submission.ts
+++ b/src/jobs/submission.ts
@@ -23,7 +23,7 @@
 import { activeStatus, type TaskSources } from './status.js';
 import { decodeSubmission } from './wire.js';
 
-/** The parts of the controller that decide about a submission. */
+/** The parts of the controller that submission uses. */
 export interface SubmissionContext extends JobCreationContext, TaskSources {
   readonly settings: Settings;
   /** The cloud's instance types; empty until they are known. */
@@ -61,7 +61,10 @@
     return this.create(spec);
   }
 
-  /** Returns false until active jobs and instance types are known: an admissible job could be refused before. */
+  /**
+   * Returns false while the store does not answer, and until active jobs and instance types are known: an admissible
+   * job could be refused before.
+   */
   private canDecide(): boolean {
     const { storeCache, types } = this.context;
     return storeCache.loaded && types.size > 0 && this.context.storeHealthy();
--- a/src/jobs/wire.ts
+++ b/src/jobs/wire.ts
@@ -9,7 +9,7 @@
 
 /** Maximum number of instance types in a submission. */
 const MAX_TYPES = 64;
-/** In UTF-16 code units. */
+/** Maximum length of a name in a submission, in UTF-16 code units. */
 const MAX_NAME_LENGTH = 200;
 
 /** Upper bound for every resource amount, size and duration. */
--- a/src/store/cache.ts
+++ b/src/store/cache.ts
@@ -101,8 +101,8 @@
 
   /**
    * Applies the events of a watch that was sent at `requestedAt` and is complete up to `revision`. The responses of two
-   * watches may arrive out of order: events of the later response, up to the revision that the cache has reached, are
-   * already known and are skipped, also for keys that have been deleted since.
+   * watches may arrive out of order: when the second one arrives, its events up to the revision that the cache has
+   * reached are already known, and are skipped, also for keys that have been deleted since.
    */
   applyEvents(events: readonly WatchEvent[], revision: Revision, requestedAt: SteadyMs): void {
     const reachedRevision = this.completeUpTo;
--- a/src/store/watcher.ts
+++ b/src/store/watcher.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the watch cache current: loads a list, then sends one watch after another, and loads a new list when the store
- * has compacted the changes since the cache's revision. The client enforces the rate limits; the watcher adds its own
- * pacing.
+ * Keeps the store cache current: loads a list, then sends one watch after another, and loads a new list when the store
+ * has compacted the changes since the cache's revision. The client enforces the rate limits; the watcher adds delays
+ * after failures and after watches that returned changes.
  */
 import type { Log } from '../logging/log.js';
 import type { Clock, Millis } from '../model/units.js';
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -26,8 +26,8 @@
 /** Workers are redirected only to a leader whose last announcement arrived within this time. */
 const LEADER_LIVENESS_TIMEOUT_MS = millis(2500);
 /**
- * A worker that still shows an old fencing token this many heartbeat intervals plus `UNANSWERED_MARGIN_MS` after it was
- * first answered is assumed not to receive the answers.
+ * A worker is assumed not to receive the answers to its heartbeats if it still reports an old fencing token this many
+ * heartbeat intervals, plus `UNANSWERED_MARGIN_MS`, after the first answer.
  */
 const UNANSWERED_INTERVALS = 3;
 const UNANSWERED_MARGIN_MS = 4000;
@@ -152,7 +152,7 @@
    * token that the answers carry.
    *
    * Prevents: after a failover each further answer may renew the worker's lease, so that the lease can never be
-   * considered expired and the shard is never reconciled. Once its heartbeats are refused, the lease expires.
+   * considered expired and the shard is never reconciled. If its heartbeats are refused instead, the lease expires.
    */
   private missesAnswers(shard: Shard, machine: Machine, heartbeat: Heartbeat, now: SteadyMs): boolean {
     if (
--- a/src/workers/lease-expiry.ts
+++ b/src/workers/lease-expiry.ts
@@ -50,7 +50,7 @@
     const now = this.controller.clock.now();
     const terms = this.leaseTerms();
     for (const machine of shard.machines.values()) this.expireLease(shard, machine, now, terms);
-    this.renewFencingToken(shard, now);
+    this.raiseFencingTokenIfNeeded(shard, now);
     this.shardUpdates.onShardChanged(shard);
   }
 
@@ -83,8 +83,8 @@
     shard.markReconciled(machine);
   }
 
-  /** Does not await the result: it shows in the shard's fencing token, and the next check retries if necessary. */
-  private renewFencingToken(shard: Shard, now: SteadyMs): void {
+  /** Does not await the result: the next check reads the shard's fencing token and retries if necessary. */
+  private raiseFencingTokenIfNeeded(shard: Shard, now: SteadyMs): void {
     if (this.hasOverdueLaunch(shard, now)) {
       this.controller.log.info(
         { shard: shard.id },
--- a/src/workers/registration.ts
+++ b/src/workers/registration.ts
@@ -13,9 +13,9 @@
 import { chooseShard, machineNumber, type ShardChoiceDependencies } from './shard-choice.js';
 import type { Heartbeat } from './wire.js';
 
-/** Limits the queue to what can be written in this time, after which waiting workers would time out. */
+/** Limits the registrations in progress to what can be written in this time; with more, workers would time out. */
 const MAX_QUEUE_S = 2;
-/** Candidates without a heartbeat for this long are dropped: deleted, or registered by another controller. */
+/** Candidates silent for this long are dropped: they were deleted, or another controller has registered them. */
 const CANDIDATE_AGE_MS = 30_000;
 /** Bounds memory use: machine ids in heartbeats are not verified. */
 const MAX_CANDIDATES = 20_000;
@@ -79,7 +79,10 @@
     for (const id of this.lastHeartbeatAt.keys()) if (!this.isCandidate(id)) this.lastHeartbeatAt.delete(id);
   }
 
-  /** Assigns each machine to one live controller: a second controller's attempt would waste a write to the store. */
+  /**
+   * Returns whether this is the one live controller that keeps the machine as a candidate: a second controller's
+   * attempt to register it would waste a write to the store.
+   */
   private isAssignedHere(id: MachineId): boolean {
     const { settings } = this.controller;
     const alive = settings.shards.filter(({ node }) => this.controller.isAlive(node, null));
@@ -98,7 +101,7 @@
     for (const [id, heartbeat] of this.candidates) {
       if (this.registering.size >= this.maxPendingRegistrations) return;
       this.candidates.delete(id);
-      // Not awaited: no heartbeat waits for the result, and the machine's next heartbeat picks it up.
+      // Not awaited: no heartbeat waits for the result. The machine's next heartbeat finds it registered, or retries.
       if (this.shouldRegister(id)) void this.register(heartbeat);
     }
   }
--- a/src/workers/release-rules.ts
+++ b/src/workers/release-rules.ts
@@ -146,7 +146,7 @@
   readonly leaseDuration: Millis;
   /** The previous leader has stopped renewing leases this long after a failover. */
   readonly previousLeaderTimeout: Millis;
-  /** Start of the last request that confirmed that the watch cache, and with it the leadership, was current. */
+  /** Start of the last request that confirmed that the store cache, and with it the leadership, was current. */
   readonly confirmedAt: SteadyMs;
 }
 
@@ -154,7 +154,8 @@
 const MAX_MS_PER_REMOTE_SECOND = 1001;
 
 /**
- * Returns the time after a failover by which the previous leader has stopped renewing leases: its cancellation limit.
+ * Returns a time after a failover by which the previous leader has certainly stopped renewing leases: the time limit
+ * for cancellations, which exceeds the time for which a leader may send commands without a confirmation by the store.
  */
 export const previousLeaderTimeout = (cancelS: Seconds): Millis => millis(cancelS * MAX_MS_PER_REMOTE_SECOND);
 
@@ -164,8 +165,8 @@
  * Prevents three sequences in which a task would be started elsewhere while it runs. (1) The previous leader answers a
  * heartbeat after the failover, which renews the lease. (2) This controller has lost its leadership without noticing,
  * and its successor renews the lease that this controller considers expired; `confirmedAt` excludes this. (3) A direct
- * reply shows a new agent epoch, whose lease began after the last heartbeat, and its tasks are released with the old
- * epoch.
+ * reply shows a new agent epoch, whose lease began after the last heartbeat, and the tasks of the new epoch are
+ * released because the lease of the old one has expired.
  */
 export function isLeaseExpired(shard: Shard, machine: Machine, now: SteadyMs, terms: LeaseTerms): boolean {
   const leaseEnd = Math.max(
--- a/src/workers/shard-choice.ts
+++ b/src/workers/shard-choice.ts
@@ -44,14 +44,14 @@
   const smallest = [...capacities].sort((a, b) => a[1] - b[1] || a[0] - b[0])[0];
   if (!smallest) return nextInTurn;
   const [smallestShard, smallestCapacity] = smallest;
-  const lead = (capacities.get(nextInTurn) ?? 0) - smallestCapacity;
-  return lead > MAX_IMBALANCE ? smallestShard : nextInTurn;
+  const excess = (capacities.get(nextInTurn) ?? 0) - smallestCapacity;
+  return excess > MAX_IMBALANCE ? smallestShard : nextInTurn;
 }
 
 /**
  * Returns the capacity of each shard in units of the largest machine, by CPUs or GPUs, whichever gives the larger
- * number. Memory is ignored: small machines often have as much as large ones, so it says little about the work they can
- * take.
+ * number. Memory is ignored: small machines often have as much as large ones, so it says little about how many tasks
+ * they can run.
  */
 function relativeCapacities(
   { types, registeredMachines }: ShardChoiceDependencies,
--- a/src/workers/task-exits.ts
+++ b/src/workers/task-exits.ts
@@ -31,7 +31,7 @@
 /** No task of a job is started for this time after a worker did not know the job. */
 const UNKNOWN_JOB_BACKOFF_MS = millis(1000);
 /** A job without a success that fails on this many machines is assumed to be faulty itself. */
-const MIN_MACHINES_TO_BLAME_JOB = 3;
+const MIN_FAILED_MACHINES = 3;
 const MAX_JOB_BACKOFF_S = 60;
 /** Limits the exponent of the exponential backoff; `MAX_JOB_BACKOFF_S` caps the result. */
 const MAX_JOB_BACKOFF_EXPONENT = 6;
@@ -133,8 +133,8 @@
 }
 
 /**
- * Stops a finished task on the machine where it is still allocated: it may really run there, or a delayed heartbeat may
- * have shown it there.
+ * Stops a finished task on the machine where it is still allocated: it may run there, or a delayed heartbeat may have
+ * listed it there.
  */
 function stopAllocationElsewhere(shard: Shard, { job, index }: ExitedTaskStatus): void {
   const allocation = shard.allocations.get(taskId(job, index));
@@ -169,12 +169,12 @@
 }
 
 function failsEverywhere(job: ShardJob): boolean {
-  return job.successes === 0 && job.failedMachines.size >= MIN_MACHINES_TO_BLAME_JOB;
+  return job.successes === 0 && job.failedMachines.size >= MIN_FAILED_MACHINES;
 }
 
 function delayFailingJob(job: ShardJob, { now, log }: TaskExitContext): void {
   const machines = job.failedMachines.size;
-  const exponent = Math.min(MAX_JOB_BACKOFF_EXPONENT, machines - (MIN_MACHINES_TO_BLAME_JOB - 1));
+  const exponent = Math.min(MAX_JOB_BACKOFF_EXPONENT, machines - (MIN_FAILED_MACHINES - 1));
   const backoffS = Math.min(MAX_JOB_BACKOFF_S, 2 ** exponent);
   job.backoffUntil = plus(now, toMillis(seconds(backoffS)));
   log.info({ job: job.id, machines, backoffS }, 'job fails on every machine that starts it, backing off');
--- a/src/workers/unexpected-tasks.ts
+++ b/src/workers/unexpected-tasks.ts
@@ -34,8 +34,8 @@
   state === 'running' || state === 'saving';
 
 /**
- * Returns the allocation that the reported task is compared with. An allocation of unknown size whose job has become
- * known meanwhile is released, so that the task is adopted with the job's specification.
+ * Returns the allocation that the reported task is compared with. An allocation without a specification, whose job has
+ * become known meanwhile, is released instead, so that the task is adopted with the job's specification.
  */
 export function expectedAllocation(
   shard: Shard,
--- a/src/workers/wire.ts
+++ b/src/workers/wire.ts
@@ -71,7 +71,8 @@
 }
 
 /**
- * A command about one attempt of a task. Commands are idempotent, except that a `start` must not follow its `forget`.
+ * A command about one attempt of a task. Commands are idempotent, except that a `start` (also called a launch) must not
+ * follow the attempt's `forget`.
  */
 export type WorkerCommand =
   | (TaskIdentity & { readonly kind: 'start' })
