--- a/src/jobs/dependencies.ts
+++ b/src/jobs/dependencies.ts
@@ -19,7 +19,7 @@
   readonly writeRate: number;
   /** How long a submission would be delayed by the rate limits. */
   readonly submitWait: Millis;
-  /** Reads one key from the store, not from the store cache. */
+  /** Reads one key from the store, not from the watch cache. */
   get(key: StoreKey, priority: RequestPriority): Promise<ReadResult>;
   /** Applies all changes if every condition holds, and none otherwise. */
   compareAndSwap(
@@ -57,7 +57,7 @@
 
 /** Tells whether this controller may still act as the leader of its shards. */
 export interface LeadershipView {
-  /** Returns false if the last confirmation of the store cache is too old. */
+  /** Returns false if the last confirmation of the watch cache is too old. */
   mayCommand(now: SteadyMs): boolean;
 }
 
--- a/src/jobs/job-creation.ts
+++ b/src/jobs/job-creation.ts
@@ -22,7 +22,7 @@
 
 /**
  * Writes the record, on the condition that no job with its id is active or has ended. On `done` the record is in the
- * store cache; `conflict` means that such a job exists.
+ * watch cache; `conflict` means that such a job exists.
  */
 export async function createJobRecord(
   context: JobCreationContext,
--- a/src/jobs/job-record-cache.ts
+++ b/src/jobs/job-record-cache.ts
@@ -1,6 +1,6 @@
 /**
  * Caches the records of active jobs, decoded once per version, and the specifications of recently ended jobs. Must be
- * updated with every change of a job record, in the order in which the store cache applies them.
+ * updated with every change of a job record, in the order in which the watch cache applies them.
  */
 import type { JobId } from '../model/units.js';
 import { decodeRecord } from './codec.js';
--- a/src/jobs/lookup-batcher.ts
+++ b/src/jobs/lookup-batcher.ts
@@ -53,7 +53,7 @@
 
 /** Collects queries about jobs and answers them in batches. */
 export class LookupBatcher {
-  /** Queries for jobs that were active in the store cache. */
+  /** Queries for jobs that were active in the watch cache. */
   private readonly activeQueries = new Map<JobId, Query>();
   /** Queries for all other jobs. */
   private readonly otherQueries = new Map<JobId, Query>();
@@ -66,12 +66,12 @@
     private readonly reader: JobReader,
     /** Maximum number of changes per transaction. */
     private readonly maxTransactionOps: number,
-    /** Brings the store cache up to date; resolves to false if the store did not answer. */
+    /** Brings the watch cache up to date; resolves to false if the store did not answer. */
     private readonly refresh: () => Promise<boolean>,
   ) {}
 
   /**
-   * Returns the current state of a job. One refresh of the store cache answers all earlier queries for active jobs.
+   * Returns the current state of a job. One refresh of the watch cache answers all earlier queries for active jobs.
    * Queries for other jobs share a transaction that only has conditions: if no record was created, the cache is
    * correct.
    */
--- a/src/jobs/service.ts
+++ b/src/jobs/service.ts
@@ -31,7 +31,7 @@
   private readonly cancellation: JobCancellation;
 
   /**
-   * `assign` returns the initial assignments of a new job's tasks; `refresh` brings the store cache up to date, or
+   * `assign` returns the initial assignments of a new job's tasks; `refresh` brings the watch cache up to date, or
    * resolves to false if the store did not answer; `announceCancelled` notifies the peers of a committed cancellation.
    */
   constructor(
--- a/src/store/watcher.ts
+++ b/src/store/watcher.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the store cache current: loads a list, then sends one watch after another, and loads a new list when the store
+ * Keeps the watch cache current: loads a list, then sends one watch after another, and loads a new list when the store
  * has compacted the changes since the cache's revision. The client enforces the rate limits; the watcher adds delays
  * after failures and after watches that returned changes.
  */
--- a/src/workers/registration-batches.ts
+++ b/src/workers/registration-batches.ts
@@ -1,6 +1,6 @@
 /**
  * Writes machine registrations to the store, several per transaction, on the condition that none of the machines is
- * registered yet. Registrations by other controllers are taken from the store cache.
+ * registered yet. Registrations by other controllers are taken from the watch cache.
  */
 import type { Log } from '../logging/log.js';
 import type { Settings } from '../settings/settings.js';
--- a/src/workers/release-rules.ts
+++ b/src/workers/release-rules.ts
@@ -146,7 +146,7 @@
   readonly leaseDuration: Millis;
   /** The previous leader has stopped renewing leases this long after a failover. */
   readonly previousLeaderTimeout: Millis;
-  /** Start of the last request that confirmed that the store cache, and with it the leadership, was current. */
+  /** Start of the last request that confirmed that the watch cache, and with it the leadership, was current. */
   readonly confirmedAt: SteadyMs;
 }
 
--- a/src/workers/service.ts
+++ b/src/workers/service.ts
@@ -74,7 +74,7 @@
     return this.heartbeatHandler.refusals.snapshot();
   }
 
-  /** Applies a change of a machine's record in the store cache; `record` is null if it was deleted. */
+  /** Applies a change of a machine's record in the watch cache; `record` is null if it was deleted. */
   onMachineChanged(id: MachineId, record: MachineRecord | null, version: Revision): void {
     for (const shard of this.controller.shards.values()) {
       const machine = shard.machines.get(id);
--- a/test/jobs/cancellation-notice.test.ts
+++ b/test/jobs/cancellation-notice.test.ts
@@ -47,7 +47,7 @@
   for (const node of cluster.nodes) node.receiveFromPeer?.(notice);
   await cluster.step(1000);
   const poll = await cluster.sendUserRequest(0, 'GET', '/v2/runs/req-1');
-  assert.equal(poll.body['status'], 'running', 'the notice is older than the store cache');
+  assert.equal(poll.body['status'], 'running', 'the notice is older than the watch cache');
   await cluster.sendUserRequest(1, 'POST', '/v2/runs/req-1/abort');
   for (const node of cluster.nodes) node.receiveFromPeer?.(notice);
   await cluster.step(3000);
--- a/test/leadership/cancellation-during-store-outage.test.ts
+++ b/test/leadership/cancellation-during-store-outage.test.ts
@@ -202,7 +202,7 @@
   };
   for (let delayMs = 0; delayMs < 400; delayMs += 7)
     cluster.clock.after(delayMs, () => void cluster.request(LEADER, 'GET', '/v2/runs/req-1'));
-  // Users query the other controllers too: the successor's store cache is always current, and it waits only for leases.
+  // Users query the other controllers too: the successor's watch cache is always current, and it waits only for leases.
   const durationMs = CANCEL_MS + LEASE_MS + 6000;
   for (let delayMs = 0; delayMs < durationMs; delayMs += 200)
     for (const node of cluster.nodes.keys())
--- a/test/leadership/failover-decision.test.ts
+++ b/test/leadership/failover-decision.test.ts
@@ -28,7 +28,7 @@
   assert.equal(
     decide({ leaderAlive: false, homeControllerAlive: false, membershipStableSince: null }),
     'wait',
-    'the store cache may be out of date',
+    'the watch cache may be out of date',
   );
   assert.equal(
     decide({ leaderAlive: false, situationAgeMs: 500 }),
--- a/test/leadership/leadership.test.ts
+++ b/test/leadership/leadership.test.ts
@@ -1,4 +1,4 @@
-/** Leadership requests to the store, and the effects of shard records in the store cache. */
+/** Leadership requests to the store, and the effects of shard records in the watch cache. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ShardLeadership, type LeadershipContext } from '../../src/leadership/leadership.js';
@@ -61,7 +61,7 @@
     this.storeCache.loadSnapshot([], revision(0), this.clock.now());
   }
 
-  /** Writes a value to the store, and applies the change to the store cache. */
+  /** Writes a value to the store, and applies the change to the watch cache. */
   put(key: StoreKey, value: unknown): Revision {
     this.lastRevision += 1;
     const version = revision(this.lastRevision);
@@ -115,7 +115,7 @@
   }
 }
 
-test('a controller acquires its home shard under the next fencing token, and leads it only once the store cache shows it', async () => {
+test('a controller acquires its home shard under the next fencing token, and leads it only once the watch cache shows it', async () => {
   const fixture = new LeadershipFixture();
   fixture.put(aliveKey(PEER), encodeMembership('n1-1' as Incarnation));
   const tokenVersion = fixture.put(TOKEN_KEY, encodeFencingToken(fencingToken(6)));
@@ -167,7 +167,7 @@
   assert.equal(fixture.shards.size, 0, 'the same controller, but another process');
 });
 
-test('without a current store cache no shard is acquired', async () => {
+test('without a current watch cache no shard is acquired', async () => {
   for (const [cacheAgeMs, requests] of [
     [61_499, 1],
     [61_500, 0],
--- a/test/store/cache.test.ts
+++ b/test/store/cache.test.ts
@@ -4,7 +4,7 @@
 import { StoreCache } from '../../src/store/cache.js';
 import type { SteadyMs } from '../../src/model/units.js';
 
-test('the store cache accepts events in any order and never goes back to an older revision', () => {
+test('the watch cache accepts events in any order and never goes back to an older revision', () => {
   const changes: string[] = [];
   const storeCache = new StoreCache((key, value, version) =>
     changes.push(`${key}=${String(value)}@${version}`),
--- a/test/support/outage-scenario.ts
+++ b/test/support/outage-scenario.ts
@@ -107,7 +107,7 @@
     return this.measure();
   }
 
-  /** Refuses the leader at its next read, so that it cannot confirm its store cache, and then cancels `jobs`. */
+  /** Refuses the leader at its next read, so that it cannot confirm its watch cache, and then cancels `jobs`. */
   private refuseLeaderAfterItsNextRead(jobs: readonly string[]): void {
     const { cluster, outageCase } = this;
     const refuse = (): void => {
@@ -132,7 +132,7 @@
     };
   }
 
-  /** Queries the leader until it is refused, which keeps its store cache as current as possible. */
+  /** Queries the leader until it is refused, which keeps its watch cache as current as possible. */
   private pollLeader(): void {
     const { cluster, outageCase } = this;
     const durationMs =
