--- a/src/overflow/announcement.ts
+++ b/src/overflow/announcement.ts
@@ -78,7 +78,8 @@
 }
 
 /**
- * Returns, by image, the capacity that critical tasks can use at once on machines that cache it, including preemption.
+ * Returns, by image, the capacity that critical tasks can use at once on on-demand machines that hold the image: what
+ * is free, and what preemptible tasks use.
  */
 export function capacityByImage(core: Core, shard: Shard): Map<ImageId, Resources> {
   const capacities = new Map<ImageId, Resources>();
--- a/src/overflow/assignment.ts
+++ b/src/overflow/assignment.ts
@@ -23,7 +23,7 @@
   readonly types: readonly InstanceType[];
   /** Announced free capacity of every shard; an assignment subtracts the capacity that it uses. */
   readonly freeCapacity: ReadonlyMap<ShardId, FreeCapacity>;
-  /** By shard and image: the capacity that critical tasks can use at once on machines that cache the image. */
+  /** By shard and image: the capacity that critical tasks can use at once on machines that hold the image. */
   readonly imageCapacity: ReadonlyMap<ShardId, ReadonlyMap<ImageId, Resources>>;
   readonly random: Random;
 }
@@ -39,7 +39,7 @@
   context.imageCapacity.get(shard)?.get(spec.image) ?? ZERO;
 
 /**
- * Finds a shard where `count` critical tasks can start at once on machines that cache their image: the home shard if
+ * Finds a shard where `count` critical tasks can start at once on machines that hold their image: the home shard if
  * possible, else by zone, then by capacity. Returns null if there is none or the job is not critical.
  */
 function shardWithImage(
@@ -57,16 +57,16 @@
   );
   if (candidates.some((candidate) => candidate.shard === context.homeShard)) return context.homeShard;
   const zoneDistance = (candidateZone: ZoneId): number => (candidateZone === context.homeZone ? 0 : 1);
-  const taskSlots = (shard: ShardId): number => fittingRatio(capacityWithImage(context, spec, shard), spec);
+  const taskRatio = (shard: ShardId): number => fittingRatio(capacityWithImage(context, spec, shard), spec);
   candidates.sort(
     (first, second) =>
       zoneDistance(first.zone) - zoneDistance(second.zone) ||
-      taskSlots(second.shard) - taskSlots(first.shard),
+      taskRatio(second.shard) - taskRatio(first.shard),
   );
   return candidates[0]?.shard ?? null;
 }
 
-/** Assigns critical tasks to one shard whose machines cache their image, or to several by what each can start. */
+/** Assigns critical tasks to one shard whose machines hold their image, or to several by what each can start. */
 function assignByImage(context: AssignmentContext, spec: JobSpec): Assignment[] {
   const singleShard = shardWithImage(context, spec, null, spec.tasks);
   if (singleShard !== null) return [{ from: 0, to: spec.tasks, shard: singleShard, zone: null }];
@@ -177,7 +177,7 @@
   return assignments;
 }
 
-/** Assigns a gang to one shard: the home shard if it has capacity for all members, else the best peer that does. */
+/** Assigns a gang to one shard: the home shard if it has capacity for all members, else the best peer that has. */
 function assignGang(context: AssignmentContext, spec: JobSpec): Assignment {
   const homeCapacity = context.freeCapacity.get(context.homeShard);
   const rankedPeers = rankPeers(
--- a/src/overflow/machine-transfer.ts
+++ b/src/overflow/machine-transfer.ts
@@ -131,8 +131,8 @@
   }
 
   /**
-   * Of two shards with oversized gangs, the one with the lower number has precedence, so that they do not drain for
-   * each other.
+   * Returns true if the shard has an oversized gang itself and has precedence over the requesting shard. Of two such
+   * shards, the one with the lower number has precedence, so that they do not drain machines for each other.
    */
   private hasPrecedence(shard: Shard, request: MachineRequest, now: SteadyMs): boolean {
     const seenAt = this.oversizedGangSeenAt.get(shard.id);
--- a/src/overflow/read-after-conflict.ts
+++ b/src/overflow/read-after-conflict.ts
@@ -1,7 +1,7 @@
 /**
- * Reads a key after a conflicting write. Either the cache is behind the store, or an earlier attempt of the same write
- * was applied and its response lost. The caller must not decide anything before it is known which of the two is the
- * case.
+ * Reads a key after a write that ended in a conflict. Either the cache is behind the store, or an earlier attempt of
+ * the same write was applied and its response was lost. The caller must not decide anything before it is known which of
+ * the two is the case.
  */
 import type { Core } from '../core.js';
 import { RequestPriority } from '../store/rate-limiter.js';
--- a/src/overflow/task-transfer.ts
+++ b/src/overflow/task-transfer.ts
@@ -152,8 +152,8 @@
     const choice = chooseTaskTransfer(this.core, shard, unplaced, this.core.clock.now());
     if (!choice) return;
     this.transferringShards.add(shard.id);
-    // Never rejects: a refused write is an outcome. The shard's next cycle schedules the tasks that were not
-    // transferred.
+    // The promise never rejects: a refused write is a regular result. The shard's next cycle schedules the tasks that
+    // were not transferred.
     void this.transfer(shard, choice).finally(() => {
       this.transferringShards.delete(shard.id);
       this.core.requestCycle();
--- a/src/overflow/zone-reassignment.ts
+++ b/src/overflow/zone-reassignment.ts
@@ -58,7 +58,7 @@
   return tasks.size;
 }
 
-/** Returns how many of the tasks that wait for `fromZone` may move to the zone. */
+/** Returns how many of the tasks that wait for `fromZone` may move to `zone`. */
 function remainingZoneAllowance(job: ShardJob, fromZone: ZoneId, zone: ZoneId): number {
   const { spec, record } = job;
   if (spec.oneZone) return movableGroupSize(job, fromZone);
@@ -78,7 +78,8 @@
 
 /**
  * Whether a job's tasks in `fromZone` may change their zone. If a job must be both in one zone and spread, its tasks in
- * no zone stay there. A gang that is spread stays where it was assigned: its members would end up on different shards.
+ * no zone stay there. A gang that is spread stays where it was assigned: otherwise its members could be moved to
+ * different shards.
  */
 const mayChangeZone = (spec: JobSpec, fromZone: ZoneId): boolean =>
   spec.zone === null &&
@@ -94,8 +95,8 @@
 }
 
 function tasksWaitingFor(zone: ZoneId, job: ShardJob): RangeSet {
-  const runs = waitingRanges(job).filter((run) => run.zone === zone);
-  return RangeSet.of(runs.map((run) => [run.start, run.end] as const));
+  const ranges = waitingRanges(job).filter((range) => range.zone === zone);
+  return RangeSet.of(ranges.map((range) => [range.start, range.end] as const));
 }
 
 /**
--- a/src/quota/codec.ts
+++ b/src/quota/codec.ts
@@ -8,7 +8,7 @@
 import type { StoreKey, TeamId } from '../model/units.js';
 import { evenQuotas, shardQuotasFrom, type ShardQuotas } from './shard-quota.js';
 
-/** Prefix of the records of all teams' quotas. */
+/** Prefix of the keys of all teams' quota records. */
 export const QUOTA_PREFIX = 'c/quota/';
 
 /** Key of the record that holds the quotas of all shards for a team. */
--- a/src/quota/quota-demand.ts
+++ b/src/quota/quota-demand.ts
@@ -85,7 +85,7 @@
     return mapResources((kind) => (quota[kind] === Infinity ? Infinity : quota[kind] - used[kind]));
   }
 
-  /** Returns the usage of the shard. Usage that cannot be attributed to a team counts as this team's. */
+  /** Returns the team's usage on the shard. Usage that cannot be attributed to a team counts as this team's. */
   private used(shard: Shard, team: TeamId): Resources {
     const usage = usageOf(shard);
     return add(usage.byTeam.get(team) ?? ZERO, usage.unattributed);
@@ -98,13 +98,14 @@
     return mapResources((kind) => Math.max(0, reservation[kind] - remaining[kind]));
   }
 
-  /** Returns the part of `waiting` in limited resources of which the shard has too little quota left. */
+  /** Returns `waiting`, with 0 for each resource that is unlimited or of which the shard has enough quota left. */
   shortfall(shard: Shard, team: TeamId, waiting: Resources): Resources {
     const quota = this.ledger.shardQuota(shard.id, team);
     const remaining = subtract(quota, this.used(shard, team));
     const limited = mapResources((kind) => (quota[kind] === Infinity ? 0 : waiting[kind]));
     const short = mapResources((kind) => (limited[kind] > remaining[kind] ? limited[kind] : 0));
-    // If no resource appears short, all are: capacity reserved for some of the tasks counts as well, and is in no sum yet.
+    // If no resource appears short, all limited resources are returned: scheduling cycles also count reservations as
+    // usage, and `remaining` does not include these.
     return isZero(short) ? limited : short;
   }
 
--- a/src/quota/quota-remainder.ts
+++ b/src/quota/quota-remainder.ts
@@ -3,7 +3,8 @@
  * transfers, remainders would be idle on several shards although together they are enough for a task. Pure.
  *
  * A remainder may always be transferred to a shard with a lower number, and to a shard with a higher number only if it
- * completes the quota of a task there. This prevents: remainders that are too small even together move back and forth.
+ * completes the quota of a task there. Otherwise, remainders that are too small even together would move back and
+ * forth.
  */
 import { fits, mapResources, RESOURCE_KINDS, type Resources } from '../model/resources.js';
 import type { ShardId } from '../model/units.js';
@@ -15,7 +16,7 @@
 /**
  * Returns the quota that is missing for the task that is closest to fitting, which is the task with the smallest
  * maximum of missing amounts as fractions of the team's quota. Returns null if a task fits, no task waits, or machines
- * of unknown size may be using more than the quota.
+ * of unknown type and usage may be using more than the quota.
  */
 export function missingForClosestTask(
   remaining: Resources,
--- a/src/quota/service-assignments.ts
+++ b/src/quota/service-assignments.ts
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Returns an upper bound of the team's use by services on the shards other than `ownShard`: on each shard, at most
-   * the resources assigned to services there and at most the team's usage there.
+   * Returns an upper bound of the usage of the team's services on the shards other than `ownShard`: on each shard, at
+   * most the resources assigned to services there and at most the team's usage there.
    * @param usedOn returns the announced usage of the team on a shard
    */
   maxUsageOnOtherShards(team: TeamId, ownShard: ShardId, usedOn: (shard: ShardId) => Resources): Resources {
--- a/src/quota/transfer-requester.ts
+++ b/src/quota/transfer-requester.ts
@@ -81,7 +81,10 @@
     return announcement && announcement.expiresAt > now ? (announcement.unusedQuota.get(team) ?? ZERO) : ZERO;
   }
 
-  /** Requests the quota that one task lacks from every other shard: each may have an amount too small for any task. */
+  /**
+   * Requests from every other shard the quota that is missing for a reservation: each may have an amount that is too
+   * small for any task.
+   */
   private requestForReservation(shard: Shard, team: TeamId, reservation: Resources, now: SteadyMs): void {
     const missing = this.demand.missingForReservation(shard, team, reservation);
     if (RESOURCE_KINDS.every((kind) => missing[kind] <= 0)) return;
--- a/src/scheduling/candidates.ts
+++ b/src/scheduling/candidates.ts
@@ -66,8 +66,8 @@
   ) {}
 
   /**
-   * Returns the best machine with enough free resources: `preferred`, the machine reserved for the task, if
-   * it has enough by now.
+   * Returns a machine with enough free resources: `preferred` (the machine reserved for the task) if it has
+   * enough by now, else the best candidate; null if there is none.
    */
   next(preferred?: Machine): Machine | null {
     const { job } = this;
@@ -113,7 +113,7 @@
    */
   private score(machine: Machine, free: Resources): readonly number[] {
     const { spec } = this.job;
-    // A machine on which a task of the job has failed is its last choice.
+    // Machines on which a task of the job has failed are the last choice for the job.
     const failed = this.job.failedMachines.has(machine.id) ? 1 : 0;
     const hasImage = machine.images.has(spec.image);
     const capacity = this.types.get(machine.type) ?? ZERO;
@@ -129,7 +129,7 @@
     const interruptionRisk = machine.spot && spec.checkpointIntervalS === 0 ? 1 : 0;
     // Machines that already run critical tasks are preferred for replicas: the others become idle when batch
     // work ends, and are scaled in.
-    const withoutReplicas = spec.kind === 'service' && isZero(criticalUsage(machine)) ? 1 : 0;
+    const withoutCriticalTasks = spec.kind === 'service' && isZero(criticalUsage(machine)) ? 1 : 0;
     const freeCpus = freeCpuEquivalent(free, capacity, spec);
     const packingOrder = packs ? freeCpus : -(freeCpus + freeCpus / Math.max(1, capacity.cpus));
     return [
@@ -137,7 +137,7 @@
       hasImage ? 0 : isFetchingImage ? 1 : 2,
       interruptionRisk,
       crowding,
-      withoutReplicas,
+      withoutCriticalTasks,
       packingOrder,
     ];
   }
@@ -147,7 +147,7 @@
 export const anyMachine = (): boolean => true;
 
 /**
- * Returns the machines on which tasks of the job may start that must run in the zone; null means any zone.
+ * Returns the candidates for those tasks of the job that must run in the zone; null stands for any zone.
  */
 export function candidatesFor(
   cycle: SchedulingCycle,
@@ -166,8 +166,9 @@
 const criticalUsage = (machine: Machine): Resources => subtract(machine.used, machine.preemptible);
 
 /**
- * Returns how much of the machine replicas would take with one more, in steps. Includes replicas placed in
- * this cycle, since they are placed before other tasks.
+ * Returns the share of the machine that its replicas would take with one replica more, in CROWDING_STEPS
+ * steps, rounded up. All that this cycle has placed on the machine counts as replicas, since replicas are
+ * placed before other tasks.
  */
 function replicaCrowding(machine: Machine, free: Resources, spec: JobSpec, capacity: Resources): number {
   const usedByReplicas = add(subtract(subtract(capacity, machine.preemptible), free), spec);
--- a/src/scheduling/consolidation.ts
+++ b/src/scheduling/consolidation.ts
@@ -37,8 +37,8 @@
 type ConsolidationContext = Pick<SchedulingContext, 'now' | 'types' | 'heartbeatIntervalMs'>;
 
 /**
- * Returns the first of the relocations that would empty a machine; null if no machine is worth it or one of
- * its replicas cannot move.
+ * Returns the first of the relocations that would empty the least loaded machine with replicas only; null if
+ * there is no such machine, too little capacity is free, or one of the replicas cannot move.
  */
 export function chooseRelocation(shard: Shard, context: ConsolidationContext): Relocation | null {
   if (!isMostlyFree(shard, context)) return null;
@@ -48,7 +48,7 @@
   const plannedReplicas = new Map<Machine, number>();
   for (const allocation of source.allocations.values()) {
     const target = chooseTarget(shard, source, allocation, plannedReplicas, context);
-    // A relocation is worth it only if the whole machine becomes free.
+    // A relocation is useful only if the whole machine becomes free.
     if (!target) return null;
     plannedReplicas.set(target, (plannedReplicas.get(target) ?? 0) + 1);
     relocations.push({ allocation, target });
@@ -110,8 +110,8 @@
   largestPerResource(context.types.values()).cpus;
 
 /**
- * Returns the most loaded machine that holds the image, has room and carries at least the load of the source
- * in critical tasks; null if there is none, or if too little would stay free for more replicas.
+ * Returns the most loaded of the machines that hold the image, have room, and whose load by critical tasks is
+ * at least the load of the source; null if there is none, or if too little would stay free for more replicas.
  */
 function chooseTarget(
   shard: Shard,
--- a/src/scheduling/cycle.ts
+++ b/src/scheduling/cycle.ts
@@ -141,7 +141,7 @@
   /** Used only by the log and its counters. */
   readonly endedReservations: EndedReservation[];
   readonly unplaced: UnplacedTasks[];
-  /** Quota reserved by team for one task or one gang that needs it, so that smaller tasks leave it unused. */
+  /** By team, the quota reserved for one of its tasks or gangs, so that smaller tasks leave it unused. */
   readonly quotaReservations: Map<TeamId, Resources>;
   /** The first oversized gang that has waited long enough to reserve machines; null if there is none. */
   oversizedGang: OversizedGang | null;
--- a/src/scheduling/gangs.ts
+++ b/src/scheduling/gangs.ts
@@ -58,8 +58,8 @@
 }
 
 /**
- * Maximum number of members of a gang for which others are preempted. With more, the gang waits until
- * capacity is free.
+ * Maximum number of members without a machine for which tasks of other jobs are preempted. With more such
+ * members, the gang waits until capacity is free.
  */
 const MAX_MEMBERS_WITH_PREEMPTION = 64;
 
@@ -207,8 +207,8 @@
   for (const { index, machine } of placement.starts) {
     const reserved = reservedMachine(cycle, job, index);
     if (reserved && job.reservations.get(index)?.withoutPreemption === false) {
-      // The member keeps the machine where tasks are being stopped for it: the machine found may be another
-      // member's.
+      // The member keeps the machine where tasks are being stopped for it: the machine found may be reserved for
+      // another member.
       returnResources(cycle.freeResources.get(machine.id), job.spec);
       takeResources(cycle.freeResources.get(reserved.id), job.spec);
       continue;
--- a/src/scheduling/job-order.ts
+++ b/src/scheduling/job-order.ts
@@ -23,8 +23,8 @@
 
 /**
  * Sorts the jobs: critical jobs first, then overdue jobs, then jobs within their team's guaranteed quota,
- * then by priority, then jobs that can meet their deadline, small jobs first. Waiting time offsets size, and
- * after long enough priority, so that every job starts.
+ * then by priority, then jobs that can meet their deadline, small jobs first. Waiting time offsets size and,
+ * once it is long enough, also priority, so that every job starts.
  */
 export function orderJobs(cycle: SchedulingCycle, jobs: readonly ShardJob[]): PrioritizedJob[] {
   return jobs.map((job) => prioritize(cycle, job)).sort(comparePriority);
--- a/src/scheduling/job-placement.ts
+++ b/src/scheduling/job-placement.ts
@@ -21,8 +21,8 @@
  */
 const MAX_UNPLACED_REPORTED = 200;
 /**
- * An urgent task preempts others on a machine with its image if the fetch on another machine would take
- * longer.
+ * If the fetch of its image on the machine found would take longer than this, an urgent task first tries to
+ * preempt others on a machine that holds the image.
  */
 const MIN_FETCH_FOR_PREEMPTION_S = 1;
 /**
@@ -211,7 +211,7 @@
 
   /**
    * Returns true if the task is urgent (critical or within its team's guaranteed quota) and the fetch of its
-   * image on the machine would take longer than preempting others elsewhere.
+   * image on the machine would take longer than MIN_FETCH_FOR_PREEMPTION_S.
    */
   private fetchDelaysUrgentTask(machine: Machine): boolean {
     const { spec, job } = this;
--- a/src/scheduling/preemption-cost.ts
+++ b/src/scheduling/preemption-cost.ts
@@ -1,13 +1,13 @@
 /**
- * The cost of preempting a task: the work lost since its last checkpoint, and what its job loses of its
- * deadline. Pure.
+ * The cost of preempting a task: the work that it loses, and an amount that depends on how late its job is
+ * expected to end, which is 0 if that is too late to be useful or the job has no deadline. Pure.
  */
 import { taskSizeInCpus } from '../model/resources.js';
 import type { Allocation, Shard } from '../shards/model.js';
 import type { SchedulingContext } from './cycle.js';
 import { Lateness, lateness } from './deadlines.js';
 
-/** The cost of one lateness step of a job's deadline, in CPU milliseconds for each CPU of the task's size. */
+/** The cost of each lateness step that a job has left, in CPU milliseconds for each CPU of the task's size. */
 const DEADLINE_STEP_COST_CPU_MS = 20_000;
 /**
  * The cost of stopping a task that is not running yet, as run time: its launch and the fetch of its image are
@@ -23,8 +23,8 @@
   allocation.runningSince === null ? 0 : context.now - allocation.runningSince;
 
 /**
- * Returns the work lost if the task is stopped now: its size in CPUs, by its dominant resource, times
- * milliseconds.
+ * Returns the work lost if the task is stopped now, in CPU milliseconds: its size in CPUs, by its dominant
+ * resource, times the run time lost. A task with checkpoints loses at most the time that it takes to write one.
  */
 export function lostWork(allocation: Allocation, context: CostContext): number {
   const { spec } = allocation;
@@ -38,8 +38,8 @@
 }
 
 /**
- * Returns how many lateness steps the task's job has left to lose: 2 while it can meet its deadline, 0 if it
- * is too late or has no deadline.
+ * Returns how many lateness steps the task's job has left until it is too late: 2 while it can meet its
+ * deadline, 0 if it is too late or has no deadline.
  */
 function deadlineLossSteps(shard: Shard, allocation: Allocation, context: SchedulingContext): number {
   const { spec } = allocation;
--- a/src/scheduling/preemption.ts
+++ b/src/scheduling/preemption.ts
@@ -24,7 +24,7 @@
 
 /** Maximum number of searches in one cycle. */
 const MAX_PREEMPTION_SEARCHES = 12;
-/** Limit for critical jobs: a large service must not start half its tasks on machines without its image. */
+/** The limit for critical jobs, higher so that a large service does not start half its tasks without its image. */
 const MAX_CRITICAL_SEARCHES = 64;
 /** A search ends after this many machines on which preemption is possible, and takes the cheapest. */
 const PREEMPTION_SAMPLE = 24;
@@ -59,7 +59,10 @@
   readonly graceS?: number;
 }
 
-/** Stops tasks for another task and reserves their machine for it; false: none may be stopped, or not yet. */
+/**
+ * Stops tasks for another task and reserves their machine for it. Returns false if no tasks may be stopped, or
+ * not yet.
+ */
 export function preemptForTask(
   cycle: SchedulingCycle,
   job: ShardJob,
@@ -82,9 +85,9 @@
 }
 
 /**
- * Returns true if the job may search now: neither the limit of searches nor the delay after a failed search
- * prevents it, its deadline has not passed (unless it is critical), and it has waited long enough to preempt
- * others.
+ * Returns true if the job may search now: the limit of searches is not reached, the delay after a failed search
+ * has passed, the job is critical or its deadline has not passed, and the job has waited long enough to preempt
+ * others. A search that is limited to machines with the image needs no wait.
  */
 function mayPreempt(cycle: SchedulingCycle, job: ShardJob, scope: PreemptionScope): boolean {
   const { context } = cycle;
@@ -123,8 +126,8 @@
 ): Preemption | null {
   const { shard, context } = cycle;
   const { zone, scope, mayUse } = target;
-  const remembersFailure = job.spec.priority !== Priority.critical && scope === 'any machine';
-  const searchKey = remembersFailure ? failedSearchKey(job, zone, context) : null;
+  const recordsFailure = job.spec.priority !== Priority.critical && scope === 'any machine';
+  const searchKey = recordsFailure ? failedSearchKey(job, zone, context) : null;
   if (searchKey !== null && hasRecentFailedSearch(shard, searchKey, job.spec, context.now)) return null;
   cycle.preemptionSearches += 1;
   const preemption = cheapestPreemption(cycle, job, target);
--- a/src/scheduling/reservation-precedence.ts
+++ b/src/scheduling/reservation-precedence.ts
@@ -12,7 +12,7 @@
 
 /**
  * Returns what is reserved on the machine for jobs whose tasks the preemptor could preempt as soon as they
- * had started. To the preemptor these resources are as good as free.
+ * had started. For the preemptor these resources count as free.
  */
 export function reservedForPreemptibleJobs(
   cycle: SchedulingCycle,
--- a/src/scheduling/reservation-terms.ts
+++ b/src/scheduling/reservation-terms.ts
@@ -1,4 +1,4 @@
-/** How long reservations hold, and when a preemption that was of no use may be tried again. */
+/** How long reservations hold, and when a preemption that no start followed may be repeated. */
 import { millis, plus, type MachineId, type SteadyMs } from '../model/units.js';
 import type { Reservation, ShardJob } from '../shards/model.js';
 import type { PlannedReservation } from './cycle.js';
@@ -35,7 +35,7 @@
   job.unusedPreemptions.set(machine, now);
 }
 
-/** Returns true if tasks were recently stopped on the machine for the job to no effect. */
+/** Returns true if tasks were stopped on the machine for the job, and its reservation there recently expired unused. */
 export function hasRecentUnusedPreemption(job: ShardJob, machine: MachineId, now: SteadyMs): boolean {
   const endedAt = job.unusedPreemptions.get(machine);
   return endedAt !== undefined && now - endedAt < UNUSED_PREEMPTION_BACKOFF_MS;
--- a/src/scheduling/reservations.ts
+++ b/src/scheduling/reservations.ts
@@ -1,6 +1,7 @@
 /**
- * Reservations for jobs that have waited too long: machines, kept as they become free, and quota of their
- * team. Without them smaller tasks would take each part of a machine or quota as soon as it becomes free.
+ * Reservations for jobs that have waited too long: of machines whose resources become free one after another,
+ * and of quota of the job's team. Without them smaller tasks would take each part of a machine or quota as soon
+ * as it becomes free.
  * Performs no I/O: decisions go into the plan of the cycle.
  */
 import type { InstanceType } from '../cloud/wire.js';
@@ -31,7 +32,7 @@
 /** Pause between two turns of a gang, in which other jobs may use the machines. */
 const GANG_RESERVATION_PAUSE_MS = 30_000;
 
-/** Returns true if the task needs most of such a machine. Smaller tasks soon find room on some machine. */
+/** Returns true if the task needs most of a machine of the type. Smaller tasks soon fit on some machine. */
 const needsMostResources = (type: InstanceType, spec: JobSpec): boolean =>
   fits(spec, type) && dominantShare(spec, type) >= MIN_RESERVABLE_SHARE;
 
--- a/src/scheduling/runtime-estimator.ts
+++ b/src/scheduling/runtime-estimator.ts
@@ -1,6 +1,6 @@
 /**
  * Corrects the run time estimates of each job class. They are often wrong in one direction for hours, so they
- * are scaled by a median over recent tasks.
+ * are multiplied by the median ratio of actual to estimated run time of recent tasks.
  */
 
 /** Maximum number of recent tasks of a class that are evaluated. */
--- a/src/scheduling/scheduler.ts
+++ b/src/scheduling/scheduler.ts
@@ -188,8 +188,8 @@
   }
 
   /**
-   * Requests quota from other shards for the tasks that only their team's quota on this shard keeps from
-   * starting.
+   * Requests quota from other shards for the unplaced tasks that are blocked by their team's quota on this
+   * shard.
    */
   private requestQuota(shard: Shard, unplaced: readonly UnplacedTasks[]): void {
     const neededByTeam = new Map<TeamId, MutableResources>();
--- a/src/scheduling/scheduling-cycle.ts
+++ b/src/scheduling/scheduling-cycle.ts
@@ -199,8 +199,8 @@
   for (const [id, allocations] of shard.allocationsByJob) {
     const spec = shard.jobs.get(id)?.spec;
     if (spec?.kind !== 'service') continue;
-    const running = [...allocations].filter((allocation) => !allocation.stop).length;
-    usage.set(spec.team, add(usage.get(spec.team) ?? ZERO, scale(spec, running)));
+    const notStopping = [...allocations].filter((allocation) => !allocation.stop).length;
+    usage.set(spec.team, add(usage.get(spec.team) ?? ZERO, scale(spec, notStopping)));
   }
   return usage;
 }
--- a/src/scheduling/scheduling-log.ts
+++ b/src/scheduling/scheduling-log.ts
@@ -1,7 +1,7 @@
 /**
  * Logs the outcome of reservations, and counts what should be rare: preemption that is not followed by a
- * start, and tasks that are stopped shortly after their start. The cost depends only on the number of
- * decisions of a cycle.
+ * start, and tasks that are stopped shortly after their start. The cost of logging depends only on the number
+ * of decisions of a cycle.
  */
 import { CounterSet } from '../logging/counter-set.js';
 import type { Log } from '../logging/log.js';
--- a/src/scheduling/task-allocator.ts
+++ b/src/scheduling/task-allocator.ts
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Returns true and reports it if the start violates an invariant. Such a start is skipped: the task keeps
-   * waiting, and the plan that contained it was wrong.
+   * Reports a start that violates an invariant, and returns true for it. Such a start is skipped: the task
+   * keeps waiting, and the plan that contained the start was wrong.
    */
   private reportViolation(shard: Shard, start: TaskStart): boolean {
     const { invariants, storeCache } = this.core;
@@ -202,7 +202,7 @@
   private evacuate(shard: Shard, machine: Machine, allocation: Allocation): void {
     const { spec } = allocation;
     if (allocation.stop || !spec) return;
-    // A member of a gang that is not running yet can be replaced on another machine without its peers.
+    // A gang member that is not running yet can be replaced on another machine while the other members stay.
     if (spec.kind === 'gang' && allocation.runningSince === null)
       this.stopTask(shard, allocation, 0, INTERRUPTION_NOTICE);
     else if (spec.kind === 'service' || spec.checkpointIntervalS > 0)
