--- a/src/autoscaling/scale-in.ts
+++ b/src/autoscaling/scale-in.ts
@@ -64,7 +64,7 @@
 export interface ShardLiveness {
   readonly liveCountByZone: ReadonlyMap<ZoneId, number>;
   readonly liveMachineIds: ReadonlySet<MachineId>;
-  readonly reachableMachines: number;
+  readonly reachableCount: number;
   /** Reconciled on-demand machines that are not being deleted; each decision to delete one of them decrements it. */
   remainingOnDemand: number;
   /** If more on-demand machines than this are silent at once, there is a partition. */
@@ -82,7 +82,7 @@
 export function assessLiveness(shard: Shard, context: ScaleInContext): ShardLiveness {
   const liveCountByZone = new Map<ZoneId, number>();
   const liveMachineIds = new Set<MachineId>();
-  const counts = { reachableMachines: 0, remainingOnDemand: 0, silentOnDemand: 0, missingOnDemand: 0 };
+  const counts = { reachableCount: 0, remainingOnDemand: 0, silentOnDemand: 0, missingOnDemand: 0 };
   for (const machine of shard.machines.values()) {
     if (
       machine.lastMessageAt !== null &&
@@ -91,7 +91,7 @@
       liveCountByZone.set(machine.zone, (liveCountByZone.get(machine.zone) ?? 0) + 1);
       liveMachineIds.add(machine.id);
     }
-    if (machine.unreachableSince === null && machine.lastMessageAt !== null) counts.reachableMachines += 1;
+    if (machine.unreachableSince === null && machine.lastMessageAt !== null) counts.reachableCount += 1;
     if (machine.spot) continue;
     if (isSilent(machine, context)) counts.silentOnDemand += 1;
     if (!machine.reconciled && machine.lastMessageAt === null) counts.missingOnDemand += 1;
@@ -214,9 +214,7 @@
     now - (machine.lastMessageAt ?? 0) > UNREACHABLE_TIMEOUT_MS / 2
   )
     return false;
-  return (
-    unreachableMs > UNREACHABLE_TIMEOUT_FACTOR * UNREACHABLE_TIMEOUT_MS || liveness.reachableMachines > 0
-  );
+  return unreachableMs > UNREACHABLE_TIMEOUT_FACTOR * UNREACHABLE_TIMEOUT_MS || liveness.reachableCount > 0;
 }
 
 /** The cloud assigns increasing ids: ids of equal length compare as text, and a longer id is newer. */
--- a/src/jobs/cluster-clock.ts
+++ b/src/jobs/cluster-clock.ts
@@ -38,7 +38,7 @@
 }
 
 /** Encodes the value of `TIME_KEY`. */
-export const encodeTime = (count: ClusterMs): unknown => ({ ms: count });
+export const encodeClusterTime = (count: ClusterMs): unknown => ({ ms: count });
 
 /** Decodes the value of `TIME_KEY`, in milliseconds. Returns NaN if it cannot be decoded. */
 export const decodeClusterTime = (value: unknown): number =>
@@ -69,7 +69,7 @@
     if (this.wroteRecently(now) || !this.isFirstLiveController()) return;
     this.lastWriteAt = now;
     // Not awaited: if this write is lost, a later tick writes a higher count.
-    void this.write(encodeTime(context.clusterClock.now(now)));
+    void this.write(encodeClusterTime(context.clusterClock.now(now)));
   }
 
   private wroteRecently(now: SteadyMs): boolean {
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress.ts
@@ -75,10 +75,10 @@
   private collectPendingWrites(now: SteadyMs): Map<JobId, PendingWrite> {
     const pendingWrites = new Map<JobId, PendingWrite>();
     for (const shard of this.context.shards.values()) {
-      for (const job of shard.jobsWithUnrecordedEnds) {
+      for (const job of shard.jobsWithUnrecordedResults) {
         const record = this.context.activeJobs.get(job.id);
         if (job.finished.isEmpty || !record || shard.jobs.get(job.id) !== job)
-          shard.jobsWithUnrecordedEnds.delete(job);
+          shard.jobsWithUnrecordedResults.delete(job);
         if (job.finished.isEmpty || !record || this.writesInProgress.has(job.id)) continue;
         if (this.context.activeJobs.isOutdated(job.id)) continue;
         const finished = pendingWrites.get(job.id)?.finished ?? RangeSet.empty();
@@ -99,7 +99,7 @@
   /** Returns the minimum interval between two writes of one job: all jobs share the write rate for progress. */
   private writeIntervalMs(): number {
     let jobs = 0;
-    for (const shard of this.context.shards.values()) jobs += shard.jobsWithUnrecordedEnds.size;
+    for (const shard of this.context.shards.values()) jobs += shard.jobsWithUnrecordedResults.size;
     return Math.max(
       PROGRESS_INTERVAL_MS,
       (jobs * 1000) / (PROGRESS_WRITE_FRACTION * this.context.store.writeRate),
--- a/src/leadership/worker-reachability.ts
+++ b/src/leadership/worker-reachability.ts
@@ -62,7 +62,7 @@
  * expiry of the machine's lease.
  */
 function lastHeartbeatArrivalAt(machine: Machine): number {
-  return Math.max(machine.lastHeartbeatAt ?? -Infinity, machine.refusedUnreachableAt ?? -Infinity);
+  return Math.max(machine.lastHeartbeatAt ?? -Infinity, machine.heartbeatRefusedAt ?? -Infinity);
 }
 
 /** Returns whether at least two thirds of the machines are silent. */
--- a/src/overflow/machine-transfer.ts
+++ b/src/overflow/machine-transfer.ts
@@ -49,7 +49,7 @@
   now: SteadyMs,
 ): TransferChoice {
   const isSuitable = (machine: Machine): boolean => {
-    if (machine.zone !== request.zone || (machine.spot && !request.spot) || machine.unknownSizeCount > 0)
+    if (machine.zone !== request.zone || (machine.spot && !request.spot) || machine.unknownSizeTaskCount > 0)
       return false;
     if (request.types !== null && !request.types.includes(machine.type)) return false;
     return (
--- a/src/scheduling/cycle.ts
+++ b/src/scheduling/cycle.ts
@@ -28,7 +28,7 @@
    * Returns an upper bound of what the team's services use on other shards. Services do not end by
    * themselves.
    */
-  readonly servicesOnOtherShards: (team: TeamId) => Resources;
+  readonly maxServiceUsageOnOtherShards: (team: TeamId) => Resources;
   /**
    * Returns true if the job fits into its team's guaranteed quota together with the team's earlier unfinished
    * jobs.
--- a/src/scheduling/preemption-eligibility.ts
+++ b/src/scheduling/preemption-eligibility.ts
@@ -13,7 +13,7 @@
 export interface Preemptor {
   readonly job: ShardJob;
   /** Whether the job fits into its team's guaranteed quota. */
-  readonly guaranteed: boolean;
+  readonly isGuaranteed: boolean;
 }
 
 /**
@@ -43,14 +43,14 @@
 function mayBePreemptedBy(
   cycle: SchedulingCycle,
   task: PreemptionCandidate,
-  { job, guaranteed }: Preemptor,
+  { job, isGuaranteed }: Preemptor,
 ): boolean {
   const { jobId, spec } = task;
   if (job.spec.priority === Priority.critical) return spec.priority !== Priority.critical;
   if (spec.priority === Priority.critical) return false;
   if (cycle.context.guaranteed(jobId)) return false;
   if (job.spec.priority < spec.priority) return true;
-  return guaranteed && spec.team !== job.spec.team && exceedsGuarantee(cycle, task);
+  return isGuaranteed && spec.team !== job.spec.team && exceedsGuarantee(cycle, task);
 }
 
 /**
--- a/src/scheduling/preemption.ts
+++ b/src/scheduling/preemption.ts
@@ -150,7 +150,7 @@
   { zone, scope, mayUse }: PreemptionTarget,
 ): Preemption | null {
   const { shard } = cycle;
-  const preemptor = { job, guaranteed: cycle.context.guaranteed(job.id) };
+  const preemptor = { job, isGuaranteed: cycle.context.guaranteed(job.id) };
   const machines =
     scope === 'machines with the image'
       ? shard.totals.machinesWithImage(job.spec.image)
--- a/src/scheduling/reservations.ts
+++ b/src/scheduling/reservations.ts
@@ -96,7 +96,7 @@
 function canEverFitTeamQuota(cycle: SchedulingCycle, team: TeamId, needed: Resources): boolean {
   const quota = cycle.context.teams.get(team)?.quota;
   if (!quota) return true;
-  const services = add(cycle.servicesUsage(team), cycle.context.servicesOnOtherShards(team));
+  const services = add(cycle.servicesUsage(team), cycle.context.maxServiceUsageOnOtherShards(team));
   return fits(needed, subtract(quota, services));
 }
 
--- a/src/scheduling/scheduling-context.ts
+++ b/src/scheduling/scheduling-context.ts
@@ -51,7 +51,7 @@
     teams: core.settings.teams,
     shardQuota: (team) => quotaTransfers.shardQuota(shard.id, team),
     usageOnOtherShards: (team) => usageElsewhere.get(team) ?? ZERO,
-    servicesOnOtherShards: (team) => services.maxUsageOnOtherShards(team, shard.id, teamUsageOn(team)),
+    maxServiceUsageOnOtherShards: (team) => services.maxUsageOnOtherShards(team, shard.id, teamUsageOn(team)),
     guaranteed: memoize((job) => guarantees.has(job)),
     peerHasCapacity: (spec) => peerHasCapacity(core, shard, spec, now),
     maxLatenessFactor: (jobClass) => core.settings.deadlineFactorByClass.get(jobClass) ?? 1,
--- a/src/scheduling/task-allocator.ts
+++ b/src/scheduling/task-allocator.ts
@@ -57,7 +57,7 @@
     launchInFlight: false,
     launchPending: true,
     unacknowledged: null,
-    answeredSequence: null,
+    launchAnswerSequence: null,
   };
 }
 
--- a/src/shards/allocation-changes.ts
+++ b/src/shards/allocation-changes.ts
@@ -48,7 +48,7 @@
   if (spec) {
     updateMachineTotals(machine, spec, sign);
     shard.totals.countTask(spec, sign);
-  } else machine.unknownSizeCount += sign;
+  } else machine.unknownSizeTaskCount += sign;
   shard.totals.countIfUsageUnknown(machine, 1);
   shard.totals.updateFreeCapacity(machine, shard.types);
 }
@@ -118,7 +118,7 @@
   allocation.launchPending &&
   !allocation.launchInFlight &&
   !allocation.unacknowledged &&
-  allocation.answeredSequence === null;
+  allocation.launchAnswerSequence === null;
 
 /** Ends an allocation: releases the task if its launch has not been sent, and otherwise requests it to stop. */
 export function stopOrRelease(shard: Shard, machine: Machine, allocation: Allocation, graceS: number): void {
--- a/src/shards/allocation.ts
+++ b/src/shards/allocation.ts
@@ -63,7 +63,7 @@
    */
   unacknowledged: UnacknowledgedLaunch | null;
   /** Sequence number of the last heartbeat whose answer carried the launch; null: none. Set with that answer. */
-  answeredSequence: Sequence | null;
+  launchAnswerSequence: Sequence | null;
 }
 
 /** A task that the worker lists as exited, until it is told to forget the task. */
--- a/src/shards/machine.ts
+++ b/src/shards/machine.ts
@@ -73,7 +73,7 @@
   /** Sum of the allocations of known size below critical priority. */
   readonly preemptible: MutableResources;
   /** How many allocations are of unknown size. */
-  unknownSizeCount: number;
+  unknownSizeTaskCount: number;
   /** How many allocations need each image, which is on the machine or being fetched. */
   readonly requiredImages: Map<ImageId, number>;
   /** Tasks that the worker lists as exited. Changed by reconciliation. */
@@ -93,7 +93,7 @@
   /** When a heartbeat without this leader's fencing token was first answered. Set by the heartbeat handler. */
   answeredUnreconciledAt: SteadyMs | null;
   /** When a heartbeat was last refused because answers do not reach the machine. Set by the heartbeat handler. */
-  refusedUnreachableAt: SteadyMs | null;
+  heartbeatRefusedAt: SteadyMs | null;
   /**
    * No new tasks before this time: it refused or failed tasks, or did not answer. Set by reconciliation and the direct
    * commands.
@@ -143,7 +143,7 @@
     allocations: new Map(),
     used: { ...ZERO },
     preemptible: { ...ZERO },
-    unknownSizeCount: 0,
+    unknownSizeTaskCount: 0,
     requiredImages: new Map(),
     exitedTasks: new Map(),
     images: new Map(),
@@ -151,7 +151,7 @@
     unreachableSince: null,
     missedDirectRequests: 0,
     answeredUnreconciledAt: null,
-    refusedUnreachableAt: null,
+    heartbeatRefusedAt: null,
     quarantinedUntil: options.addedAt,
     taskFailures: [],
     draining: false,
@@ -162,12 +162,12 @@
 
 /** Whether the machine may hold tasks that are unknown here, or tasks of unknown size. */
 export const hasUnknownUsage = (machine: Machine): boolean =>
-  !machine.reconciled || machine.unknownSizeCount > 0;
+  !machine.reconciled || machine.unknownSizeTaskCount > 0;
 
 /**
  * Returns the free resources: none while a task of unknown size is on the machine or its type is not in the catalog.
  */
 export function freeResources(machine: Machine, type: InstanceType | undefined): MutableResources {
-  if (!type || machine.unknownSizeCount > 0) return { ...ZERO };
+  if (!type || machine.unknownSizeTaskCount > 0) return { ...ZERO };
   return subtract(type, machine.used);
 }
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -52,7 +52,7 @@
   /** Jobs that may have waiting tasks; readers remove jobs that have none. */
   readonly queue = new Set<ShardJob>();
   /** Jobs with finished tasks that are not yet recorded as done; a job is removed when these are recorded. */
-  readonly jobsWithUnrecordedEnds = new Set<ShardJob>();
+  readonly jobsWithUnrecordedResults = new Set<ShardJob>();
   /** Gangs that are assigned to the shard; readers remove gangs that have ended. */
   readonly gangs = new Set<ShardJob>();
   /** Teams whose tasks found no free capacity in the last scheduling cycle. */
@@ -237,7 +237,7 @@
    */
   nextAttempt(): Attempt {
     if (this.attemptCounter >= ATTEMPTS_PER_TOKEN - 1)
-      throw new Error(`shard ${this.id} has used all attempt numbers of its fencing token`);
+      throw new Error(`shard ${this.id} has used all attempts of its fencing token`);
     this.attemptCounter += 1;
     return (this.fencingToken * ATTEMPTS_PER_TOKEN + this.attemptCounter) as Attempt;
   }
--- a/src/store/rate-limited-sender.ts
+++ b/src/store/rate-limited-sender.ts
@@ -49,7 +49,7 @@
       if (!(await requests.acquire(1, priority, remaining()))) return { kind: 'unsent' };
       const outcome = await this.transport.call(call);
       if (!isRateLimited(outcome)) return outcome;
-      this.limits.recordRefusal(writes > 0 ? writeLimiter : requests);
+      this.limits.recordRejection(writes > 0 ? writeLimiter : requests);
       if (retries >= MAX_RETRIES) return outcome;
       await sleep(this.clock, millis(MIN_RETRY_DELAY_MS + RETRY_JITTER_MS * this.random()));
     }
--- a/src/store/rate-limits.ts
+++ b/src/store/rate-limits.ts
@@ -26,8 +26,8 @@
 /**
  * The lower limits are in force after this many rate-limit rejections, each within the interval of the previous one.
  */
-const REFUSALS_SHOWING_LOWER_LIMITS = 3;
-const MAX_REFUSAL_INTERVAL_MS = 3000;
+const REJECTIONS_SHOWING_LOWER_LIMITS = 3;
+const MAX_REJECTION_INTERVAL_MS = 3000;
 
 /** Holds the rate limiters for requests and for changes, and sets their rates. */
 export class StoreRateLimits {
@@ -37,8 +37,8 @@
   readonly writes: RateLimiter;
   private controllers: number;
   private lowerLimitsInForce = false;
-  private recentRefusals = 0;
-  private lastRefusalAt: SteadyMs | null = null;
+  private recentRejections = 0;
+  private lastRejectionAt: SteadyMs | null = null;
 
   constructor(
     private readonly clock: Clock,
@@ -94,20 +94,21 @@
   /**
    * Records that the store rejected a request for the limit that `limiter` enforces, and pauses that limiter briefly.
    */
-  recordRefusal(limiter: RateLimiter): void {
-    this.countRefusal();
-    if (!this.lowerLimitsInForce && this.recentRefusals >= REFUSALS_SHOWING_LOWER_LIMITS) {
+  recordRejection(limiter: RateLimiter): void {
+    this.countRejection();
+    if (!this.lowerLimitsInForce && this.recentRejections >= REJECTIONS_SHOWING_LOWER_LIMITS) {
       this.lowerLimitsInForce = true;
       this.setControllerCount(this.controllers);
     }
     limiter.penalize();
   }
 
-  private countRefusal(): void {
+  private countRejection(): void {
     const now = this.clock.now();
-    const isRepeated = this.lastRefusalAt !== null && now - this.lastRefusalAt < MAX_REFUSAL_INTERVAL_MS;
-    this.recentRefusals = isRepeated ? this.recentRefusals + 1 : 1;
-    this.lastRefusalAt = now;
+    const isRepeated =
+      this.lastRejectionAt !== null && now - this.lastRejectionAt < MAX_REJECTION_INTERVAL_MS;
+    this.recentRejections = isRepeated ? this.recentRejections + 1 : 1;
+    this.lastRejectionAt = now;
   }
 
   private get requestLimit(): number {
--- a/src/workers/commands.ts
+++ b/src/workers/commands.ts
@@ -74,7 +74,7 @@
     if (allocation.stop) commands.push(stopCommand(allocation));
     else if (allocation.phase === 'ordered' && !allocation.launchInFlight) {
       commands.push(startCommand(allocation));
-      allocation.answeredSequence = machine.lastHeartbeatSequence;
+      allocation.launchAnswerSequence = machine.lastHeartbeatSequence;
       allocation.launchPending = false;
     }
   }
@@ -114,6 +114,6 @@
     allocation.phase === 'ordered' &&
     allocation.launchPending &&
     !allocation.launchInFlight &&
-    allocation.answeredSequence === null
+    allocation.launchAnswerSequence === null
   );
 }
--- a/src/workers/heartbeat-handler.ts
+++ b/src/workers/heartbeat-handler.ts
@@ -128,7 +128,7 @@
     }
     if (!this.controller.mayCommand(now)) return this.refuse('past the command deadline');
     if (this.missesAnswers(shard, machine, heartbeat, now)) {
-      machine.refusedUnreachableAt = now;
+      machine.heartbeatRefusedAt = now;
       return this.refuse('answers do not arrive');
     }
     return this.renewLease(shard, machine, heartbeat, now);
--- a/src/workers/release-rules.ts
+++ b/src/workers/release-rules.ts
@@ -48,8 +48,8 @@
  */
 export function mayReleaseAbsent(machine: Machine, allocation: Allocation, channel: StatusChannel): boolean {
   if (allocation.launchInFlight || allocation.unacknowledged) return false;
-  if (allocation.answeredSequence !== null)
-    return channel === 'heartbeat' && machine.sequence > allocation.answeredSequence;
+  if (allocation.launchAnswerSequence !== null)
+    return channel === 'heartbeat' && machine.sequence > allocation.launchAnswerSequence;
   return !(allocation.phase === 'ordered' && allocation.launchPending);
 }
 
@@ -87,7 +87,7 @@
   now: SteadyMs,
 ): UnacknowledgedLaunch | null {
   if (expected.unacknowledged) return expected.unacknowledged;
-  if (!expected.launchInFlight && expected.answeredSequence === null) return null;
+  if (!expected.launchInFlight && expected.launchAnswerSequence === null) return null;
   return { fencingToken: shard.fencingToken, agentEpoch: machine.agentEpoch, sentAt: now };
 }
 
--- a/src/workers/task-exits.ts
+++ b/src/workers/task-exits.ts
@@ -128,7 +128,7 @@
   }
   job.finished.add(task.index);
   stopAllocationElsewhere(shard, task);
-  shard.jobsWithUnrecordedEnds.add(job);
+  shard.jobsWithUnrecordedResults.add(job);
   withdrawFromQueue(job, task.index, task.index + 1);
 }
 
@@ -146,7 +146,7 @@
 function markGangFinished(shard: Shard, job: ShardJob): void {
   job.finished.addRange(0, job.spec.tasks);
   job.finished.removeAll(job.record.done);
-  shard.jobsWithUnrecordedEnds.add(job);
+  shard.jobsWithUnrecordedResults.add(job);
   withdrawFromQueue(job, 0, job.spec.tasks);
 }
 
--- a/src/workers/unexpected-tasks.ts
+++ b/src/workers/unexpected-tasks.ts
@@ -112,6 +112,6 @@
     waitingForGangSince: state === 'gathering' ? now : null,
     launchInFlight: false,
     launchPending: false,
-    answeredSequence: null,
+    launchAnswerSequence: null,
   };
 }
--- a/test/jobs/codecs.test.ts
+++ b/test/jobs/codecs.test.ts
@@ -6,7 +6,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeCatalog, encodeCatalog } from '../../src/autoscaling/codec.js';
-import { decodeClusterTime, encodeTime } from '../../src/jobs/cluster-clock.js';
+import { decodeClusterTime, encodeClusterTime } from '../../src/jobs/cluster-clock.js';
 import {
   decodeFinalState,
   decodeRecord,
@@ -200,7 +200,7 @@
   assert.equal(decodeMembership({ incarnation: 'x7' }), 'x7');
   assert.equal(JSON.stringify(encodeFencingToken(9 as never)), '{"token":9}');
   assert.equal(decodeFencingToken({ token: 9 }), 9);
-  assert.equal(JSON.stringify(encodeTime(1234 as never)), '{"ms":1234}');
+  assert.equal(JSON.stringify(encodeClusterTime(1234 as never)), '{"ms":1234}');
   assert.equal(decodeClusterTime({ ms: 1234 }), 1234);
   const catalog =
     '{"types":[{"name":"c4","cpus":4,"gpus":0,"memoryGb":16,"cacheGb":50,"fetchGbPerS":0.5,"price":2,"spotPrice":1,' +
--- a/test/jobs/unreadable-records.test.ts
+++ b/test/jobs/unreadable-records.test.ts
@@ -44,7 +44,7 @@
   assert.ok(job);
   job.waiting.removeRange(0, 2);
   job.finished.addRange(0, 2);
-  shard.jobsWithUnrecordedEnds.add(job);
+  shard.jobsWithUnrecordedResults.add(job);
   const activeJobs = new JobRecordCache();
   activeJobs.update(JOB, encodeRecord(RECORD));
   activeJobs.update(JOB, storedValue);
@@ -83,7 +83,7 @@
   fixture.unreadableJobs.add(TWO_TASK_SPEC.id);
   fixture.receiveHeartbeat('heartbeat', '0:5:running');
   assert.equal(fixture.pendingCommands(), '', 'nothing is stopped');
-  assert.equal(machine.unknownSizeCount, 1, 'a task of unknown size blocks other starts on its machine');
+  assert.equal(machine.unknownSizeTaskCount, 1, 'a task of unknown size blocks other starts on its machine');
   fixture.unreadableJobs.clear();
   syncConfirmedJob(shard, job.record, revision(9), steady(2000), false);
   assert.deepEqual(
@@ -93,7 +93,7 @@
   );
   fixture.receiveHeartbeat('heartbeat', '0:5:running');
   assert.equal(fixture.pendingCommands(), '');
-  assert.equal(machine.unknownSizeCount, 0);
+  assert.equal(machine.unknownSizeTaskCount, 0);
   assert.equal(shard.allocations.get(taskId(TWO_TASK_SPEC.id, taskIndex(0)))?.spec, job.spec);
 });
 
--- a/test/leadership/worker-reachability.test.ts
+++ b/test/leadership/worker-reachability.test.ts
@@ -93,7 +93,7 @@
 
 test('a machine whose heartbeats arrive but are refused, because commands do not reach it, is not silent', () => {
   const shard = shardWithHeartbeats(SILENT_AGE_MS, SILENT_AGE_MS);
-  machineOf(shard, 0).refusedUnreachableAt = NOW;
+  machineOf(shard, 0).heartbeatRefusedAt = NOW;
   assert.equal(findUnreachableMachines(contextWithPeer(1), shard, NOW), null);
 });
 
--- a/test/scheduling/consolidation.test.ts
+++ b/test/scheduling/consolidation.test.ts
@@ -93,7 +93,7 @@
         launchInFlight: false,
         launchPending: false,
         unacknowledged: null,
-        answeredSequence: null,
+        launchAnswerSequence: null,
       };
       allocate(shard, machine, allocation);
     }
--- a/test/scheduling/starvation.test.ts
+++ b/test/scheduling/starvation.test.ts
@@ -373,7 +373,7 @@
       teams: new Map(),
       shardQuota: () => ({ ...UNLIMITED, cpus: 7, gpus: 0 }),
       usageOnOtherShards: () => ZERO,
-      servicesOnOtherShards: () => ZERO,
+      maxServiceUsageOnOtherShards: () => ZERO,
       guaranteed: () => false,
       peerHasCapacity: () => false,
       maxLatenessFactor: () => 1,
--- a/test/shards/running-totals.test.ts
+++ b/test/shards/running-totals.test.ts
@@ -253,7 +253,7 @@
       launchInFlight: false,
       launchPending: false,
       unacknowledged: null,
-      answeredSequence: null,
+      launchAnswerSequence: null,
     };
     allocate(shard, machine, allocation);
     if (this.random(8) === 0) addToMachine(shard, machine, allocation);
--- a/test/store/rate-limits.test.ts
+++ b/test/store/rate-limits.test.ts
@@ -74,11 +74,11 @@
   const clock = new SimulatedClock();
   const limits = new StoreRateLimits(clock, settings);
   for (const intervalMs of [2900, 3000, 2900, 2900]) {
-    limits.recordRefusal(limits.requests);
+    limits.recordRejection(limits.requests);
     await clock.advance(intervalMs);
   }
   assert.equal(limits.requestRate, 90, 'the interval between the second and the third is too long');
-  limits.recordRefusal(limits.requests);
+  limits.recordRejection(limits.requests);
   assert.equal(limits.requestRate, 45);
   assert.equal(limits.writeRate, 13.5);
 });
--- a/test/support/cycle-runner.ts
+++ b/test/support/cycle-runner.ts
@@ -113,7 +113,7 @@
       launchInFlight: false,
       launchPending: false,
       unacknowledged: null,
-      answeredSequence: null,
+      launchAnswerSequence: null,
     } as unknown as Allocation;
   }
 
@@ -189,7 +189,7 @@
       teams: this.teams,
       shardQuota: () => this.shardQuota,
       usageOnOtherShards: () => this.usedElsewhere,
-      servicesOnOtherShards: () => this.servicesElsewhere,
+      maxServiceUsageOnOtherShards: () => this.servicesElsewhere,
       guaranteed: (job: string) => this.guaranteedJobs.has(job as never),
       maxLatenessFactor: () => 1,
       peerHasCapacity: () => false,
--- a/test/support/shard-builder.ts
+++ b/test/support/shard-builder.ts
@@ -95,6 +95,6 @@
     launchInFlight: false,
     launchPending: false,
     unacknowledged: null,
-    answeredSequence: null,
+    launchAnswerSequence: null,
   };
 }
--- a/test/support/shard-fixture.ts
+++ b/test/support/shard-fixture.ts
@@ -141,7 +141,7 @@
       launchInFlight: false,
       launchPending: false,
       unacknowledged: null,
-      answeredSequence: null,
+      launchAnswerSequence: null,
       ...changes,
     };
     allocate(this.shard, this.machine, allocation);
--- a/test/workers/heartbeat-answers.test.ts
+++ b/test/workers/heartbeat-answers.test.ts
@@ -130,5 +130,5 @@
   assert.equal((await fixture.answerTo('m-0', SHARD_FENCING_TOKEN - 1)).status, 200);
   fixture.now = steady(1000 + 7001);
   assert.equal((await fixture.answerTo('m-0', SHARD_FENCING_TOKEN - 1)).status, 503);
-  assert.equal(fixture.machine.refusedUnreachableAt, 8001);
+  assert.equal(fixture.machine.heartbeatRefusedAt, 8001);
 });
