--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -147,7 +147,7 @@
       const messages = connection.parser.push(data);
       const [message] = messages;
       if (!message) return;
-      // More than one answer, or an answer without a request: the stream cannot be trusted any more.
+      // More than one answer, or an answer without a request: later answers may belong to other requests.
       if (messages.length > 1 || !connection.exchange) {
         this.closeConnection(connection);
         return;
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -115,7 +115,7 @@
       this.reject(status, error instanceof HttpError ? error.message : 'bad request');
       return;
     }
-    // The protocol does not use pipelining: a flood of requests on one connection is rejected instead of queued.
+    // The protocol does not use pipelining: too many pending requests on one connection are rejected, not queued.
     if (this.pendingRequests.length > MAX_PENDING_REQUESTS) {
       this.reject(HTTP_STATUS.tooManyRequests, 'too many requests at once');
       return;
--- a/src/settings/field-path.ts
+++ b/src/settings/field-path.ts
@@ -1,4 +1,4 @@
-/** Formats the position of a failed check in a file of nested tables. */
+/** Formats the path of an invalid field, for errors of settings and scenario files. */
 import type { BaseIssue } from 'valibot';
 
 /** Returns the path of the invalid field, such as `facts.teams[0].name`; empty for the whole file. */
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -46,7 +46,7 @@
   readonly zones: readonly ZoneId[];
   readonly teams: ReadonlyMap<TeamId, Team>;
   readonly heartbeatIntervalS: Seconds;
-  /** Duration of a worker's lease: without an answered heartbeat for this long, it ends its tasks. */
+  /** Duration of a worker's lease: without an answered heartbeat for this long, the worker ends its tasks. */
   readonly leaseS: Seconds;
   /** Time after the confirmation of a cancellation within which all tasks of the job must have ended. */
   readonly cancelS: Seconds;
--- a/src/simulation/arrivals.ts
+++ b/src/simulation/arrivals.ts
@@ -56,7 +56,7 @@
     const isService = load.shape === 'service';
     const runS = random.between(load.run_s[0], load.run_s[1]);
     const job: UserJob = {
-      // Users choose the ids, so they arrive in no particular order.
+      // Users choose the ids, so the ids are in no particular order.
       id: `req-${random.integer(ID_PREFIX.low, ID_PREFIX.high)}${String(this.jobCount).padStart(ID_DIGITS, '0')}`,
       class: load.class,
       team: load.team,
--- a/src/simulation/cloud.ts
+++ b/src/simulation/cloud.ts
@@ -134,7 +134,7 @@
     return { status: HTTP_STATUS.ok, body: { berths: machineIds } };
   }
 
-  /** Creates a machine; `bootMs` is the boot time in the initial deployment, null to draw one for the type. */
+  /** Creates a machine; `bootMs` is given for the initial deployment only, null draws a boot time for the type. */
   create(
     type: SimulatedInstanceType,
     zone: string,
@@ -203,7 +203,7 @@
     this.onRemoved(machine);
   }
 
-  /** Lists the machines as of some time ago; a list may be older than the previous one. */
+  /** Lists the machines as of some time ago; a list may show an earlier time than the previous one. */
   private list(url: URL): Response {
     const lagMs = this.options.listLagS * 1000;
     const maxShare = this.random.chance(STALE_LIST_PROBABILITY) ? STALE_LIST_LAG_SHARE : MAX_LIST_LAG_SHARE;
@@ -213,7 +213,7 @@
     const listed = [...this.machines.values()].filter(
       (machine) => machine.id > after && machine.rentedAt <= at && at < machine.removedAt,
     );
-    const machineIds = listed.slice(0, limit).map((machine) => encodeMachine(machine, at));
-    return { status: HTTP_STATUS.ok, body: { berths: machineIds, hasNext: listed.length > limit } };
+    const encodedMachines = listed.slice(0, limit).map((machine) => encodeMachine(machine, at));
+    return { status: HTTP_STATUS.ok, body: { berths: encodedMachines, hasNext: listed.length > limit } };
   }
 }
--- a/src/simulation/controller-node.ts
+++ b/src/simulation/controller-node.ts
@@ -31,7 +31,7 @@
   readonly tuning: string;
 }
 
-/** A production controller on a simulated host; each start after an end is a new process. */
+/** A production controller on a simulated host; each start after a stop is a new process. */
 export class ControllerNode {
   readonly host: Host;
   private handler: Handler | null = null;
--- a/src/simulation/fault-schedule.ts
+++ b/src/simulation/fault-schedule.ts
@@ -15,8 +15,8 @@
 /** Activates each fault at its time or on its event, and informs the invariant checker when none is active or pending. */
 export class FaultSchedule {
   private waiting: WaitingFault[] = [];
-  private active = 0;
-  private pending = 0;
+  private activeCount = 0;
+  private pendingCount = 0;
   /** Number of faults that have begun. */
   begunCount = 0;
 
@@ -27,21 +27,21 @@
 
   start(faults: readonly Fault[]): void {
     for (const fault of faults) {
-      this.pending += 1;
+      this.pendingCount += 1;
       this.target.queue.after(fault.at_s * 1000, () => this.activate(fault));
     }
     this.updateFaultsOver();
   }
 
   private activate(fault: Fault): void {
-    this.pending -= 1;
+    this.pendingCount -= 1;
     if (fault.on === undefined) this.begin(fault, null);
     else this.waiting.push({ fault, remainingEvents: fault.nth });
     this.updateFaultsOver();
   }
 
   private updateFaultsOver(): void {
-    this.target.invariantChecker.setFaultsOver(this.active === 0 && this.pending === 0);
+    this.target.invariantChecker.setFaultsOver(this.activeCount === 0 && this.pendingCount === 0);
   }
 
   onEvent(event: SimulationEvent): void {
@@ -59,7 +59,7 @@
 
   private begin(fault: Fault, event: SimulationEvent | null): void {
     const { queue, trace } = this.target;
-    this.active += 1;
+    this.activeCount += 1;
     this.updateFaultsOver();
     queue.after(fault.after_ms, () => {
       this.begunCount += 1;
@@ -71,7 +71,7 @@
       queue.after(durationMs, () => {
         endFault?.();
         trace.add(`fault ${fault.kind} ends`);
-        this.active -= 1;
+        this.activeCount -= 1;
         this.updateFaultsOver();
       });
     });
--- a/src/simulation/fuzz-run.ts
+++ b/src/simulation/fuzz-run.ts
@@ -5,7 +5,7 @@
 import { shrink, trialForRule } from './shrink.js';
 import { Simulation } from './simulation.js';
 
-/** A violation found by the fuzz, with a shrunk scenario that breaks the same rule. */
+/** A violation found by fuzzing, with a shrunk scenario that breaks the same rule. */
 export interface FuzzFinding {
   readonly violation: Violation;
   /** Text of the shrunk scenario's file, which replays exactly. */
@@ -20,7 +20,7 @@
   readonly events: number;
   readonly hash: string;
   readonly finding: FuzzFinding | null;
-  /** Set if the run itself failed, by a fault of the simulator or an exception of a controller. */
+  /** Set if the run itself failed, by an error of the simulator or an exception of a controller. */
   readonly error: string | null;
 }
 
--- a/src/simulation/fuzz.ts
+++ b/src/simulation/fuzz.ts
@@ -1,11 +1,11 @@
-/** Runs many random schedules in several processes. The schedules depend only on the first seed. */
+/** Runs many random schedules in several processes. The schedules depend only on the first seed and the base. */
 import { fork, type ChildProcess } from 'node:child_process';
 import type { FuzzOutcome } from './fuzz-run.js';
 import type { FuzzRequest } from './fuzz-process.js';
 import type { Rule } from './invariant-checker.js';
 import { formatScenario, type Scenario } from './scenario.js';
 
-/** Options of a fuzz: schedules to run, number of concurrent processes, and the callback for outcomes. */
+/** Options of `fuzz`: `jobs` is the number of concurrent processes; deployment and load of `base`, if any, are kept. */
 export interface FuzzOptions {
   readonly firstSeed: number;
   readonly runs: number;
--- a/src/simulation/gangs.ts
+++ b/src/simulation/gangs.ts
@@ -16,7 +16,7 @@
   readonly peerTimeoutMs: number;
 }
 
-/** Why a task of a gang exits: done, another task was lost, the gang stayed incomplete, or it was told to stop. */
+/** Why a task of a gang exits: done, another task was lost, the gang stayed incomplete, or a command stopped it. */
 export type GangExit = 'done' | 'peers' | 'alone' | 'halted';
 
 /** One task of a gang on its machine. Timers and exits are delayed while the machine hangs. */
--- a/src/simulation/invariant-checker.ts
+++ b/src/simulation/invariant-checker.ts
@@ -26,7 +26,7 @@
 /** Observes the simulated cluster and collects violations; `finish` checks the rules that apply to the whole run. */
 export class InvariantChecker implements Observer {
   readonly violations: Violation[] = [];
-  /** Statistics. Starts after a confirmed cancellation and accepted malformed jobs are counted, not reported. */
+  /** Statistics. Accepted malformed jobs and starts up to `cancelS` after a cancellation are only counted. */
   readonly counts: ObservationCounts = {
     starts: 0,
     gangStarts: 0,
@@ -133,7 +133,7 @@
     this.counts.gangStarts += 1;
   }
 
-  /** Reports a task that joins a running attempt: a gang that loses a task ends and waits for no replacement. */
+  /** Reports a task that joins an attempt that has started: an attempt that loses a task must end, not replace it. */
   gangRejoined(job: string, task: string): void {
     this.reportViolation('gang_rejoined', job, `${task} joins an attempt that had started`);
   }
@@ -199,8 +199,9 @@
   }
 
   /**
-   * Reports a job that has no task on any machine although a machine has had room for a task and the team was below its
-   * quota; and a gang that does not run although there has been room for all of its tasks.
+   * Reports a job that has no task on any machine although, for `MAX_STARTABLE_WAIT_MS`, a machine has had room for a
+   * task and the team was below its quota; and a gang that does not run although there has been room for all of its
+   * tasks.
    */
   private checkLeftWaiting(record: JobObservation, now: number, machines: readonly MachineView[]): void {
     const startable =
--- a/src/simulation/load-balancer.ts
+++ b/src/simulation/load-balancer.ts
@@ -9,10 +9,12 @@
 
 const PROBE_INTERVAL_MS = 1000;
 const PROBE_TIMEOUT_MS = 1000;
+/** Number of recent probes that count, and of failures among them that make a backend unhealthy. */
 const PROBE_WINDOW = 6;
 const UNHEALTHY_FAILURE_COUNT = 3;
 const MIN_EJECTION_MS = 3000;
 const MAX_EJECTION_MS = 60_000;
+/** An ejection within this time after the previous one lasts twice as long. */
 const EJECTION_MEMORY_MS = 120_000;
 const SLOW_START_MS = 10_000;
 const CONNECT_TIMEOUT_MS = 500;
--- a/src/simulation/machines.ts
+++ b/src/simulation/machines.ts
@@ -23,7 +23,7 @@
 const FETCH_RATE_FACTOR = { low: 0.75, high: 1.25 };
 /** An interrupted spot machine ends after its notice period multiplied by a factor in this range. */
 const NOTICE_FACTOR = { low: 0.5, high: 1.5 };
-const MIN_LATE_HEARTBEAT_DELAY_MS = 2000;
+const MIN_HEARTBEAT_COPY_DELAY_MS = 2000;
 /** A machine counts as usable only this long after it is up. */
 const USABLE_AFTER_MS = 30_000;
 
@@ -36,7 +36,9 @@
 
 /** Faults of messages between workers and controllers, in addition to the faults of the network. */
 export class WorkerLinks {
+  /** Share of heartbeats of which a copy arrives late: after a random delay, or at the next failover. */
   delayedHeartbeatOptions = { share: 0, heldUntilFailover: false };
+  /** Share of requests with commands that are executed late and get no answer. */
   lateCommandShare = 0;
   /** Machines that receive no answers and no commands. */
   readonly inboundLost = new Set<Host>();
@@ -82,7 +84,7 @@
 /** Starts a worker on each machine that has booted, and delivers commands and heartbeats. */
 export class SimulatedMachines {
   private readonly machinesById = new Map<string, SimulatedMachine>();
-  private readonly byAddress = new Map<string, SimulatedMachine>();
+  private readonly machinesByAddress = new Map<string, SimulatedMachine>();
 
   constructor(private readonly environment: MachineEnvironment) {}
 
@@ -120,11 +122,11 @@
     };
     const host = new Host(cloudMachine.id, cloudMachine.zone, queue);
     const machineRandom = random.fork(cloudMachine.id);
-    const speed = {
+    const imageOptions = {
       gbPerS: type.fetchGbPerS * machineRandom.within(FETCH_RATE_FACTOR),
       cacheGb: type.cacheGb,
     };
-    const worker = new Worker(spec, host, cloudMachine.endpoint, speed, {
+    const worker = new Worker(spec, host, cloudMachine.endpoint, imageOptions, {
       ...this.environment,
       random: machineRandom,
       controllers: this.environment.nodes.map((n) => n.name),
@@ -133,7 +135,7 @@
     worker.tasks.slowness = machineRandom.within(SLOWNESS_FACTOR);
     const machine: SimulatedMachine = { spec, host, worker, cloudMachine };
     this.machinesById.set(cloudMachine.id, machine);
-    this.byAddress.set(cloudMachine.endpoint, machine);
+    this.machinesByAddress.set(cloudMachine.endpoint, machine);
   }
 
   remove(cloudMachine: CloudMachine): void {
@@ -157,7 +159,7 @@
 
   /** Returns the machine at an address, or null; a removed machine keeps its address and does not answer. */
   endpointAt(address: string): { readonly host: Host; serve(call: Call, reply: Reply): void } | null {
-    const machine = this.byAddress.get(address);
+    const machine = this.machinesByAddress.get(address);
     if (!machine) return null;
     return { host: machine.host, serve: (call, reply) => this.serveCommand(machine, call, reply) };
   }
@@ -197,7 +199,7 @@
       links.delayHeartbeat(host, body);
       return;
     }
-    const delay = random.between(MIN_LATE_HEARTBEAT_DELAY_MS, 2 * times.leaseMs);
+    const delay = random.between(MIN_HEARTBEAT_COPY_DELAY_MS, 2 * times.leaseMs);
     queue.after(delay, () => this.deliverHeartbeatCopy(node, body));
   }
 
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -26,14 +26,14 @@
   readonly loss: number;
 }
 
-/** An HTTP answer; `retryAfterS` is in seconds. */
+/** An HTTP response; `retryAfterS` is in seconds. */
 export interface Response {
   readonly status: number;
   readonly body: unknown;
   readonly retryAfterS?: number;
 }
 
-/** Outcome of an exchange, with the Retry-After header in seconds if the answer has one. */
+/** Outcome of an exchange, with the Retry-After header in seconds if the response has one. */
 export type ExchangeOutcome = CallOutcome & { readonly retryAfterS?: number };
 
 interface HeldMessage {
--- a/src/simulation/observer.ts
+++ b/src/simulation/observer.ts
@@ -1,4 +1,7 @@
-/** Observations from outside the controllers, the invariant checker's only events: tasks on machines, users' requests. */
+/**
+ * Events visible from outside the controllers, of tasks on machines and of users' requests. The invariant checker
+ * receives no other events.
+ */
 import type { UserJob } from './user-jobs.js';
 
 /** Immutable properties of a machine. */
--- a/src/simulation/scenario-generator.ts
+++ b/src/simulation/scenario-generator.ts
@@ -13,7 +13,7 @@
 const DURATION_S = 240;
 /** No job arrives after this time. */
 const LOAD_UNTIL_S = 110;
-/** Maximum time between the first and the last fault of a schedule to begin. */
+/** Maximum time from the start of a schedule's first fault to the start of its last one. */
 const MAX_FAULT_SPREAD_S = 30;
 
 const EVENT_CHOICES = ['part_claimed', 'cancel_confirmed', 'accepted', 'job_done', 'task_started'] as const;
@@ -56,7 +56,7 @@
   };
 }
 
-/** Draws batch and service loads in this order even if a load is not used, so that a seed keeps its schedule. */
+/** Draws the service load even if it is not used, and always in this order, so that a seed keeps its schedule. */
 function randomLoad(random: RandomStream, deployment: Deployment): ScenarioInput['load'] {
   const batch = randomBatchLoad(random, deployment);
   const service = randomServiceLoad(random);
--- a/src/simulation/scenario.ts
+++ b/src/simulation/scenario.ts
@@ -70,7 +70,7 @@
   });
 }
 
-/** Fills in defaults and validates the scenario; `file` names it in errors. Throws ScenarioError. */
+/** Fills in defaults and validates the scenario; `file` is the name of its file in errors. Throws ScenarioError. */
 export function checkScenario(input: unknown, file: string): Scenario {
   const result = v.safeParse(scenarioSchema, input, { abortEarly: true });
   if (!result.success) {
@@ -88,7 +88,7 @@
   return result.output;
 }
 
-/** Parses a scenario from TOML; `file` names it in errors. Throws ScenarioError. */
+/** Parses a scenario from TOML; `file` is the name of its file in errors. Throws ScenarioError. */
 export function parseScenario(text: string, file: string): Scenario {
   let data: unknown;
   try {
--- a/src/simulation/shrink.ts
+++ b/src/simulation/shrink.ts
@@ -67,7 +67,7 @@
   }
 
   async run(): Promise<Scenario> {
-    // Shortens the run first, so that every later trial is as short.
+    // Accepting the unchanged scenario cuts its duration to just after the violation, for all later trials too.
     if (!(await this.accept(this.smallest))) return this.smallest;
     for (let changed = true; changed;) {
       changed = await this.removeItems(
--- a/src/simulation/simulation.ts
+++ b/src/simulation/simulation.ts
@@ -26,7 +26,7 @@
 import { Trace } from './trace.js';
 import { Users } from './users.js';
 
-/** Relative rate error: 0.0005 is 0.05% fast. */
+/** Maximum relative rate error of a controller's clock: 0.0005 is 0.05% fast. */
 const MAX_CLOCK_DRIFT = 0.0005;
 const STDERR_FD = 2;
 /** Heartbeats that were held back until the next failover arrive this long after a controller claims a shard. */
@@ -63,7 +63,7 @@
   onMachineRemoved(machine: CloudMachine): void;
 }
 
-const SIMULATED_MACHINE_ADDRESSES = '10.1';
+const SIMULATED_ADDRESS_PREFIX = '10.1';
 
 /** Result of a run; its fields are those that `simulate run --json` prints. */
 export interface SimulationResult {
@@ -183,7 +183,7 @@
         rps: cloud.rps,
         listLagS: cloud.list_lag_s,
         capacity: cloud.capacity,
-        addressPrefix: runEnvironment?.machineAddressPrefix ?? SIMULATED_MACHINE_ADDRESSES,
+        addressPrefix: runEnvironment?.machineAddressPrefix ?? SIMULATED_ADDRESS_PREFIX,
       },
       this.random.fork('cloud'),
       this.trace,
@@ -281,9 +281,9 @@
         if (this.storage.jobOf(task)?.shape === 'gang')
           this.faults.onEvent({ name: 'gang_gathers', machine: machine.id });
       },
-      taskEnded: (machine: MachineSpec, task: string, done: boolean) => {
-        checker.taskEnded(machine, task, done);
-        if (done) this.countCompletedTask(task);
+      taskEnded: (machine: MachineSpec, task: string, completed: boolean) => {
+        checker.taskEnded(machine, task, completed);
+        if (completed) this.countCompletedTask(task);
       },
       gangStarted: (job) => {
         checker.gangStarted(job);
@@ -301,9 +301,10 @@
   private countCompletedTask(task: string): void {
     const job = this.storage.jobOf(task);
     if (!job) return;
-    const done = (this.completedTasksByJob.get(job.id) ?? 0) + 1;
-    this.completedTasksByJob.set(job.id, done);
-    if (done === job.tasks && this.random.chance(this.cancelOnCompletionShare)) this.users.cancel(job.id);
+    const completedCount = (this.completedTasksByJob.get(job.id) ?? 0) + 1;
+    this.completedTasksByJob.set(job.id, completedCount);
+    if (completedCount === job.tasks && this.random.chance(this.cancelOnCompletionShare))
+      this.users.cancel(job.id);
   }
 
   private onCommit(body: TransactionBody, from: string): void {
--- a/src/simulation/startable-jobs.ts
+++ b/src/simulation/startable-jobs.ts
@@ -31,7 +31,7 @@
   return quota !== undefined && isWithinLimit(cpus, quota.cpusMax) && isWithinLimit(gpus, quota.gpusMax);
 }
 
-/** Returns whether a job without tasks on machines could start a task now; for a gang that does not run, all tasks. */
+/** Returns whether a job that occupies no machine could start a task now; for a gang that does not run, all tasks. */
 export function isStartable(
   record: JobObservation,
   machines: readonly MachineView[],
--- a/src/simulation/store-service.ts
+++ b/src/simulation/store-service.ts
@@ -181,11 +181,11 @@
   private lease(from: string, call: Call, path: string): Response {
     const id = Number(/^\/leases\/(\d+)/.exec(path)?.[1] ?? 0);
     if (path === '/leases') {
-      const newLease = this.table.grantLease();
+      const newLeaseId = this.table.grantLease();
       const { ttlMs } = call.body as { ttlMs: number };
-      this.leases.set(newLease, { ttlMs, owner: from, endsAt: this.queue.now + ttlMs });
-      this.scheduleLeaseExpiry(newLease);
-      return { status: HTTP_STATUS.ok, body: { mooring: newLease } };
+      this.leases.set(newLeaseId, { ttlMs, owner: from, endsAt: this.queue.now + ttlMs });
+      this.scheduleLeaseExpiry(newLeaseId);
+      return { status: HTTP_STATUS.ok, body: { mooring: newLeaseId } };
     }
     const lease = this.leases.get(id);
     if (!lease) return { status: HTTP_STATUS.notFound, body: {} };
--- a/src/simulation/token-bucket.ts
+++ b/src/simulation/token-bucket.ts
@@ -4,7 +4,7 @@
 /** A token bucket that holds `burstS` seconds' worth of requests. */
 export class TokenBucket {
   private level: number;
-  private at = 0;
+  private updatedAt = 0;
 
   constructor(
     private readonly queue: EventQueue,
@@ -16,8 +16,8 @@
 
   take(count: number): boolean {
     const { now } = this.queue;
-    this.level = Math.min(this.rate * this.burstS, this.level + ((now - this.at) / 1000) * this.rate);
-    this.at = now;
+    this.level = Math.min(this.rate * this.burstS, this.level + ((now - this.updatedAt) / 1000) * this.rate);
+    this.updatedAt = now;
     if (this.level < count) return false;
     this.level -= count;
     return true;
--- a/src/simulation/users.ts
+++ b/src/simulation/users.ts
@@ -24,7 +24,7 @@
 /** More CPUs than any machine has. */
 const IMPOSSIBLE_CPUS = 1e6;
 const MAX_RETRY_DELAY_S = 30;
-/** Number of polls of each node after a change, and their interval, while `pollAllNodesOnChange` is set. */
+/** Number of polls of each controller after a change, and their interval, while `pollAllNodesOnChange` is set. */
 const POLL_ROUNDS = 3;
 const POLL_ROUND_INTERVAL_MS = 4;
 
@@ -45,7 +45,7 @@
 
 /** Simulates the users of all jobs, from submission until each user knows the job's final state. */
 export class Users {
-  /** While set, users poll all nodes at once after each state change that they learn of. */
+  /** While set, users poll all controllers at once after each state change that an answer shows. */
   pollAllNodesOnChange = false;
   private readonly trackedJobs = new Map<string, TrackedJob>();
 
@@ -112,7 +112,7 @@
     if (this.pollAllNodesOnChange) void this.pollAllNodes(job);
   }
 
-  /** Polls all nodes in rounds a few milliseconds apart, and repeats the submission in each round. */
+  /** Polls all controllers in rounds a few milliseconds apart, and repeats the submission in each round. */
   private async pollAllNodes(id: string): Promise<void> {
     const job = this.trackedJobs.get(id)?.job;
     for (let round = 0; round < POLL_ROUNDS; round += 1) {
@@ -173,7 +173,7 @@
     }
   }
 
-  /** Returns jobs that are pending or running as far as users know and not being cancelled, in order of submission. */
+  /** Returns the jobs last answered as pending or running that are not being cancelled, in order of submission. */
   openJobs(): UserJob[] {
     return [...this.trackedJobs.values()]
       .filter(
@@ -184,7 +184,8 @@
 
   /**
    * Sends one irregular request: a repeated submission, the cancellation of a job that is done, a repeated submission
-   * that lacks a field, a malformed job, or a status request for a job that does not exist.
+   * that lacks a field, a malformed job, or a status request for a job that does not exist. Only the last two have
+   * `irregular` set.
    */
   sendIrregularRequest(number: number): void {
     const doneJobs = [...this.trackedJobs.values()].filter((tracked) => tracked.state === 'done');
--- a/src/simulation/worker-tasks.ts
+++ b/src/simulation/worker-tasks.ts
@@ -45,7 +45,7 @@
     return free;
   }
 
-  /** Names of the tasks that occupy resources here, including those that wait for their image. */
+  /** Names of the tasks that occupy resources of the machine, including those that wait for their image. */
   occupyingTasks(): string[] {
     return [...this.tasks.values()].filter((task) => task.status !== 'exited').map((task) => task.name);
   }
@@ -55,7 +55,7 @@
     return [...this.tasks.values()].map(encodeTaskStatus);
   }
 
-  /** Executes a command; it has no effect if the task's state does not allow it. */
+  /** Executes a command; a command that the task's state does not allow has no effect. */
   execute(command: WireCommand): void {
     const key = `${command.leg}#${command.sailing}`;
     const existing = this.tasks.get(key);
--- a/src/simulation/worker.ts
+++ b/src/simulation/worker.ts
@@ -52,10 +52,10 @@
     readonly spec: MachineSpec,
     readonly host: Host,
     readonly endpoint: string,
-    speed: { gbPerS: number; cacheGb: number },
+    imageOptions: { gbPerS: number; cacheGb: number },
     private readonly environment: WorkerEnvironment,
   ) {
-    const images = new ImageCache(environment.queue, speed.gbPerS, speed.cacheGb);
+    const images = new ImageCache(environment.queue, imageOptions.gbPerS, imageOptions.cacheGb);
     this.tasks = new WorkerTasks(spec, host, images, environment, () => this.noteStatusChange());
     this.controllerIndex = environment.random.integer(0, environment.controllers.length - 1);
     this.leaseRenewedAt = environment.queue.now;
@@ -152,7 +152,7 @@
     return true;
   }
 
-  /** Checks the lease on the event queue, so also while the machine hangs: tasks must not outlive the lease. */
+  /** Checks the lease by timers that fire even while the machine hangs: its tasks must not outlive the lease. */
   private scheduleLeaseCheck(): void {
     const { lifetime } = this.host;
     this.environment.queue.after(LEASE_CHECK_INTERVAL_MS, () => {
