--- a/test/docs/architecture.test.ts
+++ b/test/docs/architecture.test.ts
@@ -23,6 +23,7 @@
   'README.md',
   ARCHITECTURE,
   'docs/design.md',
+  'docs/glossary.md',
   'docs/operations.md',
   'docs/simulation.md',
   'docs/questions.md',
