--- a/test/autoscaling/scale-in.test.ts
+++ b/test/autoscaling/scale-in.test.ts
@@ -120,7 +120,7 @@
   assert.equal(countScaleIns(shard, { hasPendingDemand: false }), '2 idle', 'one machine is kept');
 });
 
-test('a machine is unlisted if the list shows a newer machine that is older than the lag of the list', () => {
+test('a machine is unlisted if the list lacks it but shows a newer one that is older than the list can lag', () => {
   const listed = (id: string, ageS: number): never => ({ id, ageS }) as never;
   const unlistedIds = (list: never[]): string =>
     ['m-007', 'm-008', 'm-010', 'm-012']
--- a/test/autoscaling/scale-out-plan.test.ts
+++ b/test/autoscaling/scale-out-plan.test.ts
@@ -52,7 +52,11 @@
   assert.equal(plan(demand({ spot: true }, 8)), '4 small spot');
   backedOff.add('smalltrue');
   assert.equal(plan(demand({ spot: true }, 8)), '2 large spot');
-  assert.equal(plan(demand({}, 8, 100)), '', 'too young: the demand may overflow to a peer');
+  assert.equal(
+    plan(demand({}, 8, 100)),
+    '',
+    'the tasks have waited too briefly: they may still overflow to a peer',
+  );
   const pendingMachine = { type: 'large' as never, zone: 'east' as never, spot: false };
   assert.equal(plan(demand({}, 8), { ...baseContext, pendingMachines: [pendingMachine] }), '1 large');
   assert.equal(
--- a/test/http/http.test.ts
+++ b/test/http/http.test.ts
@@ -110,7 +110,7 @@
   }
 }
 
-/** Options of a server that closes connections of `/report` after their response while more than 6 of 12 are open. */
+/** Options of a server that closes a connection after a response to `/report` while more than 6 of 12 are open. */
 const CROWDED_OPTIONS = {
   ...OPTIONS,
   maxConnections: 12,
@@ -172,7 +172,7 @@
   });
 });
 
-test('the client reports unknown after an unreadable or missing answer, and unsent without a connection', async () => {
+test('the client reports unknown after an unreadable or missing response, and unsent without a connection', async () => {
   const replies = [
     'HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{"a":1}',
     'garbage\r\n\r\n',
@@ -194,7 +194,7 @@
   assert.equal((await refusedClient.call(call)).kind, 'unsent');
 });
 
-test('above the shared keep-alive limit of clients, connections are closed after their answer', async () => {
+test('above the shared keep-alive limit of clients, connections are closed after their response', async () => {
   const openSockets = new Set<Socket>();
   const server = createServer((socket) => {
     openSockets.add(socket);
@@ -217,7 +217,7 @@
   assert.equal(keptConnections, 3);
 });
 
-test('a request is not sent if mayStillSend returns false after the wait for a connection or for a free one', async () => {
+test('a request is not sent if mayStillSend returns false after the wait for a new or free connection', async () => {
   const received: string[] = [];
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
--- a/test/model/resources.test.ts
+++ b/test/model/resources.test.ts
@@ -37,7 +37,7 @@
   assert.equal(dominantShare({ cpus: 4, gpus: 1, memoryGb: 8 }, WITHOUT_GPU), 0.25);
 });
 
-test('an amount in CPUs is its dominant share times the CPUs of the machine', () => {
+test('the CPU equivalent of an amount is its dominant share times the CPUs of the machine', () => {
   assert.equal(cpuEquivalent({ cpus: 4, gpus: 1, memoryGb: 8 }, MACHINE), 8);
   assert.equal(
     freeCpuEquivalent({ cpus: 12, gpus: 1, memoryGb: 64 }, MACHINE, { cpus: 1, gpus: 1, memoryGb: 1 }),
--- a/test/overflow/announced-capacity.test.ts
+++ b/test/overflow/announced-capacity.test.ts
@@ -2,8 +2,8 @@
  * A shard announces the free capacity that its own waiting tasks cannot use.
  *
  * Guards against (simulate fuzz --seed 50156 --runs 1): a service of two tasks waited for 90 s on a shard without
- * machines while another shard had 2 CPUs free. The other shard announced no capacity, because a gang of eight tasks
- * that waited there was subtracted from it task by task, although the gang needs 16 CPUs at once. Nothing was ever
+ * machines while another shard had 2 CPUs free. The other shard announced no capacity, because the tasks of a waiting
+ * gang of eight were subtracted from it one by one, although the gang needs 16 CPUs at once. Nothing was ever
  * transferred:
  *
  *   n0 shard statistics: machines 1, free 2 CPUs, from 140 s to the end
@@ -64,7 +64,7 @@
   assert.equal(announcedTasks(reserved), 0);
 });
 
-test('a gang that only fits without critical tasks, which are not preempted, does not reduce the capacity', () => {
+test('a gang that would fit only by preemption of critical tasks does not reduce the announced capacity', () => {
   const runner = idleMachine();
   runner.addRunningTask('req-web', 'm-0', { kind: 'service', priority: 0, cpus: 6 });
   runner.addJob('req-gang', { ...GANG, tasks: 4 });
--- a/test/overflow/machine-transfer.test.ts
+++ b/test/overflow/machine-transfer.test.ts
@@ -2,7 +2,7 @@
  * A shard must not start tasks on a machine that may already belong to another shard.
  *
  * Guards against: the response to a machine transfer is lost, and the retry conflicts with the first attempt, which was
- * applied. The donor shard uncordoned the machine until its watch showed the record, and could start a task on it. When
+ * applied. The donor shard uncordoned the machine, and could start a task on it until its watch showed the record. When
  * the record arrived, the machine was removed together with its tasks, and the task was started a second time
  * elsewhere. See docs/incidents/2026-12-ran-twice-at-size.md ("Found beside it, not mended"); this test covers the
  * decision alone.
@@ -36,8 +36,8 @@
 } as unknown as MachineRequest;
 
 /**
- * Requests the only machine of a shard led by this controller. The write ends in a conflict, and `reads` are returned
- * after it.
+ * Requests the only machine of a shard led by this controller. The write ends in a conflict. The reads of the record
+ * after it return `reads` in turn, then that the record is absent.
  */
 async function transferWithLostResponse(
   reads: ReadResult[],
--- a/test/overflow/task-transfer.test.ts
+++ b/test/overflow/task-transfer.test.ts
@@ -11,7 +11,7 @@
 import { buildJobSpec } from '../support/job-specs.js';
 import { syncConfirmedJob } from '../support/confirmed-job.js';
 
-test('a job whose record would be too large does not block the transfer of other jobs', () => {
+test('a job whose record would become too large does not block the transfer of other jobs', () => {
   const now = 10_000 as SteadyMs;
   const shard = new Shard(0 as ShardId, 1 as never, 1 as never, 0 as SteadyMs, new Map());
   const machines = [{ type: 't', zone: 'east', spot: false, cpus: 64, gpus: 0, memoryGb: 64, count: 4 }];
--- a/test/overflow/zone-reassignment.test.ts
+++ b/test/overflow/zone-reassignment.test.ts
@@ -3,7 +3,7 @@
  * the other tasks wait indefinitely.
  *
  * Guards against (simulate run test/schedules/both-together-and-spread.toml, seed 20631): all machines of a zone end,
- * and services of two to four tasks whose running half was there never run again, although two other zones have
+ * and services of two to four tasks whose running half was there never ran again, although two other zones had
  * capacity. Waiting tasks changed their zone only in jobs with exactly one of the two constraints; jobs with both were
  * left out, also if they had a single task:
  *
@@ -81,13 +81,13 @@
 const choose = (job: ShardJob, fromZone = LOST_ZONE): ZoneReassignment | null =>
   chooseZoneReassignment(OWN_SHARD, job, fromZone, CONTEXT);
 
-/** Five tasks: three are assigned to the lost zone, two to no zone. */
+/** Five tasks: three are assigned to the lost zone, two to none. */
 const HALF_IN_LOST_ZONE: readonly AssignmentRow[] = [
   [0, 3, 0, 'west'],
   [3, 5, 0, ''],
 ];
 
-test('half of a job that must be in one zone and spread moves as one group, the other tasks stay in no zone', () => {
+test('half of a job that must be in one zone and spread moves as one group, the other tasks stay without a zone', () => {
   const job = waitingJob(5, HALF_IN_LOST_ZONE);
   const reassignment = choose(job);
   assert.deepEqual(
@@ -106,7 +106,7 @@
   assert.deepEqual([single?.tasks.ranges(), single?.zone], [[[0, 1]], 'east']);
 });
 
-test('a group that is split among shards is collected on the shard with the lowest number that has tasks of it', () => {
+test('a group that is split among shards is collected on the one with the lowest id that has tasks of it', () => {
   const assignments: readonly AssignmentRow[] = [
     [0, 1, 1, 'west'],
     [1, 3, 2, 'west'],
@@ -125,7 +125,7 @@
     assert.equal(choose(job), null, state);
   }
   assert.equal(choose(waitingJob(5, HALF_IN_LOST_ZONE, [[0, 1]])), null, 'a task of the group is done');
-  assert.equal(choose(waitingJob(5, HALF_IN_LOST_ZONE), '' as ZoneId), null, 'tasks in no zone');
+  assert.equal(choose(waitingJob(5, HALF_IN_LOST_ZONE), '' as ZoneId), null, 'tasks without a zone');
   const onAnotherShard = waitingJob(5, [
     [0, 2, 0, 'west'],
     [2, 3, 1, 'west'],
--- a/test/quota/quota-remainder.test.ts
+++ b/test/quota/quota-remainder.test.ts
@@ -64,7 +64,7 @@
     syncConfirmedJob(shard, record, 2 as never, this.now as SteadyMs, false);
   }
 
-  /** Lets each of these shards request quota in turn, repeatedly for `forMs`. */
+  /** Lets each of these shards request quota in turn, repeatedly for `forMs`. Returns the shard quotas at the end. */
   async requestQuota(forMs: number, ...shardIds: number[]): Promise<number[]> {
     for (const end = this.now + forMs; this.now < end; this.now += STEP_MS) {
       for (const id of shardIds) {
@@ -92,7 +92,7 @@
     assert.deepEqual(
       await new QuotaFixture(setup).requestQuota(8000, 1),
       [18, 30],
-      'moves to a shard with a higher number because it completes a task',
+      'moves to the shard with the higher id because a task then fits there',
     );
   });
 }
@@ -102,9 +102,13 @@
   assert.deepEqual(await fixture.requestQuota(20_000, 0), [19, 29]);
 });
 
-test('remainders that are too small even together move once, to the lower shard, and stay there', async () => {
+test('remainders that are too small even together move only once, to the shard with the lower id', async () => {
   const fixture = new QuotaFixture({ shardQuotas: [11, 12], usage: [10, 10], taskSizes: [4, 4] });
-  assert.deepEqual(await fixture.requestQuota(8000, 1), [11, 12], 'the higher shard would still lack one');
+  assert.deepEqual(
+    await fixture.requestQuota(8000, 1),
+    [11, 12],
+    'the shard with the higher id would still lack one CPU',
+  );
   assert.deepEqual(await fixture.requestQuota(120_000, 0, 1), [13, 10]);
   assert.equal(fixture.transfers, 1);
 });
--- a/test/quota/resource-quotas.test.ts
+++ b/test/quota/resource-quotas.test.ts
@@ -1,4 +1,4 @@
-/** CPUs, GPUs and memory are treated alike, and a guarantee or quota of 0 means that there is none. */
+/** CPUs, GPUs and memory are treated alike, a guarantee of 0 means no guarantee, and a quota of 0 no limit. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { rejectionReason } from '../../src/jobs/admission.js';
@@ -88,7 +88,7 @@
   assert.equal(answer.body['error'], 'cards: a task needs 1, no allowed machine type has more than 0');
 });
 
-test('a quota of 0 means none: it refuses no job, and its shard quotas are unlimited and cannot be transferred', () => {
+test('a quota of 0 means no limit: no job is refused, shard quotas are unlimited and cannot be transferred', () => {
   const teams = new Map([[gpuTeam.name, gpuTeam]]);
   const types = [{ name: 'gpu', cpus: 64, gpus: 8, memoryGb: 512, zones: ['east'] }] as never;
   const rejection = (changes: Partial<JobSpec>): string | null =>
@@ -118,7 +118,7 @@
   });
 });
 
-test('a guarantee of 0 means none: the resource is not counted, and no job is guaranteed because of it', () => {
+test('a guarantee of 0 means no guarantee: the resource is not counted, and no job is guaranteed because of it', () => {
   const job = (id: string, acceptedRevision: number, changes: Partial<JobSpec>): JobRecord =>
     ({
       spec: buildJobSpec({ id, ...changes }),
--- a/test/scheduling/dominant-resource.test.ts
+++ b/test/scheduling/dominant-resource.test.ts
@@ -44,7 +44,7 @@
 
 const countOccurrences = (text: string, substring: string): number => text.split(substring).length - 1;
 
-test('ordering: among jobs within their deadline the one that needs less of its dominant resource is scheduled first', () => {
+test('ordering: of jobs that can meet their deadline, the one with the smaller dominant share comes first', () => {
   const runner = new CycleRunner(1, onGpuMachines());
   const common = { deadlineS: 600, estimateS: 60, priority: 2 };
   runner.addJob('req-gpus', { ...common, tasks: 3, cpus: 1, gpus: 4 });
@@ -52,7 +52,7 @@
   assert.match(runner.runCycle(), /^start req-cpus\/0.*start req-cpus\/3/);
 });
 
-test('free capacity: as many tasks start as GPUs are free, though CPUs and memory are left', () => {
+test('free capacity: as many tasks start as there are free GPUs, though CPUs and memory are left', () => {
   const runner = new CycleRunner(2, onGpuMachines());
   runner.addJob('req-a', { tasks: 20, cpus: 1, gpus: 1 });
   assert.equal(countOccurrences(runner.runCycle(), 'start'), 16);
@@ -70,7 +70,7 @@
   );
 });
 
-test('preemption: of two tasks the one with less work lost by its dominant resource is stopped', () => {
+test('preemption: of two tasks, the one that loses less work, measured by its dominant resource, is stopped', () => {
   const runner = new CycleRunner(1, onGpuMachines());
   runner.addJob('req-gpus', { tasks: 1, cpus: 1, gpus: 4, priority: 3 });
   runner.addJob('req-cpus', { tasks: 1, cpus: 8, gpus: 4, priority: 3 });
@@ -86,7 +86,7 @@
   assert.equal(
     otherRunner.runCycle(),
     'stop req-cpus/0',
-    '8 CPUs and 2 GPUs for a time are less than 1 CPU and 6 GPUs',
+    '8 CPUs and 2 GPUs are less than 1 CPU and 6 GPUs for the same time',
   );
 });
 
@@ -98,7 +98,7 @@
   assert.equal(runner.runCycle(), 'stop req-gpus/0');
 });
 
-test('guaranteed quota: a team reclaims GPUs from work above the guarantee of another, and no more', () => {
+test('guaranteed quota: a team reclaims the GPUs that another team uses above its own guarantee, and no more', () => {
   const runner = new CycleRunner(1, onGpuMachines({ team: { gpus: 5, gpusMax: 100 } }));
   runner.addJob('req-big', { tasks: 8, cpus: 1, gpus: 1, team: 'red' });
   assert.equal(countOccurrences(runner.runCycle(), 'start'), 8);
@@ -108,7 +108,7 @@
   assert.equal(countOccurrences(decisions, 'start req-mine'), 3);
 });
 
-test('guaranteed quota: what a team uses on other shards counts in GPUs as well', () => {
+test('guaranteed quota: GPUs that a team uses on other shards count against its guarantee', () => {
   const runner = new CycleRunner(1, onGpuMachines({ team: { gpus: 5, gpusMax: 100 } }));
   runner.usedElsewhere = { ...ZERO, gpus: 2 };
   runner.addJob('req-big', { tasks: 8, cpus: 1, gpus: 1, team: 'red' });
@@ -118,7 +118,7 @@
   assert.equal(countOccurrences(decisions, 'stop req-big'), 5, decisions);
 });
 
-test('a team at its GPU quota preempts as much of its lower-priority work as frees the GPUs, and none without GPUs', () => {
+test('a team at its GPU quota preempts only as much of its lower-priority work as frees the GPUs needed', () => {
   const shardQuota = { cpus: Infinity, gpus: 6, memoryGb: Infinity };
   const runner = new CycleRunner(2, onGpuMachines({ shardQuota }));
   runner.addJob('req-cpus', { tasks: 4, cpus: 1, gpus: 0, priority: 3 });
@@ -156,7 +156,7 @@
   assert.equal(runner.runCycle(), 'start req-a/0 on m-1');
 });
 
-/** Builds a shard with machines by name, each with a number of replicas of one GPU, or with the replicas given. */
+/** Builds a shard with machines by name, each with a number of replicas of one GPU, or with the given replicas. */
 function shardWith(load: Record<string, number | Partial<JobSpec>[]>, changes: Partial<JobSpec> = {}): Shard {
   const shard = new Shard(0 as ShardId, 1 as never, 0 as never, 0 as SteadyMs, TYPES);
   shard.reconciled = true;
@@ -235,7 +235,7 @@
   heartbeatIntervalMs: 1500,
 };
 
-test('announcements: usage, unused quota and cached capacity include GPUs and memory', () => {
+test('announcements: usage, unused quota and capacity by cached image include GPUs and memory', () => {
   const shard = shardWith({ a: 3, b: 0 });
   const core = {
     ...ANNOUNCEMENT_CONTEXT,
@@ -303,7 +303,7 @@
   assert.equal(chosenShards(14), '0-1 at 0, 1-9 at 1, 9-14 at 2');
 });
 
-/** Returns the quota requested from each of two other shards for tasks that wait on a third shard, which is led here. */
+/** Returns the quota requested from each of two other shards for tasks that wait on a third, local shard. */
 function requestedTransfers(
   team: Parameters<typeof buildTeam>[0],
   unusedQuota: Resources[],
@@ -334,7 +334,7 @@
   return requests.map((request) => `${request.cpus} CPUs, ${request.gpus} GPUs of ${request.to}`).join('; ');
 }
 
-test('quota transfer: asks the shard with most unused quota of the short resource, in CPUs, in GPUs or in both', () => {
+test('quota transfer: CPUs, GPUs or both are requested from the shard with most of the missing quota unused', () => {
   const gpus = (count: number): Resources => ({ ...ZERO, gpus: count });
   const cpus = (count: number): Resources => ({ ...ZERO, cpus: count });
   const waiting = { cpus: 200, gpus: 40, memoryGb: 900 };
@@ -395,7 +395,7 @@
   assert.equal(plan({ cpus: 1, gpus: 0, memoryGb: 256 }, 4), '1 cpu', 'sized by memory');
 });
 
-test('a new machine goes to the shard with less of its dominant resource, else to the next one in turn', () => {
+test('a new machine goes to the next shard in turn unless that is clearly larger by CPUs or GPUs', () => {
   const types = new Map([
     ['gpu', { cpus: 8, gpus: 8, memoryGb: 64 }],
     ['cpu', { cpus: 64, gpus: 0, memoryGb: 64 }],
--- a/test/scheduling/gang-starvation.test.ts
+++ b/test/scheduling/gang-starvation.test.ts
@@ -140,7 +140,7 @@
   assert.deepEqual(chooseMachines(runner, { cpus: 9 }), [[], []]);
 });
 
-test('a machine with an unacknowledged launch is not transferred: it may still start a task', () => {
+test('a machine with an unacknowledged launch is not transferred at once: it may still start a task', () => {
   const runner = new CycleRunner(1);
   const machine = runner.shard.machines.get('m-0' as never);
   assert.ok(machine);
--- a/test/scheduling/preemption-followed-by-start.test.ts
+++ b/test/scheduling/preemption-followed-by-start.test.ts
@@ -31,7 +31,7 @@
   return runner;
 }
 
-test('tasks for which others were preempted start once these are gone, even if another job has waited too long', () => {
+test('tasks start once their preemption victims are gone, even if another job has waited too long', () => {
   const runner = runnerWithFullMachine();
   runner.addJob('req-replicas', CRITICAL_SERVICE);
   assert.equal(runner.runCycle(), 'stop req-batch/0');
@@ -63,8 +63,8 @@
 });
 
 /**
- * Guards against stops for quota that are decided before a machine is found. Nor may any other task take a part of the
- * quota that is being freed.
+ * This and the next tests guard against tasks that are stopped for quota before a machine is found, and against other
+ * tasks that take a part of the quota that is being freed.
  */
 test('no task of the team is stopped for quota while there is no machine for the critical task', () => {
   const runner = new CycleRunner(1, { shardQuota: { ...UNLIMITED, cpus: 4 } });
@@ -95,7 +95,7 @@
   assert.equal(runner.runCycle(), 'start req-web/0 on m-0');
 });
 
-test('a job does not take the quota of a task of its team for which others are being stopped', () => {
+test('a job does not take quota that a task of its team needs for which other tasks are being stopped', () => {
   const runner = new CycleRunner(2, { shardQuota: { ...UNLIMITED, cpus: 8 } });
   runner.stopsTakeEffectAtOnce = false;
   const service = { kind: 'service', priority: 0, cpus: 4 };
@@ -117,7 +117,8 @@
   runner.addRunningTask('req-batch', 'm-0', { cpus: 8 });
   runner.addJob('req-web', { kind: 'service', priority: 0, cpus: 4 });
   assert.equal(runner.runCycle(), 'stop req-batch/0');
-  // The worker does not report for a long time that the task has ended; meanwhile it is considered lost and started again.
+  // The worker does not report the end of the task for a long time. Meanwhile the task is considered lost and started
+  // again.
   for (let cycle = 0; cycle < 4; cycle += 1) assert.equal(runner.runCycle(), 'nothing');
   runner.withdrawStops();
   for (let cycle = 0; cycle < 10; cycle += 1) assert.equal(runner.runCycle(), 'nothing');
--- a/test/scheduling/preemption.test.ts
+++ b/test/scheduling/preemption.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { CycleRunner } from '../support/cycle-runner.js';
 
-test('guaranteed best-effort work and standard work above its guarantee do not preempt each other', () => {
+test('guaranteed best-effort work and standard work above its team’s guarantee do not preempt each other', () => {
   const runner = new CycleRunner();
   runner.addJob('req-big', { tasks: 6, team: 'red', priority: 2 });
   runner.addJob('req-low', { tasks: 2, team: 'blue', priority: 3 });
@@ -12,7 +12,7 @@
   assert.equal(stops, 0, decisions.join('\n'));
 });
 
-test('a team reclaims its guaranteed quota from work above other guarantees, once, and never from guaranteed work', () => {
+test('a team reclaims its guarantee from work above other teams’ guarantees, once, and never from guaranteed work', () => {
   const runner = new CycleRunner();
   runner.addJob('req-big', { tasks: 4, team: 'red' });
   assert.equal(runner.runCycle().match(/start/g)?.length, 4);
--- a/test/scheduling/starvation.test.ts
+++ b/test/scheduling/starvation.test.ts
@@ -161,7 +161,7 @@
   assert.equal(choice.receivingShard, 1);
 });
 
-test('tasks that wait for another zone, or back off, do not hide this shard’s free capacity from peers', () => {
+test('tasks that wait for another zone, or back off, do not reduce the free capacity that the shard announces', () => {
   const spec = buildJobSpec({ id: 'req-2' });
   const elsewhere = shardWith(2, { tasks: 50, spread: true }, [[0, 50, 0, 'west']]);
   assert.equal(taskCapacity(computeFreeCapacity(buildCore([]), elsewhere.shard), spec, null), 8);
@@ -171,7 +171,7 @@
   assert.equal(taskCapacity(computeFreeCapacity(buildCore([]), here.shard), spec, null), 8);
 });
 
-test('waiting tasks change their zone only to one that may take more of the job, after a delay, and if none is running', () => {
+test('waiting tasks change only to a zone that may take more of the job, after a delay, and if none of them runs', () => {
   const ctx = (...capacities: FreeCapacity[]): Parameters<typeof chooseZoneReassignment>[3] => ({
     now: NOW,
     homeZone: EAST,
@@ -309,7 +309,7 @@
   }
 }
 
-test('under overload, urgent and not, also over slow links, the largest jobs start in time and no team starves', async () => {
+test('under overload by urgent and standard jobs the largest jobs start in time and no team starves, also over slow links', async () => {
   // Each task takes longer over slow links. The intervals make the overload equal in both cases.
   for (const [linkMs, intervalMs] of [
     [1, 600],
@@ -390,7 +390,7 @@
   assert.deepEqual([...shard.quotaReservations], [[RED, { cpus: 8, gpus: 0, memoryGb: 1 }]]);
 });
 
-test('quota remainders too small for any task are merged on one shard, the lower id first', async () => {
+test('quota remainders too small for any task are merged on one shard; the lower id has precedence', async () => {
   const red = buildTeam({ cpus: 12, cpusMax: 24 });
   const shards = [0, 1].map((id) => {
     const shard = new Shard(id as ShardId, 1 as never, 1 as never, 0 as SteadyMs, TYPES);
--- a/test/settings/settings.test.ts
+++ b/test/settings/settings.test.ts
@@ -89,7 +89,7 @@
   );
 });
 
-test("operators' properties: unknown names and bad values are errors, comments and defaults are fine", () => {
+test("operators' properties: unknown names and bad values are errors, comments and defaults are accepted", () => {
   assert.equal(parseTuning('# quiet\nfleet.idle.return.ms = 45000\n', 'p').idleMachineTimeout, 45000);
   assert.equal(parseTuning('', 'p').announcementExpiry, 10000);
   assert.match(
--- a/test/store/client.test.ts
+++ b/test/store/client.test.ts
@@ -151,7 +151,7 @@
   assert.deepEqual(calls[1], calls[0]);
 });
 
-test('a request that may have been applied is not retried', async () => {
+test('a request that fails for another reason than the rate limit is not retried', async () => {
   for (const outcome of [UNKNOWN, UNSENT, response(503), response(500)]) {
     const { client, clock, calls } = clientWithOutcomes(outcome);
     await resultWithinSecond(clock, client.compareAndSwap([], [], PRIORITY));
--- a/test/store/rate-limiter.test.ts
+++ b/test/store/rate-limiter.test.ts
@@ -5,7 +5,7 @@
 import { millis } from '../../src/model/units.js';
 import { SimulatedClock, flushPromises } from '../support/simulated-clock.js';
 
-test('the rate limiter serves leadership before progress, and refuses requests at the queue timeout', async () => {
+test('leadership requests are admitted before progress requests, and requests are refused at the queue timeout', async () => {
   const clock = new SimulatedClock();
   const limiter = new RateLimiter(clock, 2, 2);
   const outcomes: string[] = [];
--- a/test/store/stale-reads.test.ts
+++ b/test/store/stale-reads.test.ts
@@ -73,7 +73,7 @@
 
 const isCancelled = (data: unknown): boolean => JSON.stringify(data ?? null).includes('cancelled');
 
-test('a cancellation is concurrent with the end of the last task, and a read of the job is answered late', async () => {
+test('a cancellation while the last task ends violates no rule, even if a read of the job is answered late', async () => {
   for (let cancelAfterMs = 800; cancelAfterMs <= 2200; cancelAfterMs += 100) {
     const cluster = await cancelAtItsEnd(cancelAfterMs);
     assert.deepEqual(
