--- a/test/controller/health.test.ts
+++ b/test/controller/health.test.ts
@@ -38,7 +38,7 @@
     });
   }
 
-  hearPeer(storeHealthy: boolean): void {
+  receiveAnnouncement(storeHealthy: boolean): void {
     this.peers.set(PEER.node, {
       lastAnnouncementAt: steady(this.time),
       incarnation: 'first' as Incarnation,
@@ -49,11 +49,14 @@
     });
   }
 
-  /** Returns answers at intervals of 500 ms. The peer announces this store health before each; null: it is silent. */
+  /**
+   * Returns `count` answers at intervals of 500 ms. Before each answer an announcement of the peer with this store
+   * health arrives; null: no announcement arrives.
+   */
   answersWhilePeerAnnounces(storeHealthy: boolean | null, count: number): unknown[] {
     return Array.from({ length: count }, () => {
       this.time += 500;
-      if (storeHealthy !== null) this.hearPeer(storeHealthy);
+      if (storeHealthy !== null) this.receiveAnnouncement(storeHealthy);
       return this.check.answer();
     });
   }
--- a/test/controller/periodic-work.test.ts
+++ b/test/controller/periodic-work.test.ts
@@ -61,7 +61,7 @@
   ]);
 });
 
-test('a tick comes every 200 ms, a review of the machines every second', async () => {
+test('a tick runs every 200 ms, and the machines are reviewed every second', async () => {
   const calls = await callsWithin(2000);
   const count = (name: string): number => calls.filter((call) => call === name).length;
   assert.equal(count('leadership'), 11);
--- a/test/controller/store-changes.test.ts
+++ b/test/controller/store-changes.test.ts
@@ -55,7 +55,7 @@
     done: RangeSet.empty(),
   });
 
-test('a job record reaches the scheduler, and the cluster clock follows its time of acceptance', () => {
+test('a job record is passed to the scheduler, and the cluster clock follows its time of acceptance', () => {
   const { context, dispatch } = fixture();
   assert.deepEqual(dispatch('c/live/req-1', jobRecord({})), [['job', 'req-1', 1], ['request cycle']]);
   assert.equal(context.activeJobs.has('req-1' as never), true);
@@ -101,7 +101,7 @@
   assert.equal(context.registeredMachines.size, 0);
 });
 
-test('shard records reach leadership, membership changes divide the limits of the store', () => {
+test('shard records are passed to the leadership, and membership changes set the number of controllers that share the store limits', () => {
   const { dispatch } = fixture();
   assert.deepEqual(dispatch('c/parts/1', {}), [['shard', 'c/parts/1'], ['request cycle']]);
   assert.deepEqual(dispatch('c/alive/n1', {}), [['controllers', 1], ['request cycle']]);
--- a/test/controller/store-limits.test.ts
+++ b/test/controller/store-limits.test.ts
@@ -38,7 +38,7 @@
 
   constructor(
     private readonly alive: readonly string[],
-    private readonly heard: readonly string[],
+    private readonly announcing: readonly string[],
   ) {}
 
   readonly storeCache = {
@@ -50,7 +50,7 @@
   }
 
   hasAnnouncedWithin(name: ControllerId): boolean {
-    return this.heard.includes(name);
+    return this.announcing.includes(name);
   }
 
   announceUsage(name: string, storeUsage: StoreUsage): void {
@@ -89,7 +89,7 @@
   assert.deepEqual(limits.usages, [[{ requests: 3, writes: 2 }]]);
 });
 
-test('a live peer that is silent is counted with its whole share, a dead peer is not counted', () => {
+test('a live peer without recent announcements is counted with its whole share, and a peer that is not alive is not counted', () => {
   const limits = new FakeLimits(['n0', 'n1'], []);
   limits.announceUsage('n1', { requests: 3, writes: 2 });
   limits.announceUsage('n2', { requests: 3, writes: 2 });
--- a/test/jobs/cancellation-notice.test.ts
+++ b/test/jobs/cancellation-notice.test.ts
@@ -6,12 +6,12 @@
 import { test } from 'node:test';
 import { SimulatedCluster } from '../support/simulated-cluster.js';
 
-test('a leader that only the state service refuses stops tasks cancelled through a peer, and starts none of them', async () => {
+test('a leader that only the store refuses stops tasks cancelled through a peer, and starts none of them', async () => {
   for (const refusedFor of [50, 700, 1500]) {
     const cluster = new SimulatedCluster();
     cluster.addWorker('large', 'east');
     await cluster.start();
-    // Each job has one task of 4 CPUs: two of them run, the others wait in the same shard.
+    // Each job has one task of 4 CPUs: the tasks of two jobs run, the others wait in the same shard.
     for (const job of [1, 2, 3, 4])
       await cluster.submit(0, `req-${job}`, { cpus: 4, runMs: 60_000, zone: 'east' });
     await cluster.step(1500);
--- a/test/jobs/codecs.test.ts
+++ b/test/jobs/codecs.test.ts
@@ -1,7 +1,7 @@
 /**
  * Tests the exact form of stored records and of messages between controllers. During an upgrade two versions read each
- * other's, so field names and formats must not change when the code is renamed. Each is compared with the production
- * version.
+ * other's records and messages, so field names and formats must not change when names in the code change. The forms are
+ * compared with those of the production version.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -87,7 +87,7 @@
   '"parts":[[0,2,0,"east"],[2,3,1,"west"]],"done":[]}';
 
 for (const [kind, text] of Object.entries({ ARRAY, GANG, SERVICE }))
-  test(`a stored job record keeps its bytes, also through the version in production: ${kind.toLowerCase()}`, () => {
+  test(`a stored job record keeps its bytes, also through the production version: ${kind.toLowerCase()}`, () => {
     const decoded = decodeRecord(JSON.parse(text));
     assert.ok(decoded);
     assert.equal(JSON.stringify(encodeRecord(decoded)), text);
@@ -289,7 +289,7 @@
   return JSON.parse(JSON.stringify(encodePeerMessage(decoded)));
 }
 
-test('an announcement encoded here is understood by the version in production', () => {
+test('an announcement encoded here is understood by the production version', () => {
   const core = productionCore();
   assert.equal(productionNews.receive(core, reencode(MESSAGES['news'] as string)), null);
   assert.equal(core.peers.get('n1')?.running.get('req-a'), 7);
@@ -305,7 +305,7 @@
   assert.equal(core.offers.get(1)?.machines.length, 2);
 });
 
-test('requests for quota encoded here are understood by the version in production', () => {
+test('requests for quota encoded here are understood by the production version', () => {
   for (const [name, text] of Object.entries(MESSAGES).filter(([key]) => key.startsWith('ask')))
     assert.deepEqual(productionNews.receive(productionCore(), reencode(text)), JSON.parse(text), name);
 });
--- a/test/jobs/job-records.test.ts
+++ b/test/jobs/job-records.test.ts
@@ -35,11 +35,11 @@
   await cluster.start();
   await cluster.submit(0, 'req-1', { service: true });
   await cluster.step(1000);
-  const row = cluster.store.entries.get('c/live/req-1');
-  assert.ok(row);
+  const entry = cluster.store.entries.get('c/live/req-1');
+  assert.ok(entry);
   cluster.store.applyTransaction({
     when: [],
-    apply: [{ put: 'c/live/req-1', data: { ...(row.data as object), parts: 'new form' } }],
+    apply: [{ put: 'c/live/req-1', data: { ...(entry.data as object), parts: 'new form' } }],
   });
   await cluster.step(3000);
   assert.equal([...cluster.workers.values()].flatMap((worker) => worker.runningTasks()).length, 1);
--- a/test/jobs/unreadable-records.test.ts
+++ b/test/jobs/unreadable-records.test.ts
@@ -3,9 +3,10 @@
  * later version may have written it.
  *
  * Guards against three faults described in docs/incidents/2026-12-ran-twice-at-size.md ("Found beside it, not mended").
- * (1) Progress was computed from the last readable record, and overwrote the newer one, whose version was the
- * condition. (2) A controller that started and could not read a job's record assumed that the job had ended, and
- * stopped its tasks. (3) An unreadable token record was treated as 0, so that the next leader's fencing token was 1.
+ * (1) Progress was computed from the last readable record, but the condition of the write was the revision of the
+ * newer, unreadable record, which was therefore overwritten. (2) A controller that started and could not read a job's
+ * record assumed that the job had ended, and stopped its tasks. (3) An unreadable token record was treated as 0, so that
+ * the next leader's fencing token was 1.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/test/leadership/cancellation-during-store-outage.test.ts
+++ b/test/leadership/cancellation-during-store-outage.test.ts
@@ -1,8 +1,8 @@
 /**
  * The store refuses only the leader; another controller confirms cancellations; then the store is down for all
  * controllers for longer than the cancel time, while the workers still send heartbeats to the old leader. The tasks of
- * the cancelled jobs must nevertheless end within the cancel time. The cases exercise the limits of the margins that
- * ensure this.
+ * the cancelled jobs must nevertheless end within the cancel time. The tests measure the margins that ensure this and
+ * check that they have not shrunk.
  */
 import assert from 'node:assert/strict';
 import { test, type TestContext } from 'node:test';
@@ -23,9 +23,9 @@
 import { SimulatedCluster } from '../support/simulated-cluster.js';
 
 /**
- * Minimum remaining time of the cancel time, and of the time in which the old leader may send commands: twice 500 ms, a
- * thousandth of the cancel time for clock drift, and the time between its last read and the first confirmation, less
- * the loss through clocks that are slow by 0.05%.
+ * Minimum remaining time until the end of the cancel time, and until the latest time at which the old leader may send
+ * commands: twice 500 ms, a thousandth of the cancel time for clock drift, and the time between the old leader's last
+ * read and the first confirmation, less the loss through clocks that are slow by 0.05%.
  */
 const MIN_REMAINING_MS = 1012;
 const MIN_SLACK_MS = 1008;
@@ -51,7 +51,10 @@
   [1 / SLOW_CLOCK_RATE, SLOW_CLOCK_RATE],
 ] as const;
 
-/** Cases with an outage 0 to 3 s after its trigger for each kind of failover; the other parameters alternate. */
+/**
+ * Cases with an outage 0 to 3 s after the last confirmation or the failover, for each kind of failover; the other
+ * parameters alternate.
+ */
 function casesByOutageMoment(): OutageCase[] {
   const cases: OutageCase[] = [];
   for (const failover of FAILOVERS) {
@@ -75,7 +78,10 @@
   return cases;
 }
 
-/** Heartbeats arrive at 250 phases of their interval when the leader is refused; there is no other fault. */
+/**
+ * 25 cases with 10 machines each: the heartbeat intervals are at 250 phases when the leader is refused. There is no
+ * other fault.
+ */
 const casesByHeartbeatPhase = (): OutageCase[] =>
   Array.from({ length: 25 }, (_, i) => ({ ...DEFAULT_CASE, seed: 100 + i, outageAfterMs: 40 * i }));
 
@@ -106,7 +112,7 @@
   const directMs = minimumOf(measurements, ({ directSlackMs }) => directSlackMs);
   const starts = measurements.reduce((sum, { lateStarts }) => sum + lateStarts, 0);
   context.diagnostic(
-    `${measurements.length} cases: least time left to the bound ${leftMs} ms; last answer ${answerMs} ms and last direct command ` +
+    `${measurements.length} cases: least time left of the cancel time ${leftMs} ms; last answer ${answerMs} ms and last direct command ` +
       `${directMs} ms before the limit; ${starts} starts after a confirmed cancellation, in time`,
   );
   assert.ok(leftMs >= MIN_REMAINING_MS, `${leftMs} ms left`);
@@ -117,7 +123,7 @@
   );
 }
 
-test('an outage 0 to 3 s after the confirmation, with and without a failover, hanging machines, unacknowledged launches', async (context) => {
+test('an outage 0 to 3 s after the last confirmation or the failover, with and without hanging machines and unacknowledged launches', async (context) => {
   const cases = casesByOutageMoment();
   const measurements = await runAll(cases);
   checkMargins(context, measurements);
@@ -194,7 +200,8 @@
       if (node !== LEADER) cluster.networkCuts.add(`n${node}|${machine}`);
   for (let i = 0; i < 4; i += 1) cluster.addWorker('large', 'west');
   await cluster.step(2000);
-  // The leader is refused right after a read of changes for a user's request, so that it commands as long as possible.
+  // The leader is refused right after a read of changes for a user's request, so that it can send commands as long as
+  // possible.
   cluster.store.onWatchAnswered = (node, blockMs) => {
     if (node !== `n${LEADER}` || blockMs > 0 || cluster.store.refusedNodes.has(node)) return;
     cluster.store.refusedNodes.add(node);
@@ -217,7 +224,7 @@
   return cluster;
 }
 
-test('after a failover that reaches no machine, tasks start elsewhere only when the old leader cannot renew their lease', async () => {
+test('after a failover that reaches no machine, tasks start elsewhere only when the old leader can no longer renew their leases', async () => {
   for (let seed = 0; seed < 8; seed += 1) {
     const cluster = await restartTasksElsewhere(seed);
     assert.deepEqual(cluster.violations, [], cluster.traceLines.join('\n'));
--- a/test/leadership/failover-decision.test.ts
+++ b/test/leadership/failover-decision.test.ts
@@ -67,7 +67,7 @@
   assert.equal(
     decide({ ...home, ledHomeShardBefore: false }),
     'claim',
-    'a restarted process that has not led it yet',
+    'a restarted process that has not led its home shard yet',
   );
   assert.equal(decide(home), 'probe', 'stable membership, but it is unknown whether the workers answer');
   assert.equal(
--- a/test/leadership/failover-during-faults.test.ts
+++ b/test/leadership/failover-during-faults.test.ts
@@ -174,7 +174,7 @@
   await cluster.until('the tasks run', () => cluster.countRunningTasks('req-long') === 6);
   const affectedMachines = machinesOfShard(cluster, 0, 'req-long');
   assert.ok(affectedMachines.length > 0);
-  // The machines cannot be deleted either, which would end their tasks.
+  // The machines cannot be deleted either: a deletion would end their tasks.
   cluster.cloudOutage = true;
   cluster.killNode(0);
   if (fault === 'cut') cluster.cutOff(affectedMachines);
--- a/test/leadership/failover-with-cancellations.test.ts
+++ b/test/leadership/failover-with-cancellations.test.ts
@@ -58,7 +58,7 @@
   cluster.countRunningTasks('req-next-red') + cluster.countRunningTasks('req-next-blue');
 
 for (const fault of ['hang', 'cut'] as const) {
-  test(`teams at their quota, cancelled tasks on machines with a ${fault}, the leader stops`, async () => {
+  test(`teams at their quota, cancelled tasks on machines with a fault (${fault}), the leader stops`, async () => {
     for (const [cancelDelayMs, recoveryDelayMs] of [
       [0, 6000],
       [700, 8000],
@@ -76,7 +76,7 @@
       assert.equal(running, 24, 'the tasks of the cancelled jobs still ran at the failover');
       await cluster.step(60_000);
       cluster.assertNoViolations(
-        `${fault} ${cancelDelayMs} ms before the cancellation, over after ${recoveryDelayMs} ms`,
+        `${fault} ${cancelDelayMs} ms before the cancellation, ends after ${recoveryDelayMs} ms`,
       );
       assert.equal(
         countRunningNextTasks(cluster),
@@ -88,7 +88,7 @@
 }
 
 for (const fault of ['hang', 'cut'] as const) {
-  test(`teams at their quota, the leader stops, machines with a ${fault}, then a cancellation`, async () => {
+  test(`teams at their quota, the leader stops, machines with a fault (${fault}), then a cancellation`, async () => {
     for (const [cancelDelayMs, recoveryDelayMs] of [
       [0, 5000],
       [10, 9000],
@@ -105,7 +105,7 @@
       await cluster.step(60_000);
       assert.ok(bothCancelled(cluster));
       cluster.assertNoViolations(
-        `cancelled ${cancelDelayMs} ms after the failover, ${fault} over after ${recoveryDelayMs} ms`,
+        `cancelled ${cancelDelayMs} ms after the failover, ${fault} ends ${recoveryDelayMs} ms after it began`,
       );
       assert.equal(
         countRunningNextTasks(cluster),
@@ -116,7 +116,7 @@
   });
 }
 
-test('all leaders stop, a new leader learns of tasks of cancelled jobs, and their machines hang', async () => {
+test('all leaders stop, a new leader learns of running tasks of cancelled jobs, and the machines of these tasks hang', async () => {
   for (const hangMs of [3000, 9000, 25_000]) {
     const cluster = await clusterWithTeamsAtQuota();
     const holders = cluster.machinesRunning('req-red').concat(cluster.machinesRunning('req-blue'));
@@ -147,7 +147,7 @@
   }
 });
 
-/** Lets the machine answer the first command of a new leader, which shows its tasks, and then hang. */
+/** Lets the machine hang after its answer to the first command of a new leader; the answer lists its tasks. */
 function hangWhenCalled(cluster: FaultInjectionCluster, machine: string, onHang: () => void): void {
   const worker = cluster.worker(machine);
   const receive = worker.receive.bind(worker);
--- a/test/leadership/failover-with-late-events.test.ts
+++ b/test/leadership/failover-with-late-events.test.ts
@@ -56,7 +56,7 @@
 
 const lastJob = { tasks: 2, zone: 'east', runMs: 40_000 };
 
-test('a leader without its membership key continues until the failover commits; the successor learns late of its last job', async () => {
+test('a leader without its membership key continues until the failover commits; the successor learns late of the last job that this leader accepted', async () => {
   for (const lagMs of [0, 700, 1400]) {
     for (const cancelled of [false, true]) {
       const cluster = await startCluster(4, 2);
--- a/test/leadership/replaced-leader-ahead-of-watch.test.ts
+++ b/test/leadership/replaced-leader-ahead-of-watch.test.ts
@@ -1,9 +1,9 @@
 /**
  * Guards against a task that runs on two machines at once. A slow controller's membership lease had expired, and
- * another controller had acquired its shard, which its watch did not show yet. It accepted a job, and its own commit
- * entered its watch cache before the changes written in between. Both leaders found the job newer than their own
- * acquisition, concluded that no earlier leader could have started it, and both started it. Revisions in the logs of
- * the two starts: job 16; replaced leader (token 3) acquired at 8, cache complete up to 11; successor (token 4)
+ * another controller had acquired its shard, which its watch did not show yet. The slow controller accepted a job, and
+ * its own commit entered its watch cache before the changes written in between. Both leaders found the job newer than
+ * their own acquisition, concluded that no earlier leader could have started it, and both started it. Revisions in the
+ * logs of the two starts: job 16; replaced leader (token 3) acquired at 8, cache complete up to 11; successor (token 4)
  * acquired at 15, complete up to 17.
  */
 import assert from 'node:assert/strict';
--- a/test/leadership/worker-reachability.test.ts
+++ b/test/leadership/worker-reachability.test.ts
@@ -97,7 +97,7 @@
   assert.equal(findUnreachableMachines(contextWithPeer(1), shard, NOW), null);
 });
 
-test('a shard whose machines reach no peer either is kept, unless this controller hears no peer at all', () => {
+test('a shard whose machines reach no peer either is kept, unless this controller receives no announcements at all', () => {
   const shard = shardWithHeartbeats(SILENT_AGE_MS, SILENT_AGE_MS);
   assert.equal(findUnreachableMachines(contextWithPeer(0), shard, NOW), null, 'the machines are cut off');
   assert.notEqual(
--- a/test/shards/machine-health.test.ts
+++ b/test/shards/machine-health.test.ts
@@ -28,7 +28,7 @@
   assert.equal(isSchedulableWith({ reconciled: false }), false);
 });
 
-test('a machine that leaves the shard is not schedulable', () => {
+test('a machine that is draining, is being scaled in or will be interrupted is not schedulable', () => {
   assert.equal(isSchedulableWith({ draining: true }), false);
   assert.equal(isSchedulableWith({ scalingIn: true }), false);
   assert.equal(isSchedulableWith({ interruptedAt: steady(NOW + 60_000) }), false);
@@ -39,7 +39,7 @@
   assert.equal(isSchedulableWith({ quarantinedUntil: NOW }), true);
 });
 
-test('a machine is silent two heartbeat intervals and one second after its last message', () => {
+test('a machine counts as silent two heartbeat intervals and one second after its last message', () => {
   assert.equal(isSchedulableWith({ lastMessageAt: steady(NOW - 3999) }), true);
   assert.equal(isSchedulableWith({ lastMessageAt: steady(NOW - 4000) }), false);
 });
--- a/test/soak/soak-surroundings.ts
+++ b/test/soak/soak-surroundings.ts
@@ -27,7 +27,7 @@
 export class SoakSurroundings implements RunEnvironment {
   readonly queue = new RealTimeQueue();
   readonly nodes: ProcessNode[] = [];
-  /** Third octets of the addresses: 0 controllers, 10 the state service, 11 the cloud, from 20 on proxies. */
+  /** Third octets of the addresses: 0 controllers, 10 the store, 11 the cloud, from 20 on proxies. */
   private readonly controllerAddressPrefix: string;
   readonly machineAddressPrefix: string;
   private readonly servers: { close(): unknown; closeAllConnections?(): void }[] = [];
