--- a/test/cluster/concurrent-machine-faults.test.ts
+++ b/test/cluster/concurrent-machine-faults.test.ts
@@ -169,7 +169,8 @@
       assert.ok(zonesInUse.size <= 1, `in two zones at once\n${cluster.traceLines.join('\n')}`);
     }
     assertNoViolations(cluster, completedTasks);
-    // The strictest reading: once a task of the job has ended in a zone, the others must run there too.
+    // The strictest reading of the single-zone constraint: once a task of the job has ended in a zone, the others must
+    // run there too.
     if (completedTasks > 0)
       assert.ok(!zonesAfterLoss.has(zone === 'east' ? 'west' : 'east'), cluster.traceLines.join('\n'));
     else
@@ -303,7 +304,8 @@
           );
         await cluster.submit(0, 'req-1', { tasks: 6, runMs: 2500 });
         await cluster.submit(1, 'req-2', { tasks: 3, runMs: 200_000, team: 'blue' });
-        // So short that it starts by a heartbeat answer and completes before the delayed direct launch arrives.
+        // Its tasks are so short that they start by a heartbeat answer and complete before the delayed direct launch
+        // arrives.
         await cluster.submit(2, 'req-4', { tasks: 2, runMs: 150 });
         await cluster.submit(2, 'req-3', { service: true, tasks: 2, priority: 'critical', team: 'blue' });
         await cluster.step(1500);
@@ -503,7 +505,8 @@
       (worker) => {
         unreachable = worker;
         cluster.unreachableMachines.add(worker.id);
-        // A deletion would prove that it runs nothing: the cloud has an outage, except for a faulty machine.
+        // Deleting the machine would prove that it runs nothing; a cloud outage prevents this, unless the machine is
+        // faulty.
         cluster.cloudOutage = fault !== 'sick';
         if (fault === 'sick') worker.faulty = true;
         if (fault === 'leader at once') cluster.killNode(0);
@@ -533,7 +536,7 @@
     for (let i = 0; i < 4; i += 1)
       assert.ok(
         countCompletions(cluster, `req-1/${i}`) > 0,
-        `${fault}: its tasks run on other machines\n${cluster.traceLines.join('\n')}`,
+        `${fault}: the tasks complete on other machines\n${cluster.traceLines.join('\n')}`,
       );
     cluster.unreachableMachines.clear();
     cluster.cloudOutage = false;
--- a/test/cluster/concurrent-user-requests.test.ts
+++ b/test/cluster/concurrent-user-requests.test.ts
@@ -302,7 +302,7 @@
   }
 });
 
-/** Fails if the fault was not injected into every kind of transaction: then the test shows nothing about that kind. */
+/** Fails if the fault was not injected into every kind of transaction: the test shows nothing about missing kinds. */
 function assertEveryKindOccurred(faultsByKind: ReadonlyMap<TransactionKind, number>): void {
   const missingKinds = INJECTED_KINDS.filter((kind) => (faultsByKind.get(kind) ?? 0) === 0);
   assert.deepEqual(missingKinds, [], 'kinds of transactions without an injected fault');
@@ -463,7 +463,7 @@
   assert.ok(count('done') >= 10 && count('cancelled') >= 10, 'the offsets span the end of the task');
 });
 
-test('an unanswered overflow write keeps its tasks from starting here, since it may be applied late', async () => {
+test('an unanswered overflow write keeps its tasks from starting in their old shard, since it may be applied late', async () => {
   for (let delayMs = 3000; delayMs <= 9000; delayMs += 1500) {
     const { cluster, users } = await startCluster('east', 'west');
     const fullZone = { tasks: 4, team: 'blue' };
--- a/test/cluster/invariant-checker.test.ts
+++ b/test/cluster/invariant-checker.test.ts
@@ -104,7 +104,7 @@
   assertViolates(/^quota red: 2 GPUs/, (fixture) => [0, 1].forEach((i) => fixture.start(i)), { gpus: 1 });
 });
 
-test('wrong_place: zone, type, kind, spread, one zone', () => {
+test('wrong_place: zone, machine type, spot machine, spread, single zone', () => {
   assertViolates(/^wrong_place req-1\/0 in west/, (fixture) => fixture.start(0, WEST), { zone: 'east' });
   assertViolates(/^wrong_place req-1\/0 on large/, (fixture) => fixture.start(0, WEST), { types: ['small'] });
   assertViolates(/^wrong_place req-1\/0 on spot/, (fixture) => fixture.start(0, WEST), { spot: false });
--- a/test/cluster/recorded-fault-histories.test.ts
+++ b/test/cluster/recorded-fault-histories.test.ts
@@ -246,7 +246,7 @@
   await cluster.submit(0, 'req-1', { tasks: 4, runMs: 5000, zone: 'east' });
   await cluster.submit(2, 'req-2', { tasks: 8, runMs: 5000, zone: 'east' });
   await cluster.step(1500);
-  // The east fails at once: a machine, and the controllers that would have noticed.
+  // In the east a machine and both controllers, which would have detected its loss, fail at the same time.
   const lostMachine = [...cluster.workers.values()].find(
     (machine) => machine.zone === 'east' && machine.runningTasks().length > 0,
   );
@@ -394,7 +394,7 @@
   assertTraceMatches(cluster, 'share-being-given');
 });
 
-test('a worker that has seen a higher fencing token gets 421: a 200 would keep it while its lease expires', async () => {
+test('a worker that has seen a higher fencing token gets 421: after a 200 it would stay at that node while its lease expires', async () => {
   const cluster = await startClusterWithMachines('east', 'west', 'east');
   await cluster.step(2000);
   const last = cluster.sentHeartbeats.get('m-0')?.at(-1) as { logNo: number };
--- a/test/cluster/recorded-histories.test.ts
+++ b/test/cluster/recorded-histories.test.ts
@@ -29,7 +29,7 @@
   assertTraceMatches(cluster, 'ordinary-job');
 });
 
-test('an existing job is never refused, whatever the repeated submission says; an unknown one is', async () => {
+test('a repeated submission of an existing job is never refused, whatever its content; an invalid new job is refused', async () => {
   const cluster = await startClusterWithThreeMachines();
   await cluster.submit(0, 'req-1', { runMs: 60000 });
   await cluster.sendUserRequest(1, 'POST', '/v2/runs', { uid: 'req-1', legs: 'many' });
@@ -92,7 +92,7 @@
   return (cluster.workers.get(machine)?.runningTasks().length ?? 0) > 0;
 }
 
-test('a direct launch gets no answer and arrives late: a higher fencing token makes it void', async () => {
+test('a direct launch gets no answer and arrives late: a higher fencing token invalidates it', async () => {
   const cluster = await startClusterWithThreeMachines();
   cluster.commandDelayMs = (_, worker) => (worker === 'm-0' || worker === 'm-2' ? 25000 : null);
   await cluster.submit(0, 'req-1', { tasks: 1, runMs: 60000, zone: 'east' });
@@ -128,7 +128,7 @@
   assertTraceMatches(cluster, 'cancel-in-outage');
 });
 
-test('a leader refused by the store alone stops commanding before a cancellation is overdue', async () => {
+test('a leader that is the only node refused by the store stops commanding before a cancellation is overdue', async () => {
   const cluster = await startClusterWithThreeMachines();
   await cluster.submit(0, 'req-1', { service: true, tasks: 1, zone: 'east' });
   await cluster.step(1000);
@@ -201,7 +201,7 @@
   assertTraceMatches(cluster, 'zone-pins');
 });
 
-test('tasks without capacity go to a peer that announced free capacity, in one write', async () => {
+test('tasks without capacity are transferred to a peer that announced free capacity, in one write', async () => {
   const cluster = new SimulatedCluster();
   cluster.addWorker('small', 'east');
   cluster.addWorker('small', 'east');
--- a/test/cluster/rolling-upgrade.test.ts
+++ b/test/cluster/rolling-upgrade.test.ts
@@ -1,4 +1,4 @@
-/** The production build and the working sources in one cluster, on each other's records, leases and messages. */
+/** The production build and the working sources in one cluster, with each other's records, leases and messages. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as jobCodec from '../../src/jobs/codec.js';
@@ -131,7 +131,7 @@
   await assertAllDone(cluster, 5);
 });
 
-test('limits that are lowered after the upgrade: nothing larger is sent from then on, and all jobs go on', async () => {
+test('limits that are lowered after the upgrade: nothing larger is sent from then on, and all jobs continue', async () => {
   const nextLimits = { writeRps: 15, valueKb: 2, txnOps: 4 };
   const config: ClusterConfig = {
     ...SMALL_CLUSTER,
@@ -159,11 +159,11 @@
   assert.equal(cluster.store.rejectedForSize, 0);
   assert.ok(
     cluster.store.observed.rateLimited - rateLimitedBefore < 40,
-    `${cluster.store.observed.rateLimited - rateLimitedBefore} requests refused for the rate`,
+    `${cluster.store.observed.rateLimited - rateLimitedBefore} requests refused by the rate limit`,
   );
 });
 
-/** Returns the record of the largest array, whose finished tasks form this many separate ranges. */
+/** Returns the record of the largest array job, whose finished tasks form this many separate ranges. */
 function recordWithScatteredResults(ranges: number): JobRecord {
   const done = RangeSet.of(Array.from({ length: ranges }, (_, i) => [7 * i, 7 * i + 1] as const));
   return {
--- a/test/simulation/gang-model.test.ts
+++ b/test/simulation/gang-model.test.ts
@@ -1,4 +1,4 @@
-/** The simulator's gangs, as in PROTOCOL's page on gangs, and violations of it that the invariant checker reports. */
+/** The simulator's gangs follow the protocol, and the invariant checker reports gangs that violate it. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { EventQueue, Host } from '../../src/simulation/clock.js';
--- a/test/simulation/simulation.test.ts
+++ b/test/simulation/simulation.test.ts
@@ -622,7 +622,7 @@
 });
 
 test('capacity is not reserved for tasks that must run in another zone or cannot run at all: a peer may use it', async () => {
-  // With one zone, the third task of a spread job cannot be placed; its controller's free capacity must go to its peer.
+  // With one zone, the third task of a spread job cannot be placed; its controller must offer the capacity to its peer.
   const deployment: ScenarioInput['deployment'] = {
     ...smallInput().deployment,
     zones: ['fjord'],
@@ -697,8 +697,8 @@
     exclusive: (work: () => unknown) => Promise.resolve(work()),
     requestCycle: () => undefined,
   };
-  const overflow = new TaskTransferService(core as unknown as Core);
-  overflow.transferUnplaced(shard, [{ job, reason: 'capacity', indices: 'all' }]);
+  const transferService = new TaskTransferService(core as unknown as Core);
+  transferService.transferUnplaced(shard, [{ job, reason: 'capacity', indices: 'all' }]);
   assert.equal(job.transferring.size, 2);
   planCycle(shard, { now: 10_000 } as unknown as SchedulingContext);
   answer({ kind: 'refused' });
--- a/test/support/fake-gang-coordinator.ts
+++ b/test/support/fake-gang-coordinator.ts
@@ -112,7 +112,8 @@
   }
 
   /**
-   * A task was ordered to stop with enough grace to save; the progress is kept once all tasks of the gang have saved.
+   * A task was ordered to stop with a grace period that is long enough for a checkpoint; the progress is kept once all
+   * tasks of the gang have saved.
    */
   requestStop(job: string, attempt: number, taskId: string, saveMs: number): void {
     const gang = this.attempts.get(`${job}#${attempt}`);
--- a/test/support/fake-store.ts
+++ b/test/support/fake-store.ts
@@ -80,7 +80,7 @@
   private history: { entry: number; put?: string; drop?: string; data?: unknown }[] = [];
   private waitingWatches = new Set<() => void>();
   outage = false;
-  /** Nodes whose requests alone are refused with 503. */
+  /** Nodes whose requests are refused with 503 while the store serves all other nodes. */
   readonly refusedNodes = new Set<string>();
   /** Nodes whose packets are lost: requests do not arrive and get no answer. */
   readonly disconnectedNodes = new Set<string>();
--- a/test/support/fake-worker.ts
+++ b/test/support/fake-worker.ts
@@ -34,8 +34,8 @@
   readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
   /**
-   * Whether its lease ends to the millisecond, and requests and answers that arrive while it hangs wait until it
-   * resumes.
+   * Whether the worker detects the expiry of its lease to the millisecond, and requests and answers that arrive while
+   * it hangs wait until it resumes.
    */
   readonly exactLeases: boolean;
   /** Sends a heartbeat to a node; null if there is no answer. */
@@ -64,7 +64,7 @@
   faulty = false;
   interruptionAt: number | null = null;
   private leaseTimer: { cancel(): void } | null = null;
-  /** Direct requests and answers that arrived while it hangs, in the order of their arrival. */
+  /** Handle the direct requests and answers that arrived while the machine hung, in the order of their arrival. */
   private readonly deferredActions: (() => void)[] = [];
   readonly images = new Set<string>();
 
@@ -149,7 +149,7 @@
     this.environment.trace(`${this.id} hangs`);
   }
 
-  /** Resumes with its tasks, unless its lease has expired; first handles what arrived while it was hanging. */
+  /** Resumes; ends the tasks if the lease has expired, and then handles the messages that arrived in the meantime. */
   resume(): void {
     if (!this.hanging) return;
     this.hanging = false;
--- a/test/support/fault-injection-cluster.ts
+++ b/test/support/fault-injection-cluster.ts
@@ -82,7 +82,7 @@
 
   worker(id: string): FakeWorker {
     const worker = this.workers.get(id);
-    assert.ok(worker, `${id} is there`);
+    assert.ok(worker, `${id} exists`);
     return worker;
   }
 
@@ -212,7 +212,7 @@
   for (const machine of machines) if (cluster.workers.has(machine)) cluster.worker(machine).hanging = false;
 }
 
-/** Runs `action` when the first failover of shard 0 reaches the store, and delays the commit of such transactions. */
+/** Runs `action` when the first failover of shard 0 reaches the store; delays the commit of each by `delayMs`. */
 export function whenFailoverArrives(
   cluster: FaultInjectionCluster,
   delayMs: number,
--- a/test/support/outage-case.ts
+++ b/test/support/outage-case.ts
@@ -15,7 +15,7 @@
   recordHeartbeats: false,
   tuning: 'fleet.idle.return.ms = 3600000\nparts.alive.ttl.ms = 1500',
 };
-/** The leader's membership key lives for 20 s, so no failover happens before the outage. */
+/** The TTL of the leader's membership key is 20 s, so no failover happens before the outage. */
 export const WITHOUT_FAILOVER: ClusterConfig = {
   ...OUTAGE_CLUSTER,
   tuning: OUTAGE_CLUSTER.tuning.replace('1500', '20000'),
@@ -30,6 +30,7 @@
 export const STEP_MS = 50;
 /** The only job that is not cancelled. */
 export const UNCANCELLED_JOB = 'req-bystander';
+/** Step between the values of `outageAfterMs` that are tested. */
 export const OUTAGE_STEP_MS = 250;
 /** Time from the first request for a cancellation to the refusal of the leader. */
 export const FIRST_CANCELLATION_MS = 300;
@@ -64,11 +65,13 @@
   /** Time that remained of the cancellation limit when the last task of a cancelled job ended. */
   readonly remainingMs: number;
   /**
-   * Time from the old leader's last 200, and from its last direct command, to the latest moment that the lease allows.
+   * Time from the old leader's last answer of 200 to a heartbeat, and from its last direct command, to the command
+   * deadline, which is one lease before the cancellation limit.
    */
   readonly answerSlackMs: number;
   readonly directSlackMs: number;
   readonly confirmed: number;
+  /** Starts of tasks after a user was told that their job is cancelled. */
   readonly lateStarts: number;
   /** How far each machine's heartbeat interval had advanced at the refusal, in tenths. */
   readonly phases: ReadonlySet<number>;
--- a/test/support/outage-scenario.ts
+++ b/test/support/outage-scenario.ts
@@ -38,10 +38,10 @@
   constructor(private readonly outageCase: OutageCase) {
     const cluster = new SimulatedCluster(outageCase.failover === 'none' ? WITHOUT_FAILOVER : OUTAGE_CLUSTER);
     this.cluster = cluster;
-    cluster.clockRate = (who) =>
-      who === `n${LEADER}`
+    cluster.clockRate = (nodeOrMachine) =>
+      nodeOrMachine === `n${LEADER}`
         ? outageCase.leaderClockRate
-        : who.startsWith('m-')
+        : nodeOrMachine.startsWith('m-')
           ? outageCase.workerClockRate
           : 1;
     cluster.onCommandSent = (node, worker, channel) => {
@@ -107,7 +107,7 @@
     return this.measure();
   }
 
-  /** Refuses the leader at its next read, so that it cannot confirm its watch cache, and then cancels `jobs`. */
+  /** Refuses the leader after its next read, so that it cannot confirm its watch cache again, and cancels `jobs`. */
   private refuseLeaderAfterItsNextRead(jobs: readonly string[]): void {
     const { cluster, outageCase } = this;
     const refuse = (): void => {
@@ -157,8 +157,8 @@
         '/v2/runs',
         cluster.submissionBody(`req-${i}`, { cpus: 1.75, runMs: 1e6 }),
       );
-    const bystander = cluster.submissionBody(UNCANCELLED_JOB, { cpus: 0.25, runMs: 1e6 });
-    void cluster.request(0, 'POST', '/v2/runs', bystander);
+    const uncancelledJob = cluster.submissionBody(UNCANCELLED_JOB, { cpus: 0.25, runMs: 1e6 });
+    void cluster.request(0, 'POST', '/v2/runs', uncancelledJob);
     await cluster.step(1500);
     const queue = cluster.submissionBody('req-queue', { cpus: 1, tasks: 400, runMs: 650 });
     void cluster.request(LEADER, 'POST', '/v2/runs', queue);
@@ -205,7 +205,7 @@
     };
   }
 
-  /** Half of the machines hang; each resumes at another time within its lease, or with odd seeds mostly after it. */
+  /** Half of the machines hang; each resumes at a different time: within its lease, or for odd seeds mostly later. */
   private hangHalfOfMachines(): void {
     const { cluster, outageCase } = this;
     const additionalMs = outageCase.seed % 2 === 1 ? 2 * HEARTBEAT_INTERVAL_MS : 0;
--- a/test/support/shard-fixture.ts
+++ b/test/support/shard-fixture.ts
@@ -61,7 +61,8 @@
 };
 
 /**
- * Overrides for a heartbeat; the defaults are the first agent epoch, the next sequence number and the shard's token.
+ * Overrides for a heartbeat; the defaults are the first agent epoch, the next sequence number and the shard's fencing
+ * token.
  */
 export interface HeartbeatChanges {
   readonly agentEpoch?: number;
--- a/test/support/simulated-clock.ts
+++ b/test/support/simulated-clock.ts
@@ -92,7 +92,7 @@
 const isEarlier = (first: TimerEvent, second: TimerEvent): boolean =>
   first.dueAt < second.dueAt || (first.dueAt === second.dueAt && first.sequence < second.sequence);
 
-/** Returns a view of `clock` for one machine: its time and its timers run at `rate` times the speed of `clock`. */
+/** Returns a view of `clock` for a node or a machine: its time and timers run at `rate` times the speed of `clock`. */
 export function clockRunningAt(clock: SimulatedClock, rate: number): SimulatedClock {
   const startedAt = clock.now();
   const scaledClock = Object.create(clock) as SimulatedClock;
--- a/test/support/simulated-cluster.ts
+++ b/test/support/simulated-cluster.ts
@@ -39,17 +39,20 @@
   readonly leaseS: number;
   readonly cancelS: number;
   readonly storeLimits: StoreLimits;
-  /** Announced limits of the state service that take effect later. */
+  /** Limits of the state service that take effect later; the settings name them from the start. */
   readonly nextStoreLimits?: Pick<StoreLimits, 'writeRps' | 'valueKb' | 'txnOps'>;
   readonly cloudRps: number;
   readonly connections: number;
-  /** Whether leases of workers end to the millisecond, and hanging workers queue the messages that reach them. */
+  /**
+   * Whether workers detect the expiry of their leases to the millisecond, and hanging workers queue the messages that
+   * reach them.
+   */
   readonly exactLeases?: boolean;
   /** Whether heartbeats are recorded, so that tests can replay them. */
   readonly recordHeartbeats: boolean;
   readonly checkIntervalMs: number;
   readonly machineBootS: number;
-  /** The operators' properties file. */
+  /** The content of the operators' properties file. */
   readonly tuning: string;
 }
 
@@ -68,7 +71,7 @@
   tuning: 'fleet.idle.return.ms = 30000',
 };
 
-/** Formats the announced limits as in the settings file. */
+/** Formats the limits that take effect later as in the settings file. */
 const nextLimitsText = (next: ClusterConfig['nextStoreLimits']): string =>
   next
     ? `[facts.state.next]\nwrite_rps = ${next.writeRps}\nvalue_kb = ${next.valueKb}\ntxn_ops = ${next.txnOps}\n`
